--- a/ebonyhold/prepaid/__init__.py
+++ b/ebonyhold/prepaid/__init__.py
@@ -1,4 +1,4 @@
-"""Prepaid budgets: tokens drawn ahead by each router, spent without a call."""
+"""Prepaid budgets: routers draw tokens in advance and spend them without a call."""
 
 from ebonyhold.prepaid._account import Account
 from ebonyhold.prepaid._demand import Demand
@@ -18,7 +18,7 @@
 from ebonyhold.prepaid._types import (
     Change,
     Committed,
-    Known,
+    GrantRows,
     PrepaidOptions,
     PrepaidRow,
     PrepaidStore,
@@ -34,10 +34,10 @@
     "Demand",
     "Fleet",
     "Grant",
+    "GrantRows",
     "HoldOutcome",
     "HolderPeers",
     "HolderTable",
-    "Known",
     "LentHolds",
     "LimitBook",
     "Limits",
--- a/ebonyhold/prepaid/_account.py
+++ b/ebonyhold/prepaid/_account.py
@@ -1,4 +1,4 @@
-"""One workspace's prepaid tokens at one router."""
+"""One workspace's grant at one router: holds, draws, returns and transfers."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     ConflictError,
     PlatformError,
 )
-from ebonyhold.prepaid._allowance import Outlook, allowance
-from ebonyhold.prepaid._changes import Moves, make_change
+from ebonyhold.prepaid._allowance import AllowanceInputs, allowance
+from ebonyhold.prepaid._changes import ChangeAmounts, make_change
 from ebonyhold.prepaid._demand import Demand
 from ebonyhold.prepaid._grant import Grant
 from ebonyhold.prepaid._limits import LimitBook, SpendingLimit
@@ -32,7 +32,7 @@
 from ebonyhold.prepaid._transfers import TransferPeers, choose_givers
 from ebonyhold.prepaid._types import (
     Change,
-    Known,
+    GrantRows,
     PrepaidOptions,
     PrepaidRow,
     PrepaidStore,
@@ -41,47 +41,49 @@
 
 log = logging.getLogger(__name__)
 
-TRIES = 12
-"""Tries of one round against other routers that write the same budget."""
+MAX_ATTEMPTS = 12
+"""Attempts of one round when other routers write the same budget."""
 
-RACE_PAUSE: Seconds = 0.02
-"""The longest pause after a first lost race; it doubles with each further one.
+CONFLICT_BACKOFF: Seconds = 0.02
+"""Maximum delay after a first conflict; it doubles with each further one.
 
-Of all routers that draw on one budget at once only one wins while a transaction takes,
-and the others' tries count against the store's rate.
+When several routers draw on one budget, only one transaction can succeed at a time, and
+the failed attempts count against the store's rate limit.
 """
 
 
 @define(eq=False)
 class Account:
-    """What a router may spend of one workspace's budget.
+    """Manages one workspace's grant at this router.
 
-    Tokens move from the budget to the router's grant in one transaction with
-    the router's own row, and only what has arrived is spent.  So no failure of
-    a router, of the store or of the path between them can overspend: at worst
-    tokens stay in a grant whose router is gone, and count as spent.
+    A transaction moves tokens from the budget to the router's grant and writes the
+    router's grant row.  Requests spend only tokens of committed transactions, so no
+    failure of a router, of the store or of the network can overspend the budget.  At
+    worst, tokens stay in the grant of a router that is gone and count as spent.
 
     Attributes:
-        workspace: Whose tokens.
-        router: Whose grant.
-        store: Where budgets and grants are kept.
-        prepaid: Returns the version of the configuration and the prepaid tokens
-            that it names.
+        workspace: The workspace that owns the budget.
+        router: The router that owns the grant.
+        store: The store of budgets and grants.
+        prepaid: Returns the configuration's version and the prepaid tokens that it
+            sets.
         routers: Returns how many routers share the budget.
-        usual: Returns the size of a usual request at this router; 0 if unknown.
-        limits: How much may be used, by what this router last wrote to the store.
-        renew: Writes what may be used anew, at once.
-        in_touch: Returns whether such writes arrive.
-        peers: The other routers' grants; None where nobody can be asked.
-        holding: Returns whether this router is a holder of the workspace.
-        policy: Sizes the grant.
-        demand: What this router expects to be asked for.
-        grant: The tokens here, and the rows in the store.
-        asked: The size of the requests that wait for tokens, in all.
+        default_typical: Returns the typical request size over all workspaces of this
+            router; 0 if unknown.
+        limits: The spending limits of this router's renewals.
+        renew: Renews the limits in the store immediately.
+        in_touch: Returns whether renewals currently reach the store.
+        peers: The other routers, for transfers; None if there are none to ask.
+        is_holder: Returns whether this router is a holder of the workspace.
+        options: The options of the prepaid budgets.
+        policy: Computes how much to draw or return.
+        demand: The expected demand at this router.
+        grant: The grant's ledger and its stored rows.
+        asked: Total size of the requests that wait for tokens.
         reachable: Whether the last round reached the store.
-        closing: Whether the process is about to end: nothing is drawn any more, since
-            nobody would return it.
-        lock: Held by the one round that may be under way.
+        closing: Whether the process is shutting down.  Nothing is drawn any more,
+            because it would not be returned.
+        lock: Held during a round, so that only one runs at a time.
     """
 
     workspace: WorkspaceName
@@ -89,12 +91,12 @@
     store: PrepaidStore
     prepaid: Callable[[], tuple[int, Tokens]]
     routers: Callable[[], int]
-    usual: Callable[[], float]
+    default_typical: Callable[[], float]
     limits: LimitBook
     renew: Callable[[], Coroutine[None, None, None]]
     in_touch: Callable[[], bool]
     peers: TransferPeers | None = None
-    holding: Callable[[], bool] = lambda: True
+    is_holder: Callable[[], bool] = lambda: True
     options: PrepaidOptions = field(factory=PrepaidOptions)
     policy: GrantPolicy = field(factory=lambda: find_grant_policy("outage_cover"))
     demand: Demand = field(init=False)
@@ -105,105 +107,110 @@
     lock: anyio.Lock = field(factory=anyio.Lock)
 
     def __attrs_post_init__(self) -> None:
-        self.demand = Demand(self.options.demand_memory)
+        self.demand = Demand(self.options.demand_time_constant)
         self.grant = Grant(self.workspace, self.router, self.store, self.routers)
 
     def limit(self) -> Tokens:
-        """Return the most tokens that may be used in all now."""
+        """Return how many tokens may be used in total at this time."""
         return self.limits.limit(self.workspace, anyio.current_time())
 
-    def take(self, amount: Tokens) -> bool:
-        """Set tokens aside if they may be used here now, and tell whether they were.
+    def try_hold(self, amount: Tokens) -> bool:
+        """Hold tokens if they are available within the limit; return whether held.
 
-        Only these count as demand.  Callers that are refused ask again elsewhere, and
-        a budget that is nearly spent would be drawn on, and held, for each of them.
+        Only successful holds count as demand.  Refused callers retry at other routers,
+        and each of those would otherwise draw on a budget that is nearly spent.
         """
-        taken = self.grant.used + amount <= self.limit() and self.grant.ledger.hold(
+        held = self.grant.used + amount <= self.limit() and self.grant.ledger.hold(
             amount
         )
-        if taken:
-            self.demand.served(amount, anyio.current_time())
-        return taken
+        if held:
+            self.demand.record(amount, anyio.current_time())
+        return held
 
     async def hold(self, amount: Tokens, request: RequestId) -> None:
-        """Set tokens aside for a request, drawing them if they are not here.
+        """Hold tokens for a request, and draw them first if necessary.
 
         Args:
-            amount: The most that it can cost.
-            request: Its identifier, for logs.
+            amount: Maximum cost of the request.
+            request: Identifier of the request, for logs.
 
         Raises:
-            BudgetExhaustedError: The budget surely cannot cover it.
-            BudgetUnreachableError: Tokens may exist, but not here and now.
+            BudgetExhaustedError: The budget cannot cover the request.
+            BudgetUnreachableError: The budget may cover it, but the tokens could not
+                be obtained in time.
         """
-        if self.take(amount):
+        if self.try_hold(amount):
             return
         if self.reachable and self.in_touch():
-            with anyio.move_on_after(self.options.patience):
-                await self.make_room(amount)
-                if self.take(amount):
+            with anyio.move_on_after(self.options.draw_timeout):
+                await self.obtain(amount)
+                if self.try_hold(amount):
                     return
-                await self.make_room(amount)
-            if self.take(amount):
+                await self.obtain(amount)
+            if self.try_hold(amount):
                 return
-        if self.peers is not None and await self.collect(amount, self.peers):
+        if self.peers is not None and await self.hold_transferred(amount, self.peers):
             return
         self.log_refusal(amount, request)
-        if self.is_surely_spent(amount):
-            raise BudgetExhaustedError(f"{self.workspace}: {amount} exceed the rest")
-        raise BudgetUnreachableError(f"{self.workspace}: {amount} not at hand")
+        if self.is_exhausted(amount):
+            raise BudgetExhaustedError(
+                f"{self.workspace}: {amount} tokens exceed the rest of the budget"
+            )
+        raise BudgetUnreachableError(
+            f"{self.workspace}: {amount} tokens could not be obtained in time"
+        )
 
-    def is_surely_spent(self, amount: Tokens) -> bool:
-        """Tell whether the budget, as the configuration names it, is too small."""
-        known = self.grant.books.known or Known()
-        prepaid = self.under_rules(known.budget).budget.prepaid
-        return self.grant.books.surely_spent(amount, self.grant.ledger, prepaid)
+    def is_exhausted(self, amount: Tokens) -> bool:
+        """Return whether the budget cannot cover a request, as currently configured."""
+        rows = self.grant.cache.rows or GrantRows()
+        prepaid = self.apply_configuration(rows.budget).budget.prepaid
+        return self.grant.cache.is_exhausted(amount, self.grant.ledger, prepaid)
 
-    async def collect(self, amount: Tokens, peers: TransferPeers) -> bool:
-        """Have other routers pass on what a request lacks; tell whether it has it.
+    async def hold_transferred(self, amount: Tokens, peers: TransferPeers) -> bool:
+        """Request missing tokens from other routers; return whether the hold succeeds.
 
-        A router that is cut off from the store, or finds the budget drawn, would else
-        refuse what lies idle in the grants of its neighbours.
+        Other routers may have idle tokens while this one cannot reach the store or the
+        budget has none left to draw.
         """
         offers = await peers.offers(self.workspace)
-        for peer in choose_givers(offers, amount - self.spare):
-            lacking = amount - self.spare
+        for peer in choose_givers(offers, amount - self.usable):
+            lacking = amount - self.usable
             if lacking <= 0:
                 break
             self.grant.receive(await peers.transfer(peer, self.workspace, lacking))
-        return self.take(amount)
+        return self.try_hold(amount)
 
     @property
-    def spare(self) -> Tokens:
-        """Tokens that are free here and may be used now."""
-        room = self.limit() - self.grant.used
-        return max(0, min(self.grant.ledger.available, room))
+    def usable(self) -> Tokens:
+        """Available tokens that the limit allows to use now."""
+        headroom = self.limit() - self.grant.used
+        return max(0, min(self.grant.ledger.available, headroom))
 
     @property
     def offer(self) -> Tokens:
-        """Tokens that another router may expect from here.
+        """Number of tokens that other routers may request from this one.
 
-        In touch with the store these are also what the budget itself holds: a router
-        that is cut off alone draws through its neighbours.
+        While the store is reachable this includes what the budget itself has left.  A
+        router that alone has lost the store can so draw through others.
         """
         if self.closing:
             return 0
         if self.reachable and self.in_touch():
             return self.grant.ledger.available + max(0, self.budget.remaining)
-        return self.spare
+        return self.usable
 
     async def give(self, amount: Tokens) -> Tokens:
-        """Pass tokens on to another router that asks for them; return how many."""
-        if amount > self.spare and self.reachable and self.in_touch():
-            with anyio.move_on_after(self.options.patience):
-                await self.make_room(amount)
-        # The process may have begun to return the grant during that wait.
-        given = 0 if self.closing else min(amount, self.spare)
+        """Give tokens to another router on request; return how many were given."""
+        if amount > self.usable and self.reachable and self.in_touch():
+            with anyio.move_on_after(self.options.draw_timeout):
+                await self.obtain(amount)
+        # The process may have begun to return the grant during the wait above.
+        given = 0 if self.closing else min(amount, self.usable)
         self.grant.give(given)
         return given
 
     def log_refusal(self, amount: Tokens, request: RequestId) -> None:
-        """Write the line that says what a refusal rests on, and how old that is."""
+        """Log the figures behind a refusal and their age."""
         budget = self.budget
         log.info(
             "tokens refused",
@@ -216,14 +223,14 @@
                 "prepaid": budget.prepaid,
                 "spent": budget.spent,
                 "remaining": budget.remaining,
-                "budget_age": round(self.grant.books.age(), 2),
+                "budget_age": round(self.grant.cache.age(), 2),
                 "limit_age": round(self.limits.age(anyio.current_time()), 2),
                 "store_reachable": self.reachable and self.in_touch(),
             },
         )
 
-    async def make_room(self, amount: Tokens) -> None:
-        """Draw what a request lacks, and have the limit raised if it is too low."""
+    async def obtain(self, amount: Tokens) -> None:
+        """Draw missing tokens for a request, and raise the limit if it is too low."""
         self.asked += amount
         try:
             async with anyio.create_task_group() as tasks:
@@ -235,7 +242,7 @@
             self.asked -= amount
 
     async def draw(self) -> None:
-        """Draw what waiting requests lack; another round may have done so."""
+        """Draw what waiting requests lack, unless another task has just done so."""
         async with self.lock:
             if not self.need:
                 return
@@ -248,142 +255,153 @@
                 )
 
     async def tick(self) -> None:
-        """Look after the grant: draw ahead, return, file charges.
+        """Draw ahead of demand, return excess tokens and file charges, as needed.
 
         Raises:
-            PlatformError: The store did not do what was asked.
+            PlatformError: The store call failed.
         """
         async with self.lock:
             await self.round()
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End a request's hold with what it cost."""
+        """End a request's hold and charge its cost."""
         self.grant.settle(hold, charge)
 
     async def close(self) -> None:
-        """File all charges and return what is free, before the process ends.
+        """File all charges and return all available tokens before the process exits.
 
         Raises:
-            PlatformError: The store did not do what was asked.
+            PlatformError: The store call failed.
         """
         self.closing = True
         async with self.lock:
             await self.round()
 
-    async def inherit(self, predecessor: Predecessor) -> bool:
-        """Take what a predecessor provably left of its grant.
+    async def reclaim(self, predecessor: Predecessor) -> bool:
+        """Reclaim the tokens that a predecessor provably left unused.
 
         Returns:
-            Whether that is done; a process that is about to end leaves it to the next,
-            since it may have returned its own grant already.
+            Whether the grant is dealt with.  A process that is shutting down leaves
+            it to the next one, since it may already have returned its own grant.
 
         Raises:
-            PlatformError: The store did not do what was asked.
+            PlatformError: The store call failed.
         """
         async with self.lock:
             if self.closing:
                 return False
-            await self.confirm()
-            await self.grant.inherit(predecessor)
+            await self.refresh()
+            await self.grant.reclaim(predecessor)
             return True
 
     async def round(self) -> None:
-        """Bring both rows and the ledger to where they should be."""
-        for lost in range(TRIES):
+        """Refresh the cached rows and commit the change that is due, if any.
+
+        Raises:
+            PlatformError: The store call failed.
+        """
+        for conflicts in range(MAX_ATTEMPTS):
             try:
-                await self.confirm()
-                change = self.plan()
+                await self.refresh()
+                change = self.plan_change()
                 if change is not None:
                     await self.grant.send(change)
                 self.reachable = True
                 return
             except ConflictError as error:
-                self.grant.books.lost_race(error)
-                await anyio.sleep(random.random() * RACE_PAUSE * 2 ** min(lost, 4))
+                self.grant.cache.update_from_conflict(error)
+                await anyio.sleep(
+                    random.random() * CONFLICT_BACKOFF * 2 ** min(conflicts, 4)
+                )
             except PlatformError:
                 self.reachable = False
                 raise
 
-    async def confirm(self) -> None:
-        """Make sure that both rows are known, and nothing is in doubt."""
-        await self.grant.resolve()
+    async def refresh(self) -> None:
+        """Resolve a change in doubt, and read rows that are unknown or outdated."""
+        await self.grant.resolve_in_doubt()
         holding = self.grant.ledger.available > 0
-        await self.grant.books.confirm(self.need, holding=holding)
+        await self.grant.cache.refresh(self.need, holding=holding)
 
     @property
     def need(self) -> Tokens:
-        """Tokens that the requests waiting for them lack."""
+        """Tokens that waiting requests lack."""
         return max(0, self.asked - self.grant.ledger.available)
 
-    def plan(self) -> Change | None:
-        """Decide how both rows should change, if at all."""
-        known = self.grant.books.known or Known()
-        base = self.under_rules(known.budget)
-        size = self.size(base.budget)
+    def plan_change(self) -> Change | None:
+        """Return the change of both rows that is due; None if there is none."""
+        rows = self.grant.cache.rows or GrantRows()
+        base = self.apply_configuration(rows.budget)
+        size = self.grant_size(base.budget)
         now = anyio.current_time()
         overdue = now - self.grant.filed_at > self.options.file_after
         unfiled = self.grant.ledger.unfiled
         due = unfiled and (overdue or self.closing)
-        moves = bool(size.draw or size.give_back or base != known.budget)
+        moves = bool(size.draw or size.give_back or base != rows.budget)
         if not (moves or due):
             return None
-        return self.make_change(known, base, size)
+        return self.make_change(rows, base, size)
 
-    def under_rules(self, row: PrepaidRow) -> PrepaidRow:
-        """Return a budget with what a later configuration than its own prepays."""
+    def apply_configuration(self, row: PrepaidRow) -> PrepaidRow:
+        """Return a budget row updated to this router's configuration, if that is newer.
+
+        Only the prepaid tokens and the configuration's version change.
+        """
         version, prepaid = self.prepaid()
         if version <= row.rules_version or prepaid == row.budget.prepaid:
             return row
         return PrepaidRow(version, evolve(row.budget, prepaid=prepaid))
 
     def wanted_limit(self) -> SpendingLimit:
-        """Return what the next renewal should say of this grant."""
+        """Return this grant's spending limit for the next renewal."""
         budget = self.budget
         unspent = max(0, budget.prepaid - budget.spent)
-        outlook = Outlook(
-            # A successor may take back no more than the grant's own row holds.
+        inputs = AllowanceInputs(
+            # Received tokens can make `used` negative.  A successor may reclaim no more
+            # than this grant's own row holds, so the limit starts at 0.
             used=max(0, self.grant.used),
             asked=self.asked,
             rate=self.demand.rate(anyio.current_time()),
             typical=self.typical,
-            cover=outage_cover(self.view(budget)),
+            cover=outage_cover(self.policy_view(budget)),
             horizon=self.options.horizon,
             level=unspent / max(1, budget.prepaid),
             delay=self.limits.delay,
         )
-        return allowance(outlook)
+        return allowance(inputs)
 
     @property
     def typical(self) -> float:
-        """Return the size of a usual request of this workspace, as far as known."""
-        return self.demand.typical or self.usual()
+        """Typical request size of this workspace, or of the router if unknown."""
+        return self.demand.typical or self.default_typical()
 
     @property
     def budget(self) -> BudgetRow:
-        """Return the budget as it was last seen."""
+        """The cached budget, or an empty one before the first read."""
         return (
-            self.grant.books.known.budget.budget
-            if self.grant.books.known
+            self.grant.cache.rows.budget.budget
+            if self.grant.cache.rows
             else BudgetRow()
         )
 
-    def size(self, budget: BudgetRow) -> GrantSize:
-        """Say how much to draw or to return."""
+    def grant_size(self, budget: BudgetRow) -> GrantSize:
+        """Return how much to draw or to return."""
         available = self.grant.ledger.available
         if self.closing:
             return GrantSize(give_back=available)
         if budget.remaining < 0:
-            # The operator lowered the budget below what is out: all routers give
-            # back what they do not need, and draw again from what is left.
+            # The operator lowered the budget below what was granted.  All routers
+            # return what they do not use, and draw again from what is left.
             return GrantSize(give_back=min(available, -budget.remaining))
-        if not self.holding():
-            # Requests here ask a holder; what lies here is missing there.
+        if not self.is_holder():
+            # Requests at this router use a holder's tokens, so available tokens here
+            # go back to the budget, where holders can draw them.
             lacking = min(self.need, budget.remaining)
             return GrantSize(draw=lacking, give_back=0 if self.asked else available)
-        return self.policy.size(self.view(budget))
+        return self.policy.size(self.policy_view(budget))
 
-    def view(self, budget: BudgetRow) -> GrantView:
-        """Return what the policy decides on."""
+    def policy_view(self, budget: BudgetRow) -> GrantView:
+        """Return the inputs of the grant policy."""
         return GrantView(
             need=min(self.need, max(budget.remaining, 0)),
             available=self.grant.ledger.available,
@@ -394,13 +412,17 @@
             horizon=self.options.horizon,
         )
 
-    def make_change(self, known: Known, base: PrepaidRow, size: GrantSize) -> Change:
-        """Return the change, with what is returned already out of the ledger."""
+    def make_change(self, rows: GrantRows, base: PrepaidRow, size: GrantSize) -> Change:
+        """Return the change of both rows, and remove returned tokens from the ledger.
+
+        The tokens are removed before the change is sent.  If the answer is lost, they
+        could otherwise be spent here and also be drawn from the budget.
+        """
         drawn = min(size.draw, max(base.budget.remaining, 0))
         returned = min(size.give_back, self.grant.ledger.available)
-        # Returned tokens leave the ledger before the store hears of it: an answer
-        # that is lost must not leave them spendable here and in the budget.
         self.grant.ledger.available -= returned
         ledger = self.grant.ledger
-        moves = Moves(drawn, returned, ledger.unfiled, ledger.given, ledger.received)
-        return make_change(self.workspace, self.router, known, base, moves)
+        amounts = ChangeAmounts(
+            drawn, returned, ledger.unfiled, ledger.given, ledger.received
+        )
+        return make_change(self.workspace, self.router, rows, base, amounts)
--- a/ebonyhold/prepaid/_allowance.py
+++ b/ebonyhold/prepaid/_allowance.py
@@ -1,8 +1,9 @@
-"""How much a router lets itself use of a grant before it can say so again.
+"""How many tokens of a grant a router may use before its next renewal.
 
-What it allows itself serves requests in an outage of the store, and is lost if the
-router is killed: nobody can prove that it was not used.  So it allows itself much while
-the budget is full, when a loss can be borne, and little when each token is needed.
+Tokens allowed in advance serve requests during an outage of the store.  They are lost
+if the router is killed, because its successor cannot prove that they were not used.  So
+the allowance is large while the budget is full, when a loss is affordable, and small
+when the budget is nearly spent.
 """
 
 from __future__ import annotations
@@ -12,43 +13,43 @@
 from ebonyhold.prepaid._limits import SpendingLimit
 from ebonyhold.types import Seconds, Tokens
 
-SCARCE = 0.1
-"""The part of a budget that is unspent at which the least is allowed."""
+LOW_LEVEL = 0.1
+"""Unspent fraction of a budget at which the allowance is smallest."""
 
-AMPLE = 0.6
-"""The part of a budget that is unspent from which the most is allowed.
+FULL_LEVEL = 0.6
+"""Unspent fraction of a budget from which the allowance is largest.
 
-Of a budget that lasts for a day more than this is left until its middle, and what kills
-cost until then is seldom missed at its end.
+A budget for one day is above this level until the middle of the day, and tokens lost to
+kills before that are rarely missed at its end.
 """
 
-LEAST_EASE = 0.1
-"""The part of the usual allowance that is left when a budget is nearly spent.
+MIN_FACTOR = 0.1
+"""Smallest fraction of the full allowance, used when a budget is nearly spent.
 
-An outage may begin at any moment, and finds at least this much of its demand.
+An outage may begin at any time, and at least this fraction of its demand is covered.
 """
 
 
-ROOM_RENEWALS = 4.0
-"""The demand ahead for which a renewal leaves room, in times that renewals take."""
+HEADROOM_RENEWALS = 4.0
+"""Expected demand for which a renewal leaves headroom, in renewal delays."""
 
-MOST_ROOM = 2.0
-"""The most room that a renewal leaves, in requests of the usual size."""
+MAX_HEADROOM = 2.0
+"""Maximum headroom that a renewal leaves, in requests of the typical size."""
 
 
 @frozen
-class Outlook:
-    """What an allowance is decided on.
+class AllowanceInputs:
+    """The values from which an allowance is computed.
 
     Attributes:
-        used: Tokens charged and held since the start of the router.
+        used: Tokens charged and held since the router started.
         asked: Tokens for which requests are waiting.
-        rate: The expected demand, in tokens a second.
-        typical: The size of a usual request.
-        cover: The tokens that an outage should find.
-        horizon: The length of that outage.
-        level: The part of the budget that is unspent.
-        delay: How long a renewal usually takes.
+        rate: Expected demand, in tokens per second.
+        typical: Typical request size, in tokens.
+        cover: Tokens that should be available when an outage begins.
+        horizon: Length of that outage.
+        level: Unspent fraction of the budget.
+        delay: Typical duration of a renewal.
     """
 
     used: Tokens
@@ -61,37 +62,38 @@
     delay: Seconds = 0.0
 
 
-def ease(level: float) -> float:
-    """Return how freely tokens may be used, from `LEAST_EASE` to 1.
+def allowance_factor(level: float) -> float:
+    """Return the fraction of the full allowance, from `MIN_FACTOR` to 1.
 
-    >>> [round(ease(level), 2) for level in (1.0, 0.6, 0.35, 0.1, 0.0)]
+    >>> [round(allowance_factor(level), 2) for level in (1.0, 0.6, 0.35, 0.1, 0.0)]
     [1.0, 1.0, 0.5, 0.1, 0.1]
     """
-    part = (level - SCARCE) / (AMPLE - SCARCE)
-    return min(1.0, max(LEAST_EASE, part))
+    part = (level - LOW_LEVEL) / (FULL_LEVEL - LOW_LEVEL)
+    return min(1.0, max(MIN_FACTOR, part))
 
 
-def allowance(outlook: Outlook) -> SpendingLimit:
-    """Return the limit that the next renewal should state.
+def allowance(inputs: AllowanceInputs) -> SpendingLimit:
+    """Return the spending limit for the next renewal.
 
-    It leaves no room ahead while renewals are quick: requests that come together wait
-    for one renewal, and a kill strands what is in use alone.  While the store is slow
-    the demand of a few renewals is allowed ahead, since those who wait would not be
-    served in time.  In an outage the limit grows by the mean demand: neighbours pass on
-    what one of them lacks, so none need allow itself for more.  A workspace that is
-    seldom met has room for one request, and its limit grows as its grant covers an
-    outage, since there is no mean to go by.
+    While renewals are fast, the limit has almost no headroom: simultaneous requests
+    wait for the same renewal, and a kill loses only tokens in use.  While the store is
+    slow, it includes the expected demand of a few renewals, because waiting requests
+    would miss their deadlines.  In an outage the limit grows at the mean demand rate;
+    a router that needs more receives transfers from others.
+
+    For a workspace with rare requests the mean is no useful estimate.  Its limit has
+    headroom for one request and grows by `cover` over an outage.
     """
-    free = ease(outlook.level)
-    mean = outlook.rate * outlook.horizon
-    ahead = outlook.rate * outlook.delay * ROOM_RENEWALS
-    seldom = mean < max(outlook.typical, 1.0)
-    least = outlook.typical if seldom else 0.0
-    room = min(max(ahead, least), outlook.typical * MOST_ROOM) * free
-    extra = free * max(0.0, outlook.cover - mean) if seldom else 0.0
-    later = (mean + extra) / outlook.horizon
+    factor = allowance_factor(inputs.level)
+    mean = inputs.rate * inputs.horizon
+    ahead = inputs.rate * inputs.delay * HEADROOM_RENEWALS
+    rare = mean < max(inputs.typical, 1.0)
+    minimum = inputs.typical if rare else 0.0
+    headroom = min(max(ahead, minimum), inputs.typical * MAX_HEADROOM) * factor
+    extra = factor * max(0.0, inputs.cover - mean) if rare else 0.0
+    later = (mean + extra) / inputs.horizon
     return SpendingLimit(
-        ceiling=outlook.used + outlook.asked + int(room),
-        early_rate=later * free,
+        ceiling=inputs.used + inputs.asked + int(headroom),
+        early_rate=later * factor,
         later_rate=later,
     )
--- a/ebonyhold/prepaid/_books.py
+++ b/ebonyhold/prepaid/_books.py
@@ -1,4 +1,4 @@
-"""The two rows of a budget that one router changes, as the store has them."""
+"""Cached budget and grant rows of one workspace at one router."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ebonyhold.prepaid._types import (
     Change,
     Committed,
-    Known,
+    GrantRows,
     PrepaidRow,
     PrepaidStore,
     budget_row_key,
@@ -20,84 +20,89 @@
 )
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
-REREAD_AFTER: Seconds = 0.2
-"""How old the budget may be when a request needs more than it showed.
+REREAD_INTERVAL: Seconds = 0.2
+"""Minimum time between two budget reads for requests that need more than it has left.
 
-Every refused request would else cost two calls; five readings a second for each
-workspace follow what other routers return closely enough.
+Otherwise each refused request would cost two store calls.  Five reads a second for
+each workspace are enough to notice tokens that other routers return.
 """
 
-STALE_AFTER: Seconds = 0.3
-"""How old the budget may be, for each router, by whose level a grant is kept.
+MAX_AGE_PER_SHARER: Seconds = 0.3
+"""Maximum age of the cached budget, per sharing router, while tokens are available.
 
-Others that need tokens show there only; older, a grant that is not needed stays.  So
-all routers together read each budget some three times a second, however many they are.
+Only the budget row shows that other routers need tokens; with an older copy a router
+keeps tokens that it does not need.  All routers together read each budget about three
+times a second, whatever their number.
 """
 
-LEAST_SHARERS = 10
-"""The routers that are counted at least; fewer need not read more often than in 3 s."""
+MIN_SHARERS = 10
+"""Minimum number of sharing routers for `MAX_AGE_PER_SHARER`.
 
-TRUST: Seconds = 2.0
-"""How old the budget may be that a final refusal rests on.
+Routers of a smaller fleet read the budget no more often than every 3 s.
+"""
+
+MAX_REFUSAL_AGE: Seconds = 2.0
+"""Maximum age of a cached budget that may justify a final refusal.
 
-Tokens come back to a budget when others return grants or it is topped up; an
-older reading could refuse for good what would be granted now.
+Other routers return tokens and operators top budgets up, so an older copy might refuse
+a request for good that the budget can now cover.
 """
 
 
 @define(eq=False)
-class Books:
-    """Reads both rows and remembers them with their versions.
+class GrantRowCache:
+    """Reads the budget and grant rows and caches them with their versions.
 
     Attributes:
-        workspace: Whose budget.
-        router: Whose grant; nobody else writes its row while it lives.
-        store: Where both are kept.
+        workspace: The workspace that owns the budget.
+        router: The router that owns the grant.  While it runs, no other router
+            writes its grant row.
+        store: The store of both rows.
         routers: Returns how many routers share the budget.
-        known: Both rows; None before the first reading and after a lost race whose
-            answer did not hold them.
-        checked_at: When the budget was last confirmed by the store.
+        rows: Both rows; None before the first read, and after a conflict response
+            that did not contain both.
+        checked_at: When the store last confirmed the budget.
     """
 
     workspace: WorkspaceName
     router: RouterId
     store: PrepaidStore
     routers: Callable[[], int]
-    known: Known | None = None
+    rows: GrantRows | None = None
     checked_at: Seconds = -1e9
 
     @property
     def budget_key(self) -> str:
-        """Return the key of the budget."""
+        """Key of the budget row."""
         return budget_row_key(self.workspace)
 
     @property
     def grant_key(self) -> str:
-        """Return the key of this router's grant."""
+        """Key of this router's grant row."""
         return grant_row_key(self.workspace, self.router)
 
     def age(self) -> Seconds:
-        """Return the time since the budget was last confirmed."""
+        """Return the time since the store last confirmed the budget."""
         return anyio.current_time() - self.checked_at
 
-    def surely_spent(
+    def is_exhausted(
         self, amount: Tokens, ledger: GrantLedger, prepaid: Tokens
     ) -> bool:
-        """Tell whether the budget cannot cover a request, whoever holds what.
+        """Return whether the budget cannot cover a request even with all grants back.
 
-        Grants of other routers may come back, so only what is filed as spent
-        counts against the budget here.  Charges that are not filed yet make the
-        budget look fuller than it is, which costs the caller one more try.
+        Other routers may return their grants, so only filed charges and this router's
+        own unfiled ones count as spent.  Unfiled charges of other routers make the
+        budget look larger than it is, which costs the caller another retry.
 
         Args:
-            amount: What the request can cost.
-            ledger: What this router holds.
-            prepaid: What is prepaid in all.  The row may not say so yet, or may not be
-                there yet, where the configuration has just named it.
+            amount: Maximum cost of the request.
+            ledger: This router's ledger.
+            prepaid: Prepaid tokens in the current configuration.  The stored row may
+                be older, or missing if the workspace is new.
         """
-        if self.known is None or self.age() > TRUST:
+        if self.rows is None or self.age() > MAX_REFUSAL_AGE:
             return False
-        budget = evolve(self.known.budget.budget, prepaid=prepaid)
+        budget = evolve(self.rows.budget.budget, prepaid=prepaid)
         unspent = budget.prepaid - budget.spent
         if amount > unspent:
             return True
@@ -105,36 +110,38 @@
             return False
         return unspent - ledger.unfiled < amount
 
-    async def confirm(self, need: Tokens, *, holding: bool) -> None:
-        """Make sure that both rows are known, and the budget recently enough.
+    async def refresh(self, need: Tokens, *, holding: bool) -> None:
+        """Read both rows if they are unknown, or the budget if it is too old.
 
         Args:
-            need: Tokens that a waiting request lacks.
-            holding: Whether this router has tokens that others may need.
+            need: Tokens that waiting requests lack.
+            holding: Whether this router has available tokens that others may need.
 
         Raises:
             UnavailableError: The store cannot be reached.
         """
-        if self.known is None:
+        if self.rows is None:
             await self.read()
-        elif self.is_outdated(self.known, need, holding):
+        elif self.is_outdated(self.rows, need, holding):
             rows = await self.store.scan(self.budget_key)
-            fresh = self.decode(rows)
-            self.remember(
+            latest = self.decode(rows)
+            self.update(
                 evolve(
-                    self.known,
-                    budget=fresh.budget,
-                    budget_version=fresh.budget_version,
+                    self.rows,
+                    budget=latest.budget,
+                    budget_version=latest.budget_version,
                 )
             )
 
-    def is_outdated(self, known: Known, need: Tokens, holding: bool) -> bool:
-        """Tell whether the budget must be read again before it is decided on."""
-        if need > known.budget.budget.remaining:
-            return self.age() > REREAD_AFTER
-        return holding and self.age() > STALE_AFTER * max(LEAST_SHARERS, self.routers())
+    def is_outdated(self, rows: GrantRows, need: Tokens, holding: bool) -> bool:
+        """Return whether the budget must be read again before the next decision."""
+        if need > rows.budget.budget.remaining:
+            return self.age() > REREAD_INTERVAL
+        return holding and self.age() > MAX_AGE_PER_SHARER * max(
+            MIN_SHARERS, self.routers()
+        )
 
-    async def read(self) -> Known:
+    async def read(self) -> GrantRows:
         """Read both rows.
 
         Raises:
@@ -142,46 +149,46 @@
         """
         budget_rows = await self.store.scan(self.budget_key)
         grant_rows = await self.store.scan(self.grant_key)
-        return self.remember(self.decode([*budget_rows, *grant_rows]))
+        return self.update(self.decode([*budget_rows, *grant_rows]))
 
-    def remember(self, known: Known) -> Known:
-        """Take rows that the store has just confirmed."""
-        self.known = known
+    def update(self, rows: GrantRows) -> GrantRows:
+        """Cache rows that the store has just confirmed, and return them."""
+        self.rows = rows
         self.checked_at = anyio.current_time()
-        return known
+        return rows
 
-    def decode(self, rows: Iterable[object]) -> Known:
-        """Read both rows from those that the store sent."""
-        known = Known()
-        for row in rows:
+    def decode(self, stored: Iterable[object]) -> GrantRows:
+        """Return the budget and grant rows found among stored rows."""
+        rows = GrantRows()
+        for row in stored:
             if not isinstance(row, Row):
                 continue
             if row.key == self.budget_key:
                 budget = read_row(row, PrepaidRow)
-                known = evolve(known, budget=budget, budget_version=row.version)
+                rows = evolve(rows, budget=budget, budget_version=row.version)
             elif row.key == self.grant_key:
                 grant = read_row(row, GrantRow)
-                known = evolve(known, grant=grant, grant_version=row.version)
-        return known
+                rows = evolve(rows, grant=grant, grant_version=row.version)
+        return rows
 
-    def lost_race(self, conflict: ConflictError) -> None:
-        """Take both rows from a conflict's answer; else they are read again.
+    def update_from_conflict(self, conflict: ConflictError) -> None:
+        """Cache the rows of a conflict response, or mark them as unknown.
 
-        Many routers write one budget, and two more calls for each lost race would
-        make the next one more likely.
+        Many routers write the same budget.  Reading both rows after each conflict
+        would take two more calls, and make the next conflict more likely.
         """
-        known = self.decode(conflict.rows)
-        self.known = None
-        if known.budget_version and known.grant_version:
-            self.remember(known)
+        rows = self.decode(conflict.rows)
+        self.rows = None
+        if rows.budget_version and rows.grant_version:
+            self.update(rows)
 
-    def written(self, change: Change, committed: Committed) -> None:
-        """Take both rows from a change that took effect."""
+    def update_from_commit(self, change: Change, committed: Committed) -> None:
+        """Cache the rows that a committed change wrote."""
         version = committed.version
         if change.writes_budget:
-            self.remember(
+            self.update(
                 evolve(change.after, budget_version=version, grant_version=version)
             )
-        elif self.known is not None:
+        elif self.rows is not None:
             grant = change.after.grant
-            self.known = evolve(self.known, grant=grant, grant_version=version)
+            self.rows = evolve(self.rows, grant=grant, grant_version=version)
--- a/ebonyhold/prepaid/_changes.py
+++ b/ebonyhold/prepaid/_changes.py
@@ -16,7 +16,7 @@
 )
 from ebonyhold.prepaid._types import (
     Change,
-    Known,
+    GrantRows,
     PrepaidRow,
     budget_row_key,
     grant_row_key,
@@ -25,15 +25,15 @@
 
 
 @frozen
-class Moves:
-    """What a change moves.
+class ChangeAmounts:
+    """The amounts of a change.
 
     Attributes:
-        drawn: Tokens from the budget to the grant.
-        returned: Tokens back.
+        drawn: Tokens moved from the budget to the grant.
+        returned: Tokens moved back to the budget.
         billed: Charges that are filed.
-        given: Tokens to the grants of other routers, which go on in this budget.
-        received: Tokens from them.
+        given: Tokens given to other routers' grants of the same budget.
+        received: Tokens received from other routers' grants.
     """
 
     drawn: Tokens
@@ -46,37 +46,40 @@
 def make_change(
     workspace: WorkspaceName,
     router: RouterId,
-    known: Known,
+    rows: GrantRows,
     base: PrepaidRow,
-    moves: Moves,
+    amounts: ChangeAmounts,
 ) -> Change:
-    """Return the change of both rows.
+    """Return the change of the budget and grant rows.
 
     Args:
-        workspace: Whose budget.
-        router: Whose grant.
-        known: Both rows as they are.
-        base: The budget with what the operator prepaid by now.
-        moves: What changes.
+        workspace: The workspace that owns the budget.
+        router: The router that owns the grant.
+        rows: Both rows before the change.
+        base: The budget row with the currently configured prepaid tokens.
+        amounts: The amounts to draw, return and file.
     """
     budget = change_budget(
-        base.budget, drawn=moves.drawn, returned=moves.returned, paid=moves.billed
+        base.budget,
+        drawn=amounts.drawn,
+        returned=amounts.returned,
+        paid=amounts.billed,
     )
     grant = change_grant(
-        known.grant,
-        drawn=moves.drawn,
-        returned=moves.returned,
-        billed=moves.billed,
-        transferred_in=moves.received,
-        transferred_out=moves.given,
+        rows.grant,
+        drawn=amounts.drawn,
+        returned=amounts.returned,
+        billed=amounts.billed,
+        transferred_in=amounts.received,
+        transferred_out=amounts.given,
     )
-    after = Known(PrepaidRow(base.rules_version, budget), 0, grant, 0)
+    after = GrantRows(PrepaidRow(base.rules_version, budget), 0, grant, 0)
     grant_key = grant_row_key(workspace, router)
     budget_key = budget_row_key(workspace)
     transaction = Transaction(
         (
-            check(grant_key, known.grant_version),
-            check(budget_key, known.budget_version),
+            check_version(grant_key, rows.grant_version),
+            check_version(budget_key, rows.budget_version),
         ),
         (
             Put(grant_key, to_json(grant)),
@@ -86,14 +89,14 @@
     return Change(
         transaction,
         after,
-        moves.drawn,
-        moves.returned,
-        moves.billed,
-        moves.given,
-        moves.received,
+        amounts.drawn,
+        amounts.returned,
+        amounts.billed,
+        amounts.given,
+        amounts.received,
     )
 
 
-def check(key: str, version: int) -> Check:
-    """Return the check that a row is still at a version; 0 means absent."""
+def check_version(key: str, version: int) -> Check:
+    """Return the check that a row has a version, or is absent if the version is 0."""
     return AtVersion(key, version) if version else Absent(key)
--- a/ebonyhold/prepaid/_demand.py
+++ b/ebonyhold/prepaid/_demand.py
@@ -1,4 +1,4 @@
-"""How many tokens of a workspace a router expects to be asked for."""
+"""Estimate of the token demand of one workspace at one router."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 
 @define
 class Demand:
-    """Estimates the tokens a second, and the size of a usual request.
+    """Estimates the demand in tokens per second and the typical request size.
 
     Attributes:
-        memory: The time after which a request counts for a third.
-        weight: Tokens asked for, weighted by their age.
-        started_at: When the first request came; None before.
-        updated_at: When `weight` was computed.
-        typical: The size of a usual request.
+        time_constant: Time after which a request counts for about a third.
+        weight: Requested tokens, each request weighted by its age.
+        started_at: When the first request was counted; None before.
+        updated_at: When `weight` was last updated.
+        typical: Typical request size in tokens, as a moving average.
     """
 
-    memory: Seconds
+    time_constant: Seconds
     weight: float = 0.0
     started_at: Seconds | None = None
     updated_at: Seconds = 0.0
     typical: float = 0.0
 
-    def served(self, amount: Tokens, now: Seconds) -> None:
-        """Note a request that got its tokens."""
+    def record(self, amount: Tokens, now: Seconds) -> None:
+        """Count a request whose tokens were held."""
         if self.started_at is None:
             self.started_at = now
             self.typical = float(amount)
-        self.fade(now)
+        self.decay(now)
         self.weight += amount
         self.typical += (amount - self.typical) * 0.1
 
-    def fade(self, now: Seconds) -> None:
-        """Let what was asked before count for less."""
-        self.weight *= math.exp((self.updated_at - now) / self.memory)
+    def decay(self, now: Seconds) -> None:
+        """Reduce the weight of earlier requests by the time since the last update."""
+        self.weight *= math.exp((self.updated_at - now) / self.time_constant)
         self.updated_at = now
 
     def rate(self, now: Seconds) -> float:
-        """Return the expected demand, in tokens a second.
+        """Return the expected demand in tokens per second.
 
-        Soon after the first request the weights do not add up to the whole
-        memory yet, and the sum is divided by the time that they do cover.
+        The weighted sum is divided by the observed part of the time constant, which
+        is shorter soon after the first request.
         """
         if self.started_at is None:
             return 0.0
-        self.fade(now)
+        self.decay(now)
         age = max(now - self.started_at, 1.0)
-        covered = self.memory * (1.0 - math.exp(-age / self.memory))
+        covered = self.time_constant * (1.0 - math.exp(-age / self.time_constant))
         return self.weight / covered
--- a/ebonyhold/prepaid/_grant.py
+++ b/ebonyhold/prepaid/_grant.py
@@ -1,4 +1,4 @@
-"""A router's grant of one budget: the tokens here, and the rows that say so."""
+"""A router's grant from one workspace's budget: its ledger and its stored rows."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     ConflictError,
     UnavailableError,
 )
-from ebonyhold.prepaid._books import Books
+from ebonyhold.prepaid._books import GrantRowCache
 from ebonyhold.prepaid._reclaim import (
-    Inheritance,
     Predecessor,
-    find_inheritance,
-    inherit_change,
+    PredecessorGrant,
+    find_predecessor_grant,
+    make_reclaim_change,
 )
-from ebonyhold.prepaid._types import Change, Committed, Known, PrepaidStore
+from ebonyhold.prepaid._types import Change, Committed, GrantRows, PrepaidStore
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 log = logging.getLogger(__name__)
@@ -28,19 +28,20 @@
 
 @define(eq=False)
 class Grant:
-    """Carries changes to the store, and their effects to the tokens here.
+    """Commits changes of a grant and applies them to the local ledger.
 
     Attributes:
-        workspace: Whose tokens.
-        router: Whose grant.
-        store: Where budgets and grants are kept.
+        workspace: The workspace that owns the budget.
+        router: The router that owns the grant.
+        store: The store of budgets and grants.
         routers: Returns how many routers share the budget.
-        ledger: The tokens of the grant here.
-        books: Both rows in the store.
-        doubtful: A change whose effect is unknown.
+        ledger: Local counters of the grant's tokens.
+        cache: The cached budget and grant rows.
+        in_doubt: The change whose outcome is unknown; None if there is none.
         filed_at: When charges were last filed.
-        charged: Tokens that requests have cost since the start.
-        passed_on: Tokens given to other routers since the start, less those received.
+        charged: Tokens charged to requests since the process started.
+        net_given: Tokens given to other routers, less those received, since the
+            process started.
     """
 
     workspace: WorkspaceName
@@ -48,74 +49,78 @@
     store: PrepaidStore
     routers: Callable[[], int]
     ledger: GrantLedger = field(factory=GrantLedger)
-    books: Books = field(init=False)
-    doubtful: Change | None = None
+    cache: GrantRowCache = field(init=False)
+    in_doubt: Change | None = None
     filed_at: Seconds = -1e9
     charged: Tokens = 0
-    passed_on: Tokens = 0
+    net_given: Tokens = 0
 
     def __attrs_post_init__(self) -> None:
-        self.books = Books(self.workspace, self.router, self.store, self.routers)
+        self.cache = GrantRowCache(
+            self.workspace, self.router, self.store, self.routers
+        )
 
     @property
     def used(self) -> Tokens:
-        """Tokens of the grant that are charged, held or passed on.
+        """Tokens of the stored grant that are charged, held or given away.
 
-        What other routers gave is no part of the grant, as its row tells of it to a
-        successor, so it is used without being used of the grant.
+        Tokens received from other routers are subtracted.  They are not part of this
+        router's grant row, from which a successor computes the unused tokens.
         """
-        return self.charged + self.ledger.held + self.passed_on
+        return self.charged + self.ledger.held + self.net_given
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End a request's hold with what it cost."""
+        """End a request's hold and charge its cost."""
         self.ledger.settle(hold, min(charge, hold))
         self.charged += min(charge, hold)
 
     def give(self, amount: Tokens) -> None:
-        """Pass free tokens on to another router.
+        """Move available tokens to another router.
 
-        Here they count as used before the other router hears of them, so an answer
-        that is lost leaves them with nobody.
+        They count as used before the answer is sent.  If the answer is lost, neither
+        router can spend them.
         """
         self.ledger.give(amount)
-        self.passed_on += amount
+        self.net_given += amount
 
     def receive(self, amount: Tokens) -> None:
-        """Take tokens that another router has passed on."""
+        """Add tokens that another router has given."""
         self.ledger.receive(amount)
-        self.passed_on -= amount
+        self.net_given -= amount
 
-    async def resolve(self) -> None:
-        """Find out what became of a change in doubt, if there is one.
+    async def resolve_in_doubt(self) -> None:
+        """Determine the outcome of the change in doubt, if there is one.
 
         Raises:
-            PlatformError: The store did not do what was asked.
+            PlatformError: The store call failed.
         """
-        if self.doubtful is not None:
-            await self.send_again(self.doubtful)
+        if self.in_doubt is not None:
+            await self.resend(self.in_doubt)
+
+    async def reclaim(self, predecessor: Predecessor) -> None:
+        """Move the tokens that a predecessor provably left unused to this grant.
 
-    async def inherit(self, predecessor: Predecessor) -> None:
-        """Take what a predecessor provably left of its grant; nothing is in doubt.
+        No change may be in doubt when this is called.
 
         Raises:
-            PlatformError: The store did not do what was asked.
+            PlatformError: The store call failed.
         """
-        found = await find_inheritance(self.store, self.workspace, predecessor)
+        found = await find_predecessor_grant(self.store, self.workspace, predecessor)
         if found is None:
             return
         if found.left:
-            change = inherit_change(
-                self.workspace, self.router, self.books.known or Known(), found
+            change = make_reclaim_change(
+                self.workspace, self.router, self.cache.rows or GrantRows(), found
             )
             try:
                 await self.send(change)
             except ConflictError as error:
-                self.books.lost_race(error)
+                self.cache.update_from_conflict(error)
                 raise
-        self.log_inheritance(predecessor, found)
+        self.log_reclaim(predecessor, found)
 
-    def log_inheritance(self, predecessor: Predecessor, found: Inheritance) -> None:
-        """Write the line that says what was taken of a grant, and on what grounds."""
+    def log_reclaim(self, predecessor: Predecessor, found: PredecessorGrant) -> None:
+        """Log how many tokens were reclaimed, with the figures behind the number."""
         log.info(
             "grant reclaimed" if found.left else "grant not reclaimed",
             extra={
@@ -130,56 +135,56 @@
         )
 
     async def send(self, change: Change) -> None:
-        """Commit a change and carry its effect to the ledger.
+        """Commit a change and apply it to the ledger.
 
         Raises:
-            ConflictError: Another router was first; nothing was changed.
-            UnavailableError: The store certainly did nothing.
-            UnknownOutcomeError: It may take effect; it is now `doubtful`.
+            ConflictError: Another router changed a row first; nothing was written.
+            UnavailableError: The change had no effect.
+            UnknownOutcomeError: The change may take effect; it is now `in_doubt`.
         """
-        known = False
+        outcome_known = False
         try:
             committed = await self.store.commit(change.transaction)
-            known = True
+            outcome_known = True
         except (ConflictError, UnavailableError):
-            known = True
+            outcome_known = True
             self.ledger.available += change.returned
             raise
         finally:
-            # Whatever else ends the wait, a cancellation or a fault of ours as well as
-            # a lost answer: only what the store said for certain ends a doubt.
-            if not known:
-                self.doubtful = change
+            # A cancellation or an unexpected exception also leaves the outcome
+            # unknown.  Only a definite answer from the store settles it.
+            if not outcome_known:
+                self.in_doubt = change
         self.took_effect(change, committed)
 
-    async def send_again(self, change: Change) -> None:
-        """Find out what became of a change whose answer was lost.
+    async def resend(self, change: Change) -> None:
+        """Send a change in doubt again to determine its outcome.
 
-        The same change is sent again under the same checks, so it takes effect
-        at most once.  When the checks fail, the sequence of the own row says
-        whether the first sending was what made them fail; if not, neither of
-        them can take effect any more, since versions only grow.
+        The transaction has the same checks as before, so the change takes effect at
+        most once.  If the checks fail, the sequence number of this router's row shows
+        whether the first attempt took effect.  If it did not, neither attempt can
+        take effect later, because row versions only increase.
         """
         try:
             committed = await self.store.commit(change.transaction)
         except ConflictError:
-            known = await self.books.read()
-            self.doubtful = None
-            if known.grant.sequence == change.after.grant.sequence:
+            rows = await self.cache.read()
+            self.in_doubt = None
+            if rows.grant.sequence == change.after.grant.sequence:
                 self.apply(change)
             else:
                 self.ledger.available += change.returned
             return
-        self.doubtful = None
+        self.in_doubt = None
         self.took_effect(change, committed)
 
     def took_effect(self, change: Change, committed: Committed) -> None:
-        """Carry a change to the ledger whose versions are known."""
-        self.books.written(change, committed)
+        """Cache the rows of a committed change and apply it to the ledger."""
+        self.cache.update_from_commit(change, committed)
         self.apply(change)
 
     def apply(self, change: Change) -> None:
-        """Carry a change to the ledger."""
+        """Apply a committed change to the ledger and log it."""
         self.ledger.available += change.drawn
         if change.billed:
             self.ledger.filed(change.billed, change.billed)
--- a/ebonyhold/prepaid/_holders.py
+++ b/ebonyhold/prepaid/_holders.py
@@ -1,11 +1,12 @@
-"""Which routers hold a workspace's tokens, the same by every router's reckoning.
+"""The choice of the routers that hold a workspace's tokens.
 
-A budget that is drawn by every router of a large fleet ends up in pieces that are
-smaller than a request.  So a few routers, its holders, draw on it, and all others ask
-one of them for each request.
+If every router of a large fleet drew on a budget, the grants would be smaller than a
+request.  Instead a few routers, the workspace's holders, draw on it, and every other
+router has a holder set the tokens of each request aside.  All routers compute the same
+holders.
 
-This answers load that is spread over so many routers that each of them meets a
-workspace once in many seconds.
+This serves load that is spread over so many routers that each of them receives a
+request of a workspace only once in many seconds.
 """
 
 from __future__ import annotations
@@ -20,40 +21,40 @@
 from ebonyhold.types import WorkspaceName
 
 Fleet: TypeAlias = Mapping[str, str]
-"""The failure domain of each router, by the name of its VM."""
+"""The failure domain of each router, by the name of the router's VM."""
 
 SMALL_FLEET = 12
-"""The routers up to which each holds tokens of every workspace.
+"""Number of routers up to which each router is a holder of every workspace.
 
-Their even shares of a budget are large against a request, and each serves its own
-callers without a question to another one.
+Their even shares of a budget are large compared with a request, and each router serves
+its own callers without a call to another one.
 """
 
-LEAST_HOLDERS = 6
-"""The holders of a workspace in a large fleet, at least."""
+MIN_HOLDERS = 6
+"""Minimum number of holders of a workspace in a large fleet."""
 
 
-def draw(workspace: WorkspaceName, router: str) -> bytes:
-    """Return a router's place in a workspace's own order of routers."""
+def rank(workspace: WorkspaceName, router: str) -> bytes:
+    """Return the sort key of a router in a workspace's rendezvous order."""
     return hashlib.blake2b(f"{workspace}\n{router}".encode(), digest_size=8).digest()
 
 
 def choose_holders(workspace: WorkspaceName, fleet: Fleet) -> list[str]:
-    """Return a workspace's holders, in its own order (rendezvous hashing).
+    """Return a workspace's holders by rendezvous hashing, in rank order.
 
-    Each failure domain has as many as the others, so that callers of any of them are
-    served while it is cut off.  A router that comes or goes changes the holders of its
-    own workspaces alone.
+    Each failure domain has the same number of holders, so callers in a domain are
+    served while it is cut off.  A router that joins or leaves changes only the holders
+    of workspaces that it holds.
 
     >>> fleet = {f"vm-{n}": f"domain-{n % 3}" for n in range(60)}
     >>> holders = choose_holders("acme", fleet)
     >>> sorted(fleet[vm] for vm in holders)
     ['domain-0', 'domain-0', 'domain-1', 'domain-1', 'domain-2', 'domain-2']
     """
-    order = sorted(fleet, key=lambda router: draw(workspace, router))
+    order = sorted(fleet, key=lambda router: rank(workspace, router))
     if len(fleet) <= SMALL_FLEET:
         return order
-    each = math.ceil(LEAST_HOLDERS / len(set(fleet.values())))
+    each = math.ceil(MIN_HOLDERS / len(set(fleet.values())))
     chosen: list[str] = []
     for router in order:
         domain = fleet[router]
@@ -64,12 +65,12 @@
 
 @frozen
 class Holders:
-    """A workspace's holders, as one router sees them.
+    """A workspace's holders, from the point of view of one router.
 
     Attributes:
-        names: Their VMs; those of the router's own failure domain first.
-        own: Whether the router is one of them.
-        whole_fleet: Whether all routers are.
+        names: VM names of the holders, those in the router's failure domain first.
+        own: Whether the router itself is a holder.
+        whole_fleet: Whether all routers are holders.
     """
 
     names: tuple[str, ...]
@@ -79,40 +80,40 @@
 
 @define(eq=False)
 class HolderTable:
-    """Remembers the holders of each workspace until the fleet changes.
+    """Computes the holders of each workspace and caches them until the fleet changes.
 
     Attributes:
-        router: The VM of this router.
-        domain: Its failure domain.
+        router: Name of this router's VM.
+        domain: This router's failure domain.
         choose: Chooses a workspace's holders among all routers.
-        fleet: All routers, as they were last seen.
-        known: The holders that were asked for since.
+        fleet: The known routers.
+        cached: The holders computed since the last change of the fleet.
     """
 
     router: str = ""
     domain: str = ""
     choose: Callable[[WorkspaceName, Fleet], Sequence[str]] = choose_holders
     fleet: Fleet = field(factory=dict)
-    known: dict[WorkspaceName, Holders] = field(factory=dict)
+    cached: dict[WorkspaceName, Holders] = field(factory=dict)
 
     def update(self, fleet: Fleet) -> None:
-        """Take the routers that there are."""
+        """Set the known routers, and clear the cache if they changed."""
         if fleet != self.fleet:
             self.fleet = dict(fleet)
-            self.known.clear()
+            self.cached.clear()
 
     def holders(self, workspace: WorkspaceName) -> Holders:
-        """Return a workspace's holders; this router alone while no other is known."""
-        found = self.known.get(workspace)
+        """Return a workspace's holders; only this router while no other is known."""
+        found = self.cached.get(workspace)
         if found is None:
             fleet = {**self.fleet, self.router: self.domain}
             chosen = self.choose(workspace, fleet)
             names = self.nearest_first(chosen)
             own = self.router in chosen
             found = Holders(names, own, whole_fleet=len(chosen) == len(fleet))
-            self.known[workspace] = found
+            self.cached[workspace] = found
         return found
 
     def nearest_first(self, routers: Iterable[str]) -> tuple[str, ...]:
-        """Return routers with those of the own failure domain first."""
+        """Return routers with those of this router's failure domain first."""
         return tuple(sorted(routers, key=lambda r: self.fleet.get(r) != self.domain))
--- a/ebonyhold/prepaid/_lent.py
+++ b/ebonyhold/prepaid/_lent.py
@@ -1,4 +1,4 @@
-"""Tokens that are held here for requests at other routers."""
+"""Holds at this router for requests at other routers."""
 
 from __future__ import annotations
 
@@ -15,83 +15,94 @@
 
 log = logging.getLogger(__name__)
 
-LONGEST_HOLD: Seconds = 60.0
-"""How long a hold waits for its settlement before it is charged in full.
+MAX_HOLD_AGE: Seconds = 60.0
+"""Time after which a hold that was not settled is charged in full.
 
-Longer than any request lasts: its router was killed, or is cut off from here.
+It is longer than any request lasts, so the requesting router was killed or cannot reach
+this one.
 """
 
-REMEMBERED: Seconds = 10.0
-"""How long a settlement is remembered that came before its hold.
+EARLY_SETTLEMENT_TTL: Seconds = 10.0
+"""How long a settlement without a known hold is kept.
 
-A router that gave a question up settles it with nothing, and the question may still be
-on its way.
+A router that stops waiting for a hold settles it with a charge of 0, and its request
+for the hold may arrive later.
 """
 
 
 @frozen
-class LentHold:
-    """Tokens that are set aside for a request at another router."""
+class RemoteHold:
+    """Tokens set aside for a request at another router.
 
-    account: Account
+    Attributes:
+        grant: The grant whose tokens are held.
+        amount: Number of tokens.
+        expires_at: When the hold is charged in full if it was not settled.
+    """
+
+    grant: Account
     amount: Tokens
-    until: Seconds
+    expires_at: Seconds
 
 
 @define(eq=False)
 class LentHolds:
-    """Holds and settles for requests at other routers.
+    """Holds and settles tokens for requests at other routers.
 
-    What is held here counts as used within this router's limits before the answer
-    leaves, and a hold that nobody settles is charged in full.  So a lost message or a
-    killed router costs tokens, and never gives any twice.
+    Held tokens count as used, within this router's limits, before the answer is sent,
+    and a hold that is never settled is charged in full.  So a lost message or a killed
+    router can waste tokens, but no token is spent twice.
 
     Attributes:
-        account: Returns a workspace's account; None if it has no bound.
-        closing: Whether this router is about to stop and sends requests elsewhere.
+        find_grant: Returns this router's grant of a workspace; None if the workspace
+            has no budget.
+        closing: Returns whether this router is about to stop and refuses holds, so
+            that other routers are tried.
         open: The holds that are not settled.
-        settled_early: When settlements came of which no hold is known.
+        early_settlements: Arrival times of settlements without a known hold.
     """
 
-    account: Callable[[WorkspaceName], Account | None]
+    find_grant: Callable[[WorkspaceName], Account | None]
     closing: Callable[[], bool]
-    open: dict[HoldId, LentHold] = field(factory=dict)
-    settled_early: dict[HoldId, Seconds] = field(factory=dict)
+    open: dict[HoldId, RemoteHold] = field(factory=dict)
+    early_settlements: dict[HoldId, Seconds] = field(factory=dict)
 
     async def hold(self, wanted: WantedHold) -> HoldOutcome:
         """Set tokens aside for a request at another router."""
-        account = None if self.closing() else self.account(wanted.workspace)
-        if account is None:
+        grant = None if self.closing() else self.find_grant(wanted.workspace)
+        if grant is None:
             return HoldOutcome.UNAVAILABLE
         try:
-            await account.hold(wanted.amount, wanted.request)
+            await grant.hold(wanted.amount, wanted.request)
         except BudgetExhaustedError:
             return HoldOutcome.EXHAUSTED
         except BudgetUnreachableError:
             return HoldOutcome.UNREACHABLE
-        if self.settled_early.pop(wanted.hold, None) is not None:
-            account.settle(wanted.amount, 0)
+        if self.early_settlements.pop(wanted.hold, None) is not None:
+            grant.settle(wanted.amount, 0)
             return HoldOutcome.UNAVAILABLE
-        until = anyio.current_time() + LONGEST_HOLD
-        self.open[wanted.hold] = LentHold(account, wanted.amount, until)
+        expires_at = anyio.current_time() + MAX_HOLD_AGE
+        self.open[wanted.hold] = RemoteHold(grant, wanted.amount, expires_at)
         return HoldOutcome.HELD
 
     def settle(self, hold: HoldId, charge: Tokens) -> None:
-        """End a hold with what its request cost; a second time changes nothing."""
-        lent = self.open.pop(hold, None)
-        if lent is None:
-            self.settled_early[hold] = anyio.current_time()
+        """End a hold and charge the cost of its request; a repeat charges nothing."""
+        remote = self.open.pop(hold, None)
+        if remote is None:
+            self.early_settlements[hold] = anyio.current_time()
             return
-        lent.account.settle(lent.amount, max(0, min(charge, lent.amount)))
+        remote.grant.settle(remote.amount, max(0, min(charge, remote.amount)))
 
     def expire(self, now: Seconds) -> None:
-        """Charge holds in full that nobody settled, and forget early settlements."""
-        for hold, lent in list(self.open.items()):
-            if now >= lent.until:
+        """Charge expired holds in full, and drop old settlements without a hold."""
+        for hold, remote in list(self.open.items()):
+            if now >= remote.expires_at:
                 log.warning(
-                    "hold not settled", extra={"hold": hold, "charged": lent.amount}
+                    "hold not settled", extra={"hold": hold, "charged": remote.amount}
                 )
-                self.settle(hold, lent.amount)
-        self.settled_early = {
-            hold: at for hold, at in self.settled_early.items() if now - at < REMEMBERED
+                self.settle(hold, remote.amount)
+        self.early_settlements = {
+            hold: at
+            for hold, at in self.early_settlements.items()
+            if now - at < EARLY_SETTLEMENT_TTL
         }
--- a/ebonyhold/prepaid/_limits.py
+++ b/ebonyhold/prepaid/_limits.py
@@ -1,13 +1,13 @@
-"""How much of its grants a router may have used, by what it last said in the store.
+"""How many tokens of its grants a router may use, according to its stored renewals.
 
-A router writes with each renewal how much of each grant it may have used by then, its
-*ceiling*, and by how much that may grow with the time since.  It keeps to that.  So
-when it is killed, its successor on the same VM can prove what was left: it knows the
-last renewal and the time up to its own start.
+With each renewal a router stores, for each grant, how many tokens it may have used by
+then (the *ceiling*) and the rate at which that number may grow afterwards.  It never
+uses more.  If it is killed, its successor on the same VM can compute from the last
+renewal and the time since then how many tokens were certainly left unused.
 
-The growth covers an outage of the store, in which no renewal arrives.  A limit that
-grows evenly loses little when a router is killed in touch, and when it is killed
-after an outage loses what the outage was expected to need, not the whole grant.
+The growth covers an outage of the store, during which no renewal arrives.  With a limit
+that grows at a constant rate, a kill during normal operation loses few tokens, and a
+kill after an outage loses the expected demand of the outage, not the whole grant.
 """
 
 from __future__ import annotations
@@ -19,22 +19,24 @@
 
 from ebonyhold.types import Seconds, Tokens, WorkspaceName
 
-EARLY: Seconds = 2.3
-"""The time after a renewal in which a limit grows by its early rate.
+EARLY_PERIOD: Seconds = 2.3
+"""Time after a renewal during which a limit grows at its early rate.
 
-A router that was killed in touch is back in it: a VM is back 0.5 to 1.5 s after it lost
-its power, the last renewal is up to 0.4 s older, and the proof adds a margin of 0.2 s.
+A router that was killed while it could reach the store restarts within this time: a VM
+is back 0.5 to 1.5 s after it lost power, the last renewal is up to 0.4 s older, and the
+reclaim adds a clock margin of 0.2 s.
 """
 
 
 @frozen
 class SpendingLimit:
-    """The most tokens of a grant that may have been used.
+    """Maximum number of tokens of a grant that may have been used.
 
     Attributes:
-        ceiling: The most at the moment of the renewal, since the start of the life.
-        early_rate: By how much that grows at first, in tokens a second.
-        later_rate: By how much it grows after `EARLY`.
+        ceiling: Maximum at the time of the renewal, counted since the incarnation
+            started.
+        early_rate: Growth during `EARLY_PERIOD`, in tokens per second.
+        later_rate: Growth after `EARLY_PERIOD`, in tokens per second.
     """
 
     ceiling: Tokens = 0
@@ -42,18 +44,18 @@
     later_rate: float = 0.0
 
     def after(self, elapsed: Seconds) -> Tokens:
-        """Return the most that may have been used so long after the renewal.
+        """Return the limit at a time after the renewal.
 
         >>> limit = SpendingLimit(ceiling=100, early_rate=10.0, later_rate=100.0)
         >>> [limit.after(elapsed) for elapsed in (0.0, 2.3, 3.3)]
         [100, 123, 223]
         """
-        early = min(max(0.0, elapsed), EARLY)
-        later = max(0.0, elapsed - EARLY)
+        early = min(max(0.0, elapsed), EARLY_PERIOD)
+        later = max(0.0, elapsed - EARLY_PERIOD)
         return self.ceiling + int(self.early_rate * early + self.later_rate * later)
 
 
-NOTHING = SpendingLimit()
+ZERO_LIMIT = SpendingLimit()
 """The limit of a workspace that a renewal does not name."""
 
 Limits: TypeAlias = Mapping[WorkspaceName, SpendingLimit]
@@ -65,10 +67,10 @@
     """A renewal that was sent.
 
     Attributes:
-        number: Tells the renewals of one life apart.
-        sent_at: When it was sent, by the monotonic clock.  The store's clock cannot
-            show less time since then: a frozen VM's stands still meanwhile.
-        limits: What it says.
+        number: Sequence number of the renewal within its incarnation.
+        sent_at: Send time on the monotonic clock.  That clock stops while a VM is
+            frozen, so the store's clock never shows less time since then.
+        limits: The limits that it stores.
     """
 
     number: int
@@ -76,19 +78,19 @@
     limits: Limits
 
     def limit(self, workspace: WorkspaceName, now: Seconds) -> Tokens:
-        """Return what it allows now."""
-        return self.limits.get(workspace, NOTHING).after(now - self.sent_at)
+        """Return the limit of a workspace at a given time."""
+        return self.limits.get(workspace, ZERO_LIMIT).after(now - self.sent_at)
 
 
 @define
 class LimitBook:
-    """The renewals that a successor may find, of which the lowest binds.
+    """Tracks the renewals that a successor may find; the lowest limit applies.
 
     Attributes:
-        confirmed: The last one that the store acknowledged; None before the first.
-        doubtful: Those sent since, which may take effect or may have done so.
-        sent: How many were sent.
-        delay: How long the answer to a renewal usually takes.
+        confirmed: The last renewal that the store acknowledged; None before the first.
+        doubtful: Renewals sent since then whose outcome is unknown.
+        sent: Number of renewals sent.
+        delay: Typical time until a renewal is acknowledged.
     """
 
     confirmed: Renewal | None = None
@@ -97,55 +99,57 @@
     delay: Seconds = 0.0
 
     @property
-    def standing(self) -> Iterable[Renewal]:
-        """Return the renewals that a successor may find."""
-        known = [self.confirmed] if self.confirmed else []
-        return [*known, *self.doubtful]
+    def possible(self) -> Iterable[Renewal]:
+        """The renewals that a successor may find in the store."""
+        confirmed = [self.confirmed] if self.confirmed else []
+        return [*confirmed, *self.doubtful]
 
     def limit(self, workspace: WorkspaceName, now: Seconds) -> Tokens:
-        """Return the most that may be used in all now; 0 before the first renewal."""
+        """Return the current limit of a workspace; 0 before the first renewal."""
         if self.confirmed is None:
             return 0
-        return min(renewal.limit(workspace, now) for renewal in self.standing)
+        return min(renewal.limit(workspace, now) for renewal in self.possible)
 
     def age(self, now: Seconds) -> Seconds:
-        """Return the time since the last renewal that is known to have arrived."""
+        """Return the time since the last confirmed renewal was sent."""
         return now - self.confirmed.sent_at if self.confirmed else float("inf")
 
     def propose(self, wanted: Limits, now: Seconds) -> Renewal:
-        """Return the next renewal, and count it as one that may take effect.
+        """Return the next renewal, recorded as one whose outcome is unknown.
 
-        While an earlier one is in doubt, no limit is lowered: an outage would else
-        end in the limits that each of its vain renewals started anew.
+        While an earlier renewal is in doubt, no limit is lowered.  Otherwise each
+        failed renewal of an outage would restart the growth of the limits.
         """
         limits = dict(wanted)
         if self.doubtful:
             limits = {
-                name: self.raised(name, limit, now) for name, limit in limits.items()
+                name: self.not_lowered(name, limit, now)
+                for name, limit in limits.items()
             }
         self.sent += 1
         renewal = Renewal(self.sent, now, limits)
         self.doubtful.append(renewal)
         return renewal
 
-    def raised(
+    def not_lowered(
         self, workspace: WorkspaceName, limit: SpendingLimit, now: Seconds
     ) -> SpendingLimit:
-        """Return a limit that is not below what stands, but for the early time."""
-        standing = [r.limits.get(workspace, NOTHING) for r in self.standing]
-        later = max(limit.later_rate, *(s.later_rate for s in standing))
-        early = max(limit.early_rate, *(s.early_rate for s in standing))
-        # In a long outage what stands grows by the later rate already.  Sooner, the
-        # later rate would let a router that is killed next lose a tenth of a budget.
-        long = self.age(now) > EARLY
+        """Return a limit raised to at least the limits already sent."""
+        sent = [r.limits.get(workspace, ZERO_LIMIT) for r in self.possible]
+        later = max(limit.later_rate, *(s.later_rate for s in sent))
+        early = max(limit.early_rate, *(s.early_rate for s in sent))
+        # After `EARLY_PERIOD` the limits already grow at the later rate and must not
+        # fall back.  Before it, the later rate would let a router that is killed next
+        # lose a tenth of a budget.
+        long_outage = self.age(now) > EARLY_PERIOD
         ceiling = max(limit.ceiling, self.limit(workspace, now))
-        return SpendingLimit(ceiling, later if long else early, later)
+        return SpendingLimit(ceiling, later if long_outage else early, later)
 
     def took_effect(self, number: int) -> None:
-        """Note that the store has a renewal.
+        """Mark a renewal as confirmed by the store.
 
-        All others that are in doubt named the row's version before it, so none of
-        them can take effect any more.
+        Other renewals in doubt can no longer take effect, because their transactions
+        check an earlier version of the row.
         """
         for renewal in self.doubtful:
             if renewal.number == number:
@@ -154,5 +158,5 @@
                 return
 
     def had_no_effect(self, number: int) -> None:
-        """Note that the store certainly did not take a renewal."""
+        """Remove a renewal that the store certainly did not apply."""
         self.doubtful = [r for r in self.doubtful if r.number != number]
--- a/ebonyhold/prepaid/_purse.py
+++ b/ebonyhold/prepaid/_purse.py
@@ -1,4 +1,4 @@
-"""One request's prepaid tokens, held at this router or at a holder of its workspace."""
+"""The token hold of one request, at this router or at a holder of its workspace."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 
 log = logging.getLogger(__name__)
 
-MOST_ASKED = 3
-"""Holders that are asked for one request, one after the other.
+MAX_HOLDERS_ASKED = 3
+"""Maximum number of holders tried for one request, one after the other.
 
-One that does not answer costs the request some of its time; three that do not are a
-sign that this router is cut off from the others.
+Each holder that does not answer delays the request.  If three do not, this router is
+probably cut off from the others.
 """
 
 
 class HoldOutcome(Enum):
-    """What a holder did about a request for tokens."""
+    """A holder's answer to a request for a hold."""
 
     HELD = "held"
     EXHAUSTED = "exhausted"
     UNREACHABLE = "unreachable"
     UNAVAILABLE = "unavailable"
-    """It neither looked nor held; another router may."""
+    """The holder did not process the request; another router may."""
 
 
 @frozen
 class WantedHold:
-    """Tokens that a router asks a holder to set aside.
+    """A router's request that a holder set tokens aside.
 
     Attributes:
-        hold: Which hold of the asking router; a caller chooses the identifier of its
-            request, and two requests that bear the same must not end each other's hold.
-        workspace: Whose tokens.
-        amount: How many.
-        request: The request that needs them, for logs.
+        hold: Identifier of the hold.  It is not the request's identifier, which callers
+            choose: two requests with the same one must not end each other's hold.
+        workspace: The workspace that owns the tokens.
+        amount: Number of tokens.
+        request: Identifier of the request that needs them, for logs.
     """
 
     hold: HoldId
@@ -53,71 +53,73 @@
 
 
 class HolderPeers(Protocol):
-    """The holders at other routers, as a request needs them."""
+    """Access to the holders at other routers."""
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Have a holder set tokens aside; without an answer it is unavailable."""
+        """Request a hold from a holder; `UNAVAILABLE` if it does not answer."""
         ...
 
     def settle(self, peer: str, hold: HoldId, charge: Tokens) -> None:
-        """Have a holder told soon what a hold cost, again until it has heard it."""
+        """Queue the cost of a hold for its holder, which is resent until confirmed."""
         ...
 
 
 @define(eq=False)
 class RequestPurse:
-    """Where the tokens of one request are held.
+    """The token hold of one request.
 
-    A holder is asked; where none answers, the router's own account draws.  Tokens are
-    in exactly one grant in any case, so a router that takes somebody else for a holder
-    than its neighbours do costs a call and nothing else.
+    The hold is requested from a holder of the workspace; if none answers, this router
+    holds tokens of its own grant.  Either way the tokens are in exactly one grant.  If
+    routers disagree about the holders, this costs an extra call and nothing else.
 
     Attributes:
-        workspace: Whose tokens.
-        open_account: Returns this router's own account; None if there is no bound any
-            more.
-        holders: The other routers to ask, in this order; none if this one holds.
-        peers: How they are asked.
-        hold_id: Tells this hold from all others, of other routers too.
-        holder: The other router that holds the tokens, if one does.
-        account: The account here that does.
+        workspace: The workspace that owns the tokens.
+        open_grant: Returns this router's own grant; None if the workspace has no
+            budget any more.
+        holders: The other routers to try, in this order; empty if this router is a
+            holder.
+        peers: Access to other routers; None if there is none.
+        hold_id: Identifier of this hold, unique among all routers.
+        holder: The other router that holds the tokens, if any.
+        own_grant: This router's grant, if it holds the tokens.
     """
 
     workspace: WorkspaceName
-    open_account: Callable[[], Account | None]
+    open_grant: Callable[[], Account | None]
     holders: Sequence[str]
     peers: HolderPeers | None
     hold_id: HoldId
     holder: str | None = None
-    account: Account | None = None
+    own_grant: Account | None = None
 
     async def hold(self, amount: Tokens, request: RequestId) -> None:
-        """Set tokens aside for a request.
+        """Hold tokens for the request.
 
         Args:
-            amount: The most that it can cost.
-            request: Its identifier.
+            amount: Maximum cost of the request.
+            request: Identifier of the request.
 
         Raises:
-            BudgetExhaustedError: The budget surely cannot cover it.
-            BudgetUnreachableError: Tokens may exist, but not at hand.
+            BudgetExhaustedError: The budget cannot cover the request.
+            BudgetUnreachableError: The budget may cover it, but the tokens could not
+                be obtained in time.
         """
         wanted = WantedHold(self.hold_id, self.workspace, amount, request)
-        if self.peers is not None and await self.hold_elsewhere(wanted, self.peers):
+        if self.peers is not None and await self.hold_remotely(wanted, self.peers):
             return
-        account = self.open_account()
-        if account is not None:
-            await account.hold(amount, request)
-            self.account = account
+        grant = self.open_grant()
+        if grant is not None:
+            await grant.hold(amount, request)
+            self.own_grant = grant
 
-    async def hold_elsewhere(self, wanted: WantedHold, peers: HolderPeers) -> bool:
-        """Ask the holders in turn; tell whether one of them holds the tokens.
+    async def hold_remotely(self, wanted: WantedHold, peers: HolderPeers) -> bool:
+        """Try the holders in turn; return whether one of them holds the tokens.
 
         Raises:
-            BudgetExhaustedError: A holder knows that the budget cannot cover it.
-            BudgetUnreachableError: A holder found no tokens in reach.
+            BudgetExhaustedError: A holder reported that the budget cannot cover it.
+            BudgetUnreachableError: A holder could not obtain the tokens.
         """
-        for peer in self.holders[:MOST_ASKED]:
+        for peer in self.holders[:MAX_HOLDERS_ASKED]:
             outcome = await peers.hold(peer, wanted)
             if outcome is HoldOutcome.UNAVAILABLE:
                 continue
@@ -132,15 +134,15 @@
         return False
 
     def log_refusal(self, wanted: WantedHold, peer: str) -> None:
-        """Write the line that leads to the holder whose log says why."""
+        """Log which holder refused; its own log gives the reason."""
         fields = {"workspace": wanted.workspace, "amount": wanted.amount}
         log.info(
             "hold refused", extra={"request": wanted.request, "holder": peer, **fields}
         )
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End the hold with what the request cost."""
+        """End the hold and charge the cost of the request."""
         if self.holder is not None and self.peers is not None:
             self.peers.settle(self.holder, self.hold_id, charge)
-        elif self.account is not None:
-            self.account.settle(hold, charge)
+        elif self.own_grant is not None:
+            self.own_grant.settle(hold, charge)
--- a/ebonyhold/prepaid/_reclaim.py
+++ b/ebonyhold/prepaid/_reclaim.py
@@ -1,4 +1,4 @@
-"""What a killed router provably left of its grants, for its successor to take."""
+"""Reclaiming the tokens that a killed router provably left unused in its grants."""
 
 from __future__ import annotations
 
@@ -14,31 +14,30 @@
     read_row,
     to_json,
 )
-from ebonyhold.prepaid._changes import check
-from ebonyhold.prepaid._limits import NOTHING, Limits
+from ebonyhold.prepaid._changes import check_version
+from ebonyhold.prepaid._limits import ZERO_LIMIT, Limits
 from ebonyhold.prepaid._types import (
     Change,
-    Known,
+    GrantRows,
     PrepaidStore,
     grant_row_key,
 )
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 CLOCK_MARGIN: Seconds = 0.2
-"""By how much the clocks of two lives and the store may run apart meanwhile."""
+"""Maximum drift between the clocks of two incarnations and of the store."""
 
 
 @frozen
 class Predecessor:
-    """The life of this VM's router before this one.
+    """An earlier incarnation of this VM's router.
 
-    That this one runs proves that the other has ended: a VM runs one process.
+    A VM runs one router process at a time, so the earlier one has ended.
 
     Attributes:
-        router: Which life.
-        elapsed: The longest time that it can have gone on since it last renewed its
-            limits.
-        limits: What that renewal said.
+        router: Identifier of the earlier incarnation.
+        elapsed: Maximum time that it can have run after its last renewal.
+        limits: The limits of that renewal.
     """
 
     router: RouterId
@@ -46,19 +45,19 @@
     limits: Limits = field(factory=dict)
 
     def limit(self, workspace: WorkspaceName) -> Tokens:
-        """Return the most that it can have used of a grant."""
-        limit = self.limits.get(workspace, NOTHING)
+        """Return how many tokens of a grant it can have used at most."""
+        limit = self.limits.get(workspace, ZERO_LIMIT)
         return limit.after(self.elapsed + CLOCK_MARGIN)
 
 
 @frozen
-class Inheritance:
-    """What can be proved of a predecessor's grant.
+class PredecessorGrant:
+    """A predecessor's grant and the limit of its use.
 
     Attributes:
-        row: The predecessor's row.
-        grant: What it holds.
-        limit: The most that the predecessor can have used.
+        row: The stored row of the grant.
+        grant: The decoded row.
+        limit: Maximum number of tokens that the predecessor can have used.
     """
 
     row: Row
@@ -67,19 +66,19 @@
 
     @property
     def granted(self) -> Tokens:
-        """All tokens that the predecessor got and kept."""
+        """Tokens that the predecessor drew and did not return."""
         return self.grant.drawn - self.grant.returned
 
     @property
     def left(self) -> Tokens:
-        """The tokens that it provably did not use."""
+        """Tokens that the predecessor provably did not use."""
         return max(0, self.granted - self.limit)
 
 
-async def find_inheritance(
+async def find_predecessor_grant(
     store: PrepaidStore, workspace: WorkspaceName, predecessor: Predecessor
-) -> Inheritance | None:
-    """Return what a predecessor left; None if it had no grant.
+) -> PredecessorGrant | None:
+    """Return a predecessor's grant; None if it had none.
 
     Raises:
         PlatformError: The store cannot be reached, or the row is damaged.
@@ -88,29 +87,31 @@
     for row in await store.scan(key):
         if row.key == key:
             grant = read_row(row, GrantRow)
-            return Inheritance(row, grant, predecessor.limit(workspace))
+            return PredecessorGrant(row, grant, predecessor.limit(workspace))
     return None
 
 
-def inherit_change(
-    workspace: WorkspaceName, router: RouterId, known: Known, left: Inheritance
+def make_reclaim_change(
+    workspace: WorkspaceName, router: RouterId, rows: GrantRows, found: PredecessorGrant
 ) -> Change:
-    """Return the change that moves what is left to the successor's own grant.
+    """Return the change that moves provably unused tokens to the successor's grant.
 
-    The rest stays out for ever and so counts as spent.  Writing the row also makes a
-    late write of the predecessor fail its check, and a second inheritance finds
-    nothing: what remains is no more than the limit.  The budget's row is left out,
-    since after a power cut all routers would meet at it.
+    Tokens up to the limit stay in the old grant for good and so count as spent; a
+    second reclaim finds nothing more to move.  Because the predecessor's row gets a new
+    version, a delayed write of the predecessor fails its check.
+
+    The change does not write the budget row.  After a power cut of all VMs, all routers
+    would conflict there.
     """
     own_key = grant_row_key(workspace, router)
-    grant = change_grant(known.grant, drawn=left.left)
-    before = change_grant(left.grant, returned=left.left)
+    grant = change_grant(rows.grant, drawn=found.left)
+    before = change_grant(found.grant, returned=found.left)
     transaction = Transaction(
         (
-            AtVersion(left.row.key, left.row.version),
-            check(own_key, known.grant_version),
+            AtVersion(found.row.key, found.row.version),
+            check_version(own_key, rows.grant_version),
         ),
-        (Put(left.row.key, to_json(before)), Put(own_key, to_json(grant))),
+        (Put(found.row.key, to_json(before)), Put(own_key, to_json(grant))),
     )
-    after = evolve(known, grant=grant)
-    return Change(transaction, after, drawn=left.left, writes_budget=False)
+    after = evolve(rows, grant=grant)
+    return Change(transaction, after, drawn=found.left, writes_budget=False)
--- a/ebonyhold/prepaid/_transfers.py
+++ b/ebonyhold/prepaid/_transfers.py
@@ -1,12 +1,13 @@
-"""Tokens that routers pass on to each other without the store.
+"""Transfers of tokens between routers, without the store.
 
-A transfer counts as used at its giver, within the giver's limit, before the answer
-leaves; at its taker it is no part of the grant's row.  So nothing that a successor may
-prove of either grant changes, and an answer that is lost leaves the tokens with nobody.
-Both routers file it in their rows with their next change of the grant.
+The giver counts transferred tokens as used, within its limit, before it answers.  The
+receiver does not count them in its own grant row.  So transfers do not change what a
+successor can prove about either grant, and if the answer is lost, neither router can
+spend the tokens.  Both routers file a transfer in their rows with the next change of
+their grants.
 
-This answers load that meets a router whose own tokens are gone while the store is out
-of its reach, or while the whole budget is out with routers.
+Transfers serve requests at a router that has no tokens of its own while the store is
+unreachable, or while all tokens of the budget are granted to routers.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 
 @frozen
 class Offer:
-    """What another router says that it can pass on.
+    """Tokens that another router reports it can give.
 
     Attributes:
-        peer: The VM of the router.
-        tokens: How much it has.
+        peer: Name of the router's VM.
+        tokens: Number of tokens.
     """
 
     peer: str
@@ -33,24 +34,24 @@
 
 
 class TransferPeers(Protocol):
-    """The other routers, as an account asks them for tokens."""
+    """The other routers, as sources of transfers."""
 
     async def offers(self, workspace: WorkspaceName) -> Sequence[Offer]:
-        """Ask them what they have; those that do not answer have nothing."""
+        """Request offers from other routers and return those that arrive."""
         ...
 
     async def transfer(
         self, peer: str, workspace: WorkspaceName, amount: Tokens
     ) -> Tokens:
-        """Have one of them pass tokens on; return how many arrived, or 0."""
+        """Request tokens from a router; return how many arrived, possibly 0."""
         ...
 
 
 def choose_givers(offers: Iterable[Offer], lacking: Tokens) -> list[str]:
-    """Return whom to ask, the one with most first; nobody if all have too little.
+    """Return the routers to request tokens from, those with the most tokens first.
 
-    Tokens that do not add up to a request would only be moved away from routers whose
-    callers ask for less.
+    The list is empty if all offers together are too small.  A partial transfer would
+    not serve the request, and would take tokens from routers with smaller requests.
 
     >>> offers = [Offer("a", 10), Offer("b", 50), Offer("c", 30)]
     >>> choose_givers(offers, 70)
--- a/ebonyhold/prepaid/_treasury.py
+++ b/ebonyhold/prepaid/_treasury.py
@@ -1,4 +1,4 @@
-"""All workspaces' prepaid tokens at one router."""
+"""The prepaid grants of all workspaces at one router."""
 
 from __future__ import annotations
 
@@ -23,55 +23,58 @@
 
 log = logging.getLogger(__name__)
 
-URGENT = 0.2
-"""The part of the usual pause that is left while a change is in doubt.
+RETRY_FACTOR = 0.2
+"""Fraction of the tick after which a change in doubt or a failed return is retried.
 
-Until it is known what became of it, nothing is drawn or returned.
+Until the outcome of a change in doubt is known, nothing is drawn or returned.
 """
 
-TURN: Seconds = 0.02
-"""The time for each router over which the fleet's first rounds after an outage are
-spread: a transaction on one budget takes some 12 ms."""
+RECOVERY_SPREAD: Seconds = 0.02
+"""Time per sharing router over which the first rounds after an outage are spread.
 
-STOCK_SPREAD: Seconds = 0.1
-"""The time for each router over which the fleet's first draws are spread.
+A transaction on one budget takes about 12 ms.
+"""
+
+FIRST_DRAW_SPREAD: Seconds = 0.1
+"""Time per sharing router over which the first draws on a budget are spread.
 
-A transaction on one budget takes some 12 ms, and routers that draw at the same moment
-conflict.
+A transaction on one budget takes about 12 ms, and simultaneous draws conflict.
 """
 
-RECLAIM_TRIES = 40
-"""Tries of one reclaim, half a second apart: longer than an outage takes.
+RECLAIM_ATTEMPTS = 40
+"""Attempts to reclaim one grant, one per tick (0.5 s), which outlast an outage.
 
-An unknown outcome is tried again safely, since a grant that was reclaimed has
-nothing provable left.
+An attempt with an unknown outcome can be repeated safely, because a reclaimed grant has
+no provably unused tokens left.
 """
 
 
 @define(eq=False)
 class Treasury:
-    """Keeps an account for each workspace that has asked for tokens here.
+    """Manages this router's grants of all workspaces.
 
     Attributes:
-        router: Whose grants.
-        store: Where budgets and grants are kept.
-        prepaid: Returns the configuration's version and a workspace's prepaid
-            tokens; None where there is no bound.
-        workspaces: Returns all workspaces that there are.
-        routers: Returns how many routers there are.
-        table: Which of them hold tokens of a workspace.
-        settled: Returns whether the routers are known well enough to draw ahead.
-        limits: How much may be used, by what was last written to the store.
-        renew: Writes that anew, at once.
-        in_touch: Returns whether such writes arrive.
-        peers: The other routers' grants; None where nobody can be asked.
-        holders: The holders among them, the same.
-        accounts: The accounts in use.
-        rest_until: When each account has its turn after an outage.
-        guard: Keeps what fails in the return of one grant from all others.
-        closing: Whether the process is about to end: nothing is opened or taken over
-            any more, since nobody would return it.
-        purses: Purses made so far.
+        router: The router that owns the grants.
+        store: The store of budgets and grants.
+        prepaid: Returns the configuration's version and a workspace's prepaid tokens;
+            None instead of the tokens if the workspace has no budget.
+        workspaces: Returns the names of all workspaces.
+        routers: Returns the number of routers.
+        limits: The spending limits of this router's renewals.
+        renew: Renews the limits in the store immediately.
+        in_touch: Returns whether renewals currently reach the store.
+        peers: The other routers, for transfers; None if there are none to ask.
+        holders: The holders at other routers, for holds; None if there are none.
+        table: The holders of each workspace.
+        settled: Returns whether enough is known of the other routers to draw tokens
+            before the first request.
+        options: The options of the prepaid budgets.
+        accounts: The grants opened so far, by workspace.
+        paused_until: When the first round of each grant after an outage may start.
+        guard: Runs the return of one grant, so that its failure affects no other.
+        closing: Whether the process is shutting down.  No grant is opened or reclaimed
+            any more, because it would not be returned.
+        holds: Number of request holds created, for their identifiers.
     """
 
     router: RouterId
@@ -88,50 +91,50 @@
     settled: Callable[[], bool] = lambda: True
     options: PrepaidOptions = field(factory=PrepaidOptions)
     accounts: dict[WorkspaceName, Account] = field(factory=dict)
-    rest_until: dict[WorkspaceName, Seconds] = field(factory=dict)
+    paused_until: dict[WorkspaceName, Seconds] = field(factory=dict)
     guard: Guard = unguarded
     closing: bool = False
-    purses: int = 0
+    holds: int = 0
 
     def purse(self, workspace: WorkspaceName) -> RequestPurse | None:
-        """Return where a request's tokens are held; None if they have no bound."""
+        """Return a new hold for a request; None if the workspace has no budget."""
         if self.prepaid(workspace)[1] is None:
             return None
         holders = self.table.holders(workspace)
         asked = () if holders.own or self.holders is None else holders.names
-        self.purses += 1
-        hold_id = f"{self.router}/{self.purses}"
-        account = partial(self.account, workspace)
-        return RequestPurse(workspace, account, asked, self.holders, hold_id)
+        self.holds += 1
+        hold_id = f"{self.router}/{self.holds}"
+        open_grant = partial(self.account, workspace)
+        return RequestPurse(workspace, open_grant, asked, self.holders, hold_id)
 
     def account(self, workspace: WorkspaceName) -> Account | None:
-        """Return a workspace's account; None if it has no bound."""
+        """Return a workspace's grant, opened if necessary; None without a budget."""
         if self.prepaid(workspace)[1] is None:
             return None
-        known = self.accounts.get(workspace)
-        if known is None:
-            known = Account(
+        grant = self.accounts.get(workspace)
+        if grant is None:
+            grant = Account(
                 workspace,
                 self.router,
                 self.store,
-                partial(self.bound, workspace),
+                partial(self.configured_budget, workspace),
                 partial(self.sharers, workspace),
-                self.usual,
+                self.mean_typical,
                 self.limits,
                 self.renew,
                 self.in_touch,
                 self.peers,
                 partial(self.is_holder, workspace),
                 options=self.options,
-                # An account that is opened while grants are returned would draw one
-                # that the return does not know of; it would stay out.
+                # `close` returns only the grants that were open when it began.  A grant
+                # opened later must not draw, or its tokens would not be returned.
                 closing=self.closing,
             )
-            self.accounts[workspace] = known
-        return known
+            self.accounts[workspace] = grant
+        return grant
 
     def is_holder(self, workspace: WorkspaceName) -> bool:
-        """Tell whether this router holds tokens of a workspace for others too."""
+        """Return whether this router is a holder of a workspace."""
         return self.table.holders(workspace).own
 
     def sharers(self, workspace: WorkspaceName) -> int:
@@ -139,83 +142,85 @@
         holders = self.table.holders(workspace)
         return self.routers() if holders.whole_fleet else len(holders.names)
 
-    def bound(self, workspace: WorkspaceName) -> tuple[int, Tokens]:
+    def configured_budget(self, workspace: WorkspaceName) -> tuple[int, Tokens]:
         """Return the configuration's version and a workspace's prepaid tokens.
 
-        A workspace that was dropped keeps the bound its budget has.
+        Version 0 for a workspace without a budget leaves its stored budget as it is.
         """
         version, prepaid = self.prepaid(workspace)
         return (version, prepaid) if prepaid is not None else (0, 0)
 
-    def usual(self) -> float:
-        """Return the size of a usual request here; 0 before the first."""
-        sizes = [a.demand.typical for a in self.accounts.values() if a.demand.typical]
+    def mean_typical(self) -> float:
+        """Return the mean typical request size of all workspaces; 0 if unknown."""
+        sizes = [g.demand.typical for g in self.accounts.values() if g.demand.typical]
         return sum(sizes) / len(sizes) if sizes else 0.0
 
     def wanted_limits(self) -> dict[WorkspaceName, SpendingLimit]:
-        """Return what the next renewal should say of each grant."""
-        return {name: a.wanted_limit() for name, a in self.accounts.items()}
+        """Return the spending limits of all grants for the next renewal."""
+        return {name: g.wanted_limit() for name, g in self.accounts.items()}
 
     async def run(self) -> None:
-        """Look after all accounts, for ever."""
+        """Maintain all grants until cancelled."""
         while True:
             await anyio.sleep(self.pause())
             self.stock_unmet()
             async with anyio.create_task_group() as tasks:
-                for account in list(self.accounts.values()):
-                    tasks.start_soon(self.tend, account)
+                for grant in list(self.accounts.values()):
+                    tasks.start_soon(self.maintain, grant)
 
     def stock_unmet(self) -> None:
-        """Open accounts that no request has asked for yet, as their turns come.
+        """Open grants of workspaces that had no request yet, at random times.
 
-        The first request of a workspace would find no tokens in an outage.  Routers
-        start together and share each budget, so they take turns drawn by chance.
+        Otherwise the first request of a workspace would find no tokens during an
+        outage.  Routers that start together share each budget, so their first draws
+        are spread over time.
         """
         if self.closing or not self.settled():
             return
         for workspace in self.workspaces():
             if workspace in self.accounts or not self.is_holder(workspace):
                 continue
-            spread = STOCK_SPREAD * max(1, self.sharers(workspace))
+            spread = FIRST_DRAW_SPREAD * max(1, self.sharers(workspace))
             if random.random() < self.options.tick / spread:
                 self.account(workspace)
 
     def pause(self) -> Seconds:
-        """Return the time to the next round: short while a change is in doubt."""
-        doubt = any(account.grant.doubtful for account in self.accounts.values())
-        return self.options.tick * (URGENT if doubt else 1.0)
+        """Return the time until the next round; shorter while a change is in doubt."""
+        in_doubt = any(grant.grant.in_doubt for grant in self.accounts.values())
+        return self.options.tick * (RETRY_FACTOR if in_doubt else 1.0)
 
-    async def tend(self, account: Account) -> None:
-        """Look after one account; the next round tries again what failed.
+    async def maintain(self, grant: Account) -> None:
+        """Run one round of a grant; the next one retries what failed.
 
-        Out of touch nothing is tried, since renewals show when the store is back.
-        Then all routers have something to write to each budget, and take turns drawn
-        by chance.
+        While renewals do not reach the store, no round is run.  After an outage all
+        routers have changes for each budget, so each grant waits a random time before
+        its first round.
         """
         now = anyio.current_time()
         if not self.in_touch():
-            spread = TURN * self.sharers(account.workspace)
-            self.rest_until[account.workspace] = now + random.random() * spread
+            spread = RECOVERY_SPREAD * self.sharers(grant.workspace)
+            self.paused_until[grant.workspace] = now + random.random() * spread
             return
-        if now < self.rest_until.get(account.workspace, now):
+        if now < self.paused_until.get(grant.workspace, now):
             return
         try:
-            await account.tick()
+            await grant.tick()
         except PlatformError as error:
-            fields = {"workspace": account.workspace, "error": error.code}
+            fields = {"workspace": grant.workspace, "error": error.code}
             log.warning("budget round failed", extra=fields)
 
     async def reclaim(self, predecessor: Predecessor) -> bool:
-        """Take what a predecessor provably left of all its grants.
+        """Reclaim the tokens that a predecessor provably left in all its grants.
 
-        Only a workspace that its limits name can have a grant that was used; what it
-        drew for others in its last moment is left out.
+        Only grants that the predecessor's limits name can have been used.  A grant that
+        it drew just before it was killed may be missing there and is not reclaimed.
 
         Returns:
-            Whether all is done.
+            Whether all grants are dealt with.
         """
         done = True
-        # Routers that were killed together would else meet at the same budgets.
+        # In random order, so that routers killed together do not conflict on the same
+        # budgets.
         order = random.sample(list(predecessor.limits), len(predecessor.limits))
         for workspace in order:
             done = await self.reclaim_one(predecessor, workspace) and done
@@ -224,14 +229,14 @@
     async def reclaim_one(
         self, predecessor: Predecessor, workspace: WorkspaceName
     ) -> bool:
-        """Take what a predecessor left of one grant; tell whether that is done."""
-        account = self.account(workspace)
-        if account is None:
-            # The workspace has no bound any more, so nobody misses the tokens.
+        """Reclaim one grant of a predecessor; return whether it is dealt with."""
+        grant = self.account(workspace)
+        if grant is None:
+            # The workspace has no budget any more, so its tokens are not needed.
             return True
-        for _ in range(RECLAIM_TRIES):
+        for _ in range(RECLAIM_ATTEMPTS):
             try:
-                return await account.inherit(predecessor)
+                return await grant.reclaim(predecessor)
             except PlatformError as error:
                 fields = {"workspace": workspace, "error": error.code}
                 log.warning("reclaim failed", extra=fields)
@@ -239,49 +244,49 @@
         return False
 
     async def close(self, timeout: Seconds) -> bool:
-        """Return what is free, as far as the time allows.
+        """Return the available tokens of all grants, as far as the time allows.
 
         Args:
-            timeout: How long it may take, in seconds.
+            timeout: Time limit, in seconds.
 
         Returns:
-            Whether all grants were returned.  What was not stays out until a
-            successor proves it unspent.
+            Whether all grants were returned.  The tokens of the others stay granted
+            until a successor reclaims them.
         """
         self.closing = True
-        kept = set(self.accounts)
+        remaining = set(self.accounts)
         failed: set[WorkspaceName] = set()
         with anyio.move_on_after(timeout):
-            while kept - failed:
+            while remaining - failed:
                 async with anyio.create_task_group() as tasks:
-                    for name in kept - failed:
-                        account = self.accounts[name]
-                        tasks.start_soon(self.give_up, account, kept, failed)
-                if kept - failed:
-                    await anyio.sleep(self.options.tick * URGENT)
-        if kept:
-            log.warning("grants not returned", extra={"workspaces": sorted(kept)})
-        return not kept
-
-    async def give_up(
+                    for name in remaining - failed:
+                        grant = self.accounts[name]
+                        tasks.start_soon(self.return_guarded, grant, remaining, failed)
+                if remaining - failed:
+                    await anyio.sleep(self.options.tick * RETRY_FACTOR)
+        if remaining:
+            log.warning("grants not returned", extra={"workspaces": sorted(remaining)})
+        return not remaining
+
+    async def return_guarded(
         self,
-        account: Account,
-        kept: set[WorkspaceName],
+        grant: Account,
+        remaining: set[WorkspaceName],
         failed: set[WorkspaceName],
     ) -> None:
-        """Return one account's tokens, or leave them out if its books fail.
+        """Return one grant, and mark it as failed on an unexpected error.
 
-        An error of one account would else end the return of all, and the stop with the
-        requests that are still open in it.
+        Without the guard, an error in one grant would end the return of all grants and
+        the shutdown, and cut the requests that are still open.
         """
-        if not await self.guard(partial(self.give_back, account, kept)):
-            failed.add(account.workspace)
+        if not await self.guard(partial(self.return_grant, grant, remaining)):
+            failed.add(grant.workspace)
 
-    async def give_back(self, account: Account, kept: set[WorkspaceName]) -> None:
-        """Return one account's tokens; the next round tries again what failed."""
+    async def return_grant(self, grant: Account, remaining: set[WorkspaceName]) -> None:
+        """Return one grant's tokens; the next round retries after a store error."""
         try:
-            await account.close()
-            kept.discard(account.workspace)
+            await grant.close()
+            remaining.discard(grant.workspace)
         except PlatformError as error:
-            fields = {"workspace": account.workspace, "error": error.code}
+            fields = {"workspace": grant.workspace, "error": error.code}
             log.info("grant not returned yet", extra=fields)
--- a/ebonyhold/prepaid/_types.py
+++ b/ebonyhold/prepaid/_types.py
@@ -1,4 +1,4 @@
-"""What the prepaid budgets keep in the store, and how they reach it."""
+"""Stored rows, changes and options of the prepaid budgets."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 TABLE = "prepaid"
-"""The store's table of budgets and grants; each workspace is a part of it."""
+"""The store's table of budgets and grants, with one partition per workspace."""
 
 
 class PrepaidStore(Protocol):
-    """The store, as prepaid budgets need it."""
+    """The store operations that prepaid budgets use."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Read rows whose key starts with a prefix, in the order of their keys.
+        """Read rows whose key starts with a prefix, ordered by key.
 
         Raises:
             UnavailableError: The store cannot be reached.
@@ -29,20 +29,20 @@
 
         Raises:
             ConflictError: A check failed; nothing was written.
-            UnavailableError: It certainly had no effect.
-            UnknownOutcomeError: It may have taken effect, or may yet.
+            UnavailableError: The transaction had no effect.
+            UnknownOutcomeError: It may have taken effect, or may do so later.
         """
         ...
 
 
 @frozen
 class PrepaidRow:
-    """A workspace's budget, at ``prepaid/{workspace}/budget``.
+    """A workspace's budget, stored at ``prepaid/{workspace}/budget``.
 
     Attributes:
-        rules_version: The configuration that `budget.prepaid` is from.  A router
-            that still has an older one must not go by its own figure.
-        budget: What was prepaid, is out with routers, and was spent.
+        rules_version: Version of the configuration that set `budget.prepaid`.  A
+            router with an older configuration must not apply its own value.
+        budget: Tokens that were prepaid, are granted to routers, and were spent.
     """
 
     rules_version: int = 0
@@ -51,10 +51,10 @@
 
 @frozen
 class Committed:
-    """A transaction that took effect.
+    """The result of a committed transaction.
 
     Attributes:
-        version: The version of the rows it wrote.
+        version: The version of the rows that it wrote.
         now: The store's steady clock.
     """
 
@@ -63,14 +63,14 @@
 
 
 @frozen
-class Known:
+class GrantRows:
     """The two rows that one router changes, as last read or written.
 
     Attributes:
         budget: The workspace's budget.
-        budget_version: The version of its row; 0 while there is none.
+        budget_version: The version of the budget row; 0 if it does not exist.
         grant: This router's grant.
-        grant_version: The version of its row; 0 while there is none.
+        grant_version: The version of the grant row; 0 if it does not exist.
     """
 
     budget: PrepaidRow = field(factory=PrepaidRow)
@@ -81,21 +81,21 @@
 
 @frozen
 class Change:
-    """A change of both rows that was sent to the store.
+    """A change of the budget and grant rows, sent as one transaction.
 
     Attributes:
-        transaction: What was sent.
-        after: Both rows once it took effect; their versions are not known yet.
-        drawn: Tokens that it moves here.
-        returned: Tokens that it moves back, which are out of the ledger already.
+        transaction: The transaction.
+        after: Both rows after the commit, without their new versions.
+        drawn: Tokens moved from the budget to the grant.
+        returned: Tokens moved back; they have already left the ledger.
         billed: Charges that it files.
         given: Tokens given to other routers that it files.
         received: Tokens received from other routers that it files.
-        writes_budget: Whether the budget's row is among the rows that it writes.
+        writes_budget: Whether it writes the budget row.
     """
 
     transaction: Transaction
-    after: Known
+    after: GrantRows
     drawn: Tokens = 0
     returned: Tokens = 0
     billed: Tokens = 0
@@ -106,23 +106,23 @@
 
 @frozen
 class PrepaidOptions:
-    """How prepaid budgets are kept.
+    """Options of the prepaid budgets at one router.
 
     Attributes:
-        horizon: The outage of the store that a grant covers.  The longest ones
-            that the operators told of take 9 s.
-        tick: How often an account looks at its grant without being asked.
-        patience: How long a request waits for tokens from the store.
-        file_after: Charges are filed at the latest after this time, so that
-            operators see what was spent.
-        demand_memory: How far back the expected demand looks.
+        horizon: Length of a store outage that a grant should cover.  The longest
+            outages that operators reported last 9 s.
+        tick: Interval between two periodic checks of a grant.
+        draw_timeout: How long a request waits for tokens from the store.
+        file_after: Maximum time before charges are filed, so that operators see
+            recent spending.
+        demand_time_constant: Time constant of the demand estimate.
     """
 
     horizon: Seconds = 9.0
     tick: Seconds = 0.5
-    patience: Seconds = 0.25
+    draw_timeout: Seconds = 0.25
     file_after: Seconds = 8.0
-    demand_memory: Seconds = 20.0
+    demand_time_constant: Seconds = 20.0
 
 
 def budget_row_key(workspace: WorkspaceName) -> str:
@@ -136,5 +136,5 @@
 
 
 def grant_rows_prefix(workspace: WorkspaceName) -> str:
-    """Return what the keys of all grants from a budget start with."""
+    """Return the common key prefix of all grants from a workspace's budget."""
     return f"{TABLE}/{workspace}/grant/"
--- a/tests/prepaid/kit.py
+++ b/tests/prepaid/kit.py
@@ -1,4 +1,4 @@
-"""Routers that share a workspace's budget, on a virtual clock."""
+"""Routers that share a workspace's budget over an in-memory store."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 WORKSPACE = "acme"
 
 DELAY = 0.003
-"""Seconds that an answer of another router takes."""
+"""Time until another router's answer arrives, in seconds."""
 
 
 @define(eq=False)
 class Router:
-    """One life of one router's account, with its own path to the store."""
+    """One incarnation of a router, with one grant and its own client of the store."""
 
     history: RowHistory
     vm: str
@@ -61,7 +61,7 @@
         )
 
     async def renew(self) -> None:
-        """Renew the presence at once, as its task would when it is asked to."""
+        """Renew the limits once, as the renewal task does when requested."""
         try:
             await self.renewals.step()
             self.renewals.note_renewed()
@@ -71,12 +71,12 @@
 
 @define(eq=False)
 class Peers:
-    """The other routers, as one of them reaches them.
+    """Access of one router to the others.
 
     Attributes:
-        vm: Who asks.
+        vm: The VM of the router that sends the requests.
         routers: All routers by VM.
-        lose: Answers to transfers that are lost from now on.
+        lose: Number of next transfers whose answers are lost.
     """
 
     vm: str
@@ -84,7 +84,7 @@
     lose: int = 0
 
     async def offers(self, workspace: str) -> Sequence[Offer]:
-        """Return what the others have."""
+        """Return the offers of the other routers."""
         await anyio.sleep(DELAY)
         return [
             Offer(vm, router.account.offer)
@@ -93,7 +93,7 @@
         ]
 
     async def transfer(self, peer: str, workspace: str, amount: Tokens) -> Tokens:
-        """Have one of them pass tokens on."""
+        """Transfer tokens from another router; 0 arrive if the answer is lost."""
         given = await self.routers[peer].account.give(amount)
         await anyio.sleep(DELAY)
         if self.lose:
@@ -103,13 +103,13 @@
 
 
 def budget(history: RowHistory) -> PrepaidRow:
-    """Return the budget as the store has it."""
+    """Return the stored budget row."""
     row = history.rows.get(budget_row_key(WORKSPACE))
     return from_json(row.value, PrepaidRow) if row else PrepaidRow()
 
 
 def grants(history: RowHistory) -> dict[str, GrantRow]:
-    """Return all grants as the store has them."""
+    """Return the stored grant rows by router."""
     prefix = grant_rows_prefix(WORKSPACE)
     return {
         key[len(prefix) :]: from_json(row.value, GrantRow)
@@ -119,31 +119,31 @@
 
 
 def router(history: RowHistory, prepaid: int = 100_000) -> Router:
-    """Return the first life of one router."""
+    """Return the first incarnation of one router."""
     return Router(history, "vm-1", "vm-1.a", [prepaid])
 
 
-Loss = Callable[[Router], None]
-"""Lets the next change of a router meet a fault."""
+Fault = Callable[[Router], None]
+"""Makes the next store transaction of a router fail in some way."""
 
 
 def lose_answer(one: Router) -> None:
-    """The change takes effect, and its answer is lost."""
+    """Let the next transaction take effect, but lose its answer."""
     one.store.faults.lose_answers = 1
 
 
 def lose_request(one: Router) -> None:
-    """The change is lost on its way."""
+    """Lose the next transaction before it takes effect."""
     one.store.faults.lose_requests = 1
 
 
 def delay_effect(one: Router) -> None:
-    """The change takes effect after its answer was given up."""
+    """Let the next transaction take effect only after its client has timed out."""
     one.store.faults.late = 1
 
 
-async def killed_after_use(history: RowHistory) -> Router:
-    """Return a successor of a router that was killed with 1,000 tokens in use."""
+async def successor_of_killed(history: RowHistory) -> Router:
+    """Return the successor of a router that was killed while it held 1,000 tokens."""
     one = router(history, 1_000_000)
     await anyio.sleep(1.0)
     await one.renew()
--- a/tests/prepaid/test_account.py
+++ b/tests/prepaid/test_account.py
@@ -1,4 +1,4 @@
-"""An account spends only what the store has given it, whatever fails."""
+"""A grant never spends more than the store has granted, whatever fails."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ebonyhold.prepaid import Committed
 from ebonyhold.standins import MemoryRows, RowHistory
 from tests.prepaid.kit import (
-    Loss,
+    Fault,
     Router,
     budget,
     delay_effect,
@@ -32,7 +32,7 @@
 __all__ = ["anyio_backend"]
 
 
-async def test_a_first_request_draws_and_settles() -> None:
+async def test_first_request_draws_and_settles() -> None:
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
@@ -43,7 +43,7 @@
     assert (after.spent, after.outstanding, after.remaining) == (400, 0, 99_600)
 
 
-async def test_a_request_beyond_all_is_refused_for_good() -> None:
+async def test_request_above_whole_budget_is_exhausted() -> None:
     history = RowHistory()
     one = router(history, 5_000)
     await one.renewals.step()
@@ -52,10 +52,13 @@
 
 
 @pytest.mark.parametrize("before", [[], [5_000]], ids=["first budget", "top-up"])
-async def test_budget_that_is_not_written_yet_is_no_final_refusal(
+async def test_budget_not_stored_yet_is_not_exhausted(
     before: list[int],
 ) -> None:
-    """Guards against telling callers for good that a full budget is spent."""
+    """The stored budget is missing, or is older than a top-up that is configured.
+
+    The budget must then not be reported as exhausted, which callers treat as final.
+    """
     one = Router(RowHistory(), "vm-1", "vm-1.a", before or [100_000])
     await one.renewals.step()
     if before:
@@ -72,10 +75,10 @@
     await one.account.hold(6_000, "r3")
 
 
-async def test_tokens_with_another_router_are_no_final_refusal() -> None:
-    """The budget is empty, but another router holds what it has not used.
+async def test_budget_granted_to_another_router_is_not_exhausted() -> None:
+    """The budget has nothing left to draw, but another router holds unused tokens.
 
-    A final refusal would be untrue: the other one may return it.
+    The budget must not be reported as exhausted, since that router may return them.
     """
     history = RowHistory()
     one = router(history, 10_000)
@@ -87,15 +90,15 @@
         await two.account.hold(4_000, "r")
 
 
-async def test_a_cut_router_refuses_at_once() -> None:
-    """Waiting for a store that is known to be away costs the caller time only."""
+async def test_unreachable_store_refuses_without_waiting() -> None:
+    """Waiting for a store known to be unreachable would only delay the caller."""
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
     await one.account.hold(100, "r")
     one.store.faults.down = True
     with pytest.raises(PlatformError):
-        one.account.grant.books.known = None
+        one.account.grant.cache.rows = None
         await one.account.tick()
     before = anyio.current_time()
     with pytest.raises(BudgetUnreachableError):
@@ -103,11 +106,11 @@
     assert anyio.current_time() == before
 
 
-async def test_a_grant_is_released_evenly_over_an_outage() -> None:
-    """A router is cut off from the store and keeps serving from its grant.
+async def test_limit_grows_evenly_during_an_outage() -> None:
+    """A router that cannot reach the store keeps serving from its grant.
 
-    What may be used grows with the time by what an outage usually needs: a successor
-    must be able to bound what was used, and the rest of the grant is not lost.
+    Its limit grows with time at the usual demand, so that a successor can compute an
+    upper bound of the tokens used and reclaim the rest of the grant.
     """
     history = RowHistory()
     one = router(history, 1_000_000)
@@ -124,21 +127,21 @@
     served = 0
     for _ in range(8):
         await anyio.sleep(0.3)
-        served += one.account.take(1000)
-    # Requests of the same rate are served from the outage's very beginning.
+        served += one.account.try_hold(1000)
+    # Requests at the same rate are served from the start of the outage.
     assert served >= 7
-    rooms = []
+    headroom = []
     for _ in range(4):
-        rooms.append(one.account.limit() - one.account.grant.used)
+        headroom.append(one.account.limit() - one.account.grant.used)
         await anyio.sleep(2.0)
-    # A request of 1,000 tokens each 0.3 s is 6,667 in 2 s.
-    grown = [after - before for before, after in pairwise(rooms)]
-    assert 0 <= rooms[0] <= 2_000
+    # One request of 1,000 tokens every 0.3 s uses 6,667 tokens in 2 s.
+    grown = [after - before for before, after in pairwise(headroom)]
+    assert 0 <= headroom[0] <= 2_000
     assert all(6_600 <= growth <= 10_000 for growth in grown)
 
 
-async def test_a_request_above_the_limit_has_it_raised() -> None:
-    """A large request finds tokens in the grant, and room for a usual one only."""
+async def test_request_above_the_limit_raises_it() -> None:
+    """The grant covers a large request, but the limit only one of the usual size."""
     history = RowHistory()
     one = router(history, 1_000_000)
     await one.renew()
@@ -151,16 +154,17 @@
 
 
 @pytest.mark.parametrize("lose", [lose_answer, lose_request, delay_effect])
-async def test_a_draw_in_doubt_counts_once(lose: Loss) -> None:
-    """The answer to a draw is lost; the write took effect, or not, or does so late.
+async def test_draw_in_doubt_counts_once(lose: Fault) -> None:
+    """The outcome of a draw is unknown: it took effect, did not, or does so late.
 
-    Counting the draw twice here would overspend, counting it never would strand it.
+    Counting it twice would overspend the budget; not counting it would leave its
+    tokens unused.
     """
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
     lose(one)
-    one.account.demand.served(1000, anyio.current_time())
+    one.account.demand.record(1000, anyio.current_time())
     with pytest.raises(UnknownOutcomeError):
         await one.account.tick()
     assert one.account.grant.ledger.available == 0
@@ -172,10 +176,10 @@
 
 
 @pytest.mark.parametrize("lose", [lose_answer, lose_request, delay_effect])
-async def test_a_return_in_doubt_is_not_spent_meanwhile(lose: Loss) -> None:
-    """A router returns tokens and does not hear whether that took effect.
+async def test_return_in_doubt_is_not_spent(lose: Fault) -> None:
+    """The outcome of a return of tokens is unknown.
 
-    Spending them meanwhile would spend them twice if it did.
+    If it took effect, tokens spent here in the meantime would be spent twice.
     """
     history = RowHistory()
     one = router(history)
@@ -191,10 +195,10 @@
     assert budget(history).budget.outstanding == 0
 
 
-async def test_a_lowered_budget_calls_grants_back() -> None:
-    """The operator lowers a budget below what routers hold.
+async def test_lowered_budget_takes_grants_back() -> None:
+    """The operator lowers a budget below the tokens granted to routers.
 
-    What is not in use goes back before anything more is drawn.
+    Unused tokens must be returned before more are drawn.
     """
     history = RowHistory()
     one = router(history, 100_000)
@@ -210,10 +214,10 @@
     assert row.spent + row.outstanding <= 6_000
 
 
-async def test_an_older_configuration_does_not_raise_a_budget_again() -> None:
-    """One router has the newer configuration already, the other not yet.
+async def test_older_configuration_does_not_restore_a_budget() -> None:
+    """One router has the newer configuration, another still the older one.
 
-    The one that lags must not put its larger figure back.
+    The second must not write its larger budget again.
     """
     history = RowHistory()
     one = router(history, 100_000)
@@ -236,15 +240,15 @@
     assert grants(history)["vm-1.a"].billed == 700
 
 
-async def test_a_workspace_not_met_yet_finds_a_usual_request_in_an_outage() -> None:
-    """A router among many meets some workspaces seldom, and is cut off from the store.
+async def test_first_request_of_a_workspace_is_served_in_an_outage() -> None:
+    """One of many routers gets its first request of a workspace during an outage.
 
-    Their first requests are served from a stock of at least one usual request.
+    It must have drawn enough tokens in advance for one request of the usual size.
     """
     history = RowHistory()
     one = router(history, 1_000_000)
     one.fleet = 84
-    one.account.usual = lambda: 5_000.0
+    one.account.default_typical = lambda: 5_000.0
     await one.renew()
     await one.account.tick()
     await one.renew()
@@ -256,13 +260,13 @@
 
 
 @pytest.mark.parametrize("arrived", [True, False])
-async def test_a_change_that_met_a_fault_of_ours_is_in_doubt(
+async def test_change_ended_by_an_unexpected_exception_is_in_doubt(
     arrived: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer to a return of tokens is one that our client trips over.
+    """The store client raises an unexpected exception for a return of tokens.
 
-    Nobody saw it but in the books: what was returned had left the ledger, and neither
-    the store's word nor a doubt of ours ever brought it back or counted it.
+    The returned tokens had left the ledger, and since the change was not recorded as
+    in doubt, they were never added back or counted as returned.
     """
     history = RowHistory()
     one = router(history)
--- a/tests/prepaid/test_histories.py
+++ b/tests/prepaid/test_histories.py
@@ -1,7 +1,7 @@
-"""Random histories of routers, kills, cuts and lost answers never overspend.
+"""Random sequences of requests, kills, outages and lost answers never overspend.
 
-Each seed plays the same every time.  Variants of the protocol that leave out one
-of its guards are played too: a check that never fails would prove nothing.
+Each seed gives the same sequence every time.  Variants of the protocol without one of
+its safeguards run too, to show that the checks detect the overspending.
 """
 
 from __future__ import annotations
@@ -36,39 +36,52 @@
 
 
 @define(eq=False)
-class Play:
-    """One random history.
+class RandomHistory:
+    """One random sequence of events in a small fleet.
 
     Attributes:
-        seed: Decides all of it.
-        weaken: Takes a guard out of each new life of a router.
-        forgive: Changes what a successor believes of its predecessor.
-        truth: Tokens that requests of each life really cost.
+        seed: Seed of all random choices.
+        weaken: Removes a safeguard from each new incarnation of a router.
+        assume: Changes what a successor knows about its predecessor.
+        history: The store.
+        routers: The current incarnation of each VM's router.
+        prepaid: The configured budgets, the latest last.
+        held: The requests that hold tokens, with their amounts.
+        charged: Actual cost of the ended requests of each incarnation.
+        started: Number of incarnations started.
+        incarnations: All incarnations.
     """
 
     seed: int
     weaken: Callable[[Router], None] = lambda router: None
-    forgive: Callable[[Predecessor], Predecessor] = lambda before: before
+    assume: Callable[[Predecessor], Predecessor] = lambda before: before
     random: random.Random = field(init=False)
     history: RowHistory = field(factory=RowHistory)
     routers: dict[str, Router] = field(factory=dict)
     prepaid: list[int] = field(factory=lambda: [PREPAID])
     held: list[tuple[Router, int]] = field(factory=list)
     late: list[Router] = field(factory=list)
-    truth: dict[str, int] = field(factory=dict)
-    lives: int = 0
-    all: list[Router] = field(factory=list)
+    charged: dict[str, int] = field(factory=dict)
+    started: int = 0
+    incarnations: list[Router] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         self.random = random.Random(self.seed)
 
     async def run(self) -> None:
-        """Play; the books are checked after each step."""
+        """Run random steps, and check the balances after each."""
         for number in range(VMS):
             await self.start(f"vm-{number}")
         for _ in range(STEPS):
             step = self.random.choices(
-                [self.ask, self.settle, self.tend, self.cut, self.lose, self.kill],
+                [
+                    self.start_request,
+                    self.end_request,
+                    self.maintain,
+                    self.toggle_store,
+                    self.inject_fault,
+                    self.kill,
+                ],
                 [10, 6, 9, 2, 2, 1.0],
             )[0]
             await step()
@@ -76,44 +89,48 @@
             self.check()
 
     def check(self) -> None:
-        """No life has used more than it got, nor all of them the budget."""
-        used = dict(self.truth)
+        """Check that no incarnation overspent its grant, nor all of them the budget."""
+        used = dict(self.charged)
         for router, amount in self.held:
             used[router.router] = used.get(router.router, 0) + amount
         rows = grants(self.history)
-        for life, amount in used.items():
+        for incarnation, amount in used.items():
             if amount:
-                row = rows.get(life, GrantRow())
-                granted = row.drawn - row.returned + self.received(life)
-                assert amount <= granted, f"{life} overspent"
+                row = rows.get(incarnation, GrantRow())
+                granted = row.drawn - row.returned + self.received(incarnation)
+                assert amount <= granted, f"{incarnation} overspent"
         assert sum(used.values()) <= PREPAID, "overspent"
 
-    def received(self, life: str) -> int:
-        """Return what a life has got from others, by its own word."""
-        return sum(-r.account.grant.passed_on for r in self.all if r.router == life)
+    def received(self, incarnation: str) -> int:
+        """Return the tokens that an incarnation received, less those it gave."""
+        return sum(
+            -r.account.grant.net_given
+            for r in self.incarnations
+            if r.router == incarnation
+        )
 
-    def cost(self, router: Router, amount: int) -> None:
-        """Note what a request really cost."""
-        self.truth[router.router] = self.truth.get(router.router, 0) + amount
+    def record_charge(self, router: Router, amount: int) -> None:
+        """Record the actual cost of a request."""
+        self.charged[router.router] = self.charged.get(router.router, 0) + amount
 
     async def start(self, vm: str) -> None:
-        """Start a life of a VM's router, and reclaim what the last one left."""
-        self.lives += 1
-        router = Router(self.history, vm, f"{vm}.{self.lives}", self.prepaid, VMS)
+        """Start a new incarnation on a VM, which reclaims its predecessors' grants."""
+        self.started += 1
+        router = Router(self.history, vm, f"{vm}.{self.started}", self.prepaid, VMS)
         router.account.peers = Peers(vm, self.routers)
         self.weaken(router)
         self.routers[vm] = router
-        self.all.append(router)
+        self.incarnations.append(router)
         await router.renewals.step()
         for before in router.renewals.unreclaimed:
-            await router.account.inherit(self.forgive(before))
+            await router.account.reclaim(self.assume(before))
 
     def pick(self) -> Router:
         """Return a random router."""
         return self.random.choice(list(self.routers.values()))
 
-    async def ask(self) -> None:
-        """Have a request hold tokens."""
+    async def start_request(self) -> None:
+        """Start a request, which holds tokens."""
         router = self.pick()
         amount = self.random.choice([200, 900, 2500])
         try:
@@ -122,17 +139,17 @@
             return
         self.held.append((router, amount))
 
-    async def settle(self) -> None:
-        """End a request."""
+    async def end_request(self) -> None:
+        """End a random request with a random cost."""
         if not self.held:
             return
         router, amount = self.held.pop(self.random.randrange(len(self.held)))
         charge = self.random.choice([0, amount // 2, amount])
-        self.cost(router, charge)
+        self.record_charge(router, charge)
         router.account.grant.settle(amount, charge)
 
-    async def tend(self) -> None:
-        """Let every router look after its grant, its presence or both."""
+    async def maintain(self) -> None:
+        """Let every router maintain its grant, renew its limits, or both."""
         for router in self.routers.values():
             steps = [router.account.tick, router.renew]
             for step in self.random.sample(steps, self.random.choice([1, 1, 2])):
@@ -141,13 +158,13 @@
                 except PlatformError:
                     continue
 
-    async def cut(self) -> None:
-        """Cut a router off from the store, or heal it."""
+    async def toggle_store(self) -> None:
+        """Disconnect a router from the store, or reconnect it."""
         faults = self.pick().store.faults
         faults.down = not faults.down
 
-    async def lose(self) -> None:
-        """Lose an answer or a request, delay a write, or let one arrive late."""
+    async def inject_fault(self) -> None:
+        """Lose an answer or a request, delay a write, or apply a delayed one."""
         one = self.pick()
         faults = one.store.faults
         if self.random.random() < 0.2:
@@ -161,11 +178,11 @@
         setattr(faults, switch, 1)
 
     async def kill(self) -> None:
-        """Kill a router; what its requests got until then was spent."""
+        """Kill and restart a router; its requests cost all the tokens they held."""
         router = self.pick()
         for holder, amount in [item for item in self.held if item[0] is router]:
             self.held.remove((holder, amount))
-            self.cost(holder, amount)
+            self.record_charge(holder, amount)
         late = router.store.faults
         await anyio.sleep(self.random.choice([0.2, 1.0, 3.0]))
         await self.start(router.vm)
@@ -173,105 +190,105 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-async def test_no_history_overspends(seed: int) -> None:
-    await Play(seed).run()
+async def test_random_histories_do_not_overspend(seed: int) -> None:
+    await RandomHistory(seed).run()
 
 
-def believe_all_is_left(before: Predecessor) -> Predecessor:
-    """A successor that takes its predecessor to have used nothing."""
+def assume_nothing_used(before: Predecessor) -> Predecessor:
+    """Make a successor assume that its predecessor used nothing."""
     return evolve(before, limits={})
 
 
-def trust_the_last_renewal(router: Router) -> None:
-    """A router that raises its limits although the renewal may not arrive."""
-    book = router.renewals.limits
-    book.__class__ = HastyBook
+def apply_unconfirmed_limits(router: Router) -> None:
+    """Make a router apply new limits before the renewal is confirmed."""
+    limits = router.renewals.limits
+    limits.__class__ = UnconfirmedLimits
 
 
-class HastyBook(LimitBook):
-    """Limits that count as soon as they are sent."""
+class UnconfirmedLimits(LimitBook):
+    """Limits that apply as soon as they are sent."""
 
     __slots__ = ()
 
     def propose(self, wanted: Limits, now: float) -> Renewal:
-        """Take the renewal for confirmed."""
+        """Treat the new renewal as confirmed."""
         renewal = super().propose(wanted, now)
         self.confirmed = renewal
         self.doubtful = []
         return renewal
 
 
-class FreeBook(LimitBook):
-    """Limits that allow everything."""
+class Unlimited(LimitBook):
+    """Limits without an upper bound."""
 
     __slots__ = ()
 
     def limit(self, workspace: str, now: float) -> int:
-        """Allow everything."""
+        """Return a limit that no request reaches."""
         return 1 << 60
 
 
-def spend_above_limit(router: Router) -> None:
-    """A router that spends its whole grant at any time."""
-    router.account.limits = FreeBook()
+def ignore_limits(router: Router) -> None:
+    """Make a router ignore its spending limits."""
+    router.account.limits = Unlimited()
 
 
-class ForgetfulAccount(Account):
-    """An account that takes an unanswered change for one without effect."""
+class GrantIgnoringDoubt(Account):
+    """A grant that assumes a change in doubt had no effect."""
 
     __slots__ = ()
 
     async def round(self) -> None:
-        """Forget the doubt first."""
+        """Drop the change in doubt before the round."""
         grant = self.grant
-        if grant.doubtful is not None:
-            grant.ledger.available += grant.doubtful.returned
-            grant.doubtful = None
-            grant.books.known = None
+        if grant.in_doubt is not None:
+            grant.ledger.available += grant.in_doubt.returned
+            grant.in_doubt = None
+            grant.cache.rows = None
         await super().round()
 
 
-class GenerousGrant(Grant):
-    """A grant that does not count what it passes on as used."""
+class GrantIgnoringTransfers(Grant):
+    """A grant that does not count given tokens as used."""
 
     __slots__ = ()
 
     def give(self, amount: int) -> None:
-        """Forget the transfer."""
+        """Move tokens out of the ledger only."""
         self.ledger.give(amount)
 
 
-def forget_transfers(router: Router) -> None:
-    """Make a router's grant a generous one."""
-    router.account.grant.__class__ = GenerousGrant
+def ignore_transfers(router: Router) -> None:
+    """Make a router not count given tokens as used."""
+    router.account.grant.__class__ = GrantIgnoringTransfers
 
 
-def forget_doubt(router: Router) -> None:
-    """Make a router's account a forgetful one."""
-    router.account.__class__ = ForgetfulAccount
+def ignore_doubt(router: Router) -> None:
+    """Make a router assume that changes in doubt had no effect."""
+    router.account.__class__ = GrantIgnoringDoubt
 
 
-def nothing(router: Router) -> None:
-    """The protocol as it is."""
+def unchanged(router: Router) -> None:
+    """Leave the protocol unchanged."""
 
 
 VARIANTS = [
-    (nothing, believe_all_is_left),
-    (trust_the_last_renewal, lambda before: before),
-    (spend_above_limit, lambda before: before),
-    (forget_doubt, lambda before: before),
-    (forget_transfers, lambda before: before),
+    (unchanged, assume_nothing_used),
+    (apply_unconfirmed_limits, lambda before: before),
+    (ignore_limits, lambda before: before),
+    (ignore_doubt, lambda before: before),
+    (ignore_transfers, lambda before: before),
 ]
 
 
-@pytest.mark.parametrize(("weaken", "forgive"), VARIANTS)
-async def test_a_weakened_protocol_is_caught(
+@pytest.mark.parametrize(("weaken", "assume"), VARIANTS)
+async def test_missing_safeguard_is_detected(
     weaken: Callable[[Router], None],
-    forgive: Callable[[Predecessor], Predecessor],
+    assume: Callable[[Predecessor], Predecessor],
 ) -> None:
     for seed in range(60):
         try:
-            await Play(seed, weaken, forgive).run()
+            await RandomHistory(seed, weaken, assume).run()
         except AssertionError:
             return
     pytest.fail("no history shows the missing guard")
--- a/tests/prepaid/test_holder_histories.py
+++ b/tests/prepaid/test_holder_histories.py
@@ -1,7 +1,7 @@
-"""Random histories of holders and those who ask them never overspend.
+"""Random sequences with holds at other routers never overspend.
 
-Any router is asked, whether its neighbours take it for a holder or not; answers and
-settlements are lost, late or doubled, and both ends are killed.
+Any router is asked for holds, whether it is a holder or not.  Answers and settlements
+are lost, delayed or repeated, and routers at both ends are killed.
 """
 
 from __future__ import annotations
@@ -14,156 +14,159 @@
 
 from ebonyhold.prepaid import HoldOutcome, LentHolds, WantedHold
 from tests.prepaid.kit import WORKSPACE, Router
-from tests.prepaid.test_histories import Play
+from tests.prepaid.test_histories import RandomHistory
 from tests.virtual import anyio_backend
 
 pytestmark = pytest.mark.anyio
 __all__ = ["anyio_backend"]
 
 LOST = 0.15
-"""The part of answers and of settlements that are lost."""
+"""Fraction of answers and of settlements that are lost."""
 
 
 @frozen
-class Elsewhere:
-    """A request at one router whose tokens another one holds.
+class RemoteRequest:
+    """A request at one router whose tokens another router holds.
 
     Attributes:
-        asker: The life of the router that runs it.
-        holder: The life of the router that holds its tokens.
+        sender: The incarnation of the router that runs the request.
+        holder: The incarnation of the router that holds its tokens.
+        hold: Identifier of the hold.
+        amount: Number of tokens held.
     """
 
-    asker: Router
+    sender: Router
     holder: Router
     hold: str
     amount: int
 
 
 @define(eq=False)
-class HolderPlay(Play):
-    """A random history in which routers hold tokens for each other's requests.
+class RandomHolderHistory(RandomHistory):
+    """A random sequence in which routers hold tokens for each other's requests.
 
     Attributes:
-        lending: Makes the holds of each life of a router.
-        lent: The holds of each life.
-        elsewhere: Requests whose tokens another router holds.
-        told: Settlements that may be heard once more.
+        make_holds: Creates the remote holds of each incarnation of a router.
+        remote: The remote holds of each incarnation.
+        running: Requests whose tokens another router holds.
+        settled: Settlements that may arrive once more.
+        holds: Number of holds requested so far.
     """
 
-    lending: Callable[[Router], LentHolds] = lambda router: holds_of(router)
-    lent: dict[str, LentHolds] = field(factory=dict)
-    elsewhere: list[Elsewhere] = field(factory=list)
-    told: list[tuple[Router, str, int]] = field(factory=list)
+    make_holds: Callable[[Router], LentHolds] = lambda router: holds_of(router)
+    remote: dict[str, LentHolds] = field(factory=dict)
+    running: list[RemoteRequest] = field(factory=list)
+    settled: list[tuple[Router, str, int]] = field(factory=list)
     holds: int = 0
 
     async def start(self, vm: str) -> None:
-        """Start a life; what the one before ran or held is spent at its most."""
+        """Start an incarnation; requests of the previous one cost their whole hold."""
         before = self.routers.get(vm)
-        for run in [r for r in self.elsewhere if before in (r.asker, r.holder)]:
-            self.elsewhere.remove(run)
-            self.cost(run.holder, run.amount)
+        for run in [r for r in self.running if before in (r.sender, r.holder)]:
+            self.running.remove(run)
+            self.record_charge(run.holder, run.amount)
         await super().start(vm)
         router = self.routers[vm]
-        self.lent[router.router] = self.lending(router)
+        self.remote[router.router] = self.make_holds(router)
 
     def check(self) -> None:
-        """Count what runs elsewhere as used at its holder."""
-        running = [(run.holder, run.amount) for run in self.elsewhere]
-        self.held += running
+        """Check the balances, with remote holds counted as used at their holders."""
+        amounts = [(run.holder, run.amount) for run in self.running]
+        self.held += amounts
         try:
             super().check()
         finally:
-            del self.held[len(self.held) - len(running) :]
+            del self.held[len(self.held) - len(amounts) :]
 
-    async def ask(self) -> None:
-        """Have a request hold tokens here, or at another router."""
+    async def start_request(self) -> None:
+        """Start a request, which holds tokens at its own router or at another one."""
         if self.random.random() < 0.4:
-            await super().ask()
+            await super().start_request()
             return
-        asker, holder = self.pick(), self.pick()
+        sender, holder = self.pick(), self.pick()
         self.holds += 1
         amount = self.random.choice([200, 900, 2500])
-        wanted = WantedHold(f"{asker.router}/{self.holds}", WORKSPACE, amount)
-        lent = self.lent[holder.router]
+        wanted = WantedHold(f"{sender.router}/{self.holds}", WORKSPACE, amount)
+        remote = self.remote[holder.router]
         given_up = self.random.random() < LOST
         if given_up and self.random.random() < 0.5:
-            lent.settle(wanted.hold, 0)
-        outcome = await lent.hold(wanted)
+            remote.settle(wanted.hold, 0)
+        outcome = await remote.hold(wanted)
         if given_up:
-            lent.settle(wanted.hold, 0)
+            remote.settle(wanted.hold, 0)
         elif outcome is HoldOutcome.HELD:
-            self.elsewhere.append(Elsewhere(asker, holder, wanted.hold, amount))
+            self.running.append(RemoteRequest(sender, holder, wanted.hold, amount))
 
-    async def settle(self) -> None:
-        """End a request; its holder may hear that late, twice or never."""
-        if not self.elsewhere or self.random.random() < 0.4:
-            await super().settle()
+    async def end_request(self) -> None:
+        """End a request; its settlement may be late, repeated or lost."""
+        if not self.running or self.random.random() < 0.4:
+            await super().end_request()
             return
-        run = self.elsewhere.pop(self.random.randrange(len(self.elsewhere)))
+        run = self.running.pop(self.random.randrange(len(self.running)))
         charge = self.random.choice([0, run.amount // 2, run.amount])
-        self.cost(run.holder, charge)
+        self.record_charge(run.holder, charge)
         if self.random.random() > LOST:
-            self.lent[run.holder.router].settle(run.hold, charge)
-        self.told.append((run.holder, run.hold, charge))
-
-    async def tend(self) -> None:
-        """Look after grants; let old holds expire, and old settlements come again."""
-        await super().tend()
-        if self.told and self.random.random() < 0.5:
-            holder, hold, charge = self.random.choice(self.told)
-            self.lent[holder.router].settle(hold, charge)
+            self.remote[run.holder.router].settle(run.hold, charge)
+        self.settled.append((run.holder, run.hold, charge))
+
+    async def maintain(self) -> None:
+        """Maintain grants, repeat old settlements, and let old holds expire."""
+        await super().maintain()
+        if self.settled and self.random.random() < 0.5:
+            holder, hold, charge = self.random.choice(self.settled)
+            self.remote[holder.router].settle(hold, charge)
         for router in self.routers.values():
             ahead = self.random.choice([0.0, 100.0]) if self.is_quiet(router) else 0.0
-            self.lent[router.router].expire(anyio.current_time() + ahead)
+            self.remote[router.router].expire(anyio.current_time() + ahead)
 
     def is_quiet(self, router: Router) -> bool:
-        """Tell whether no request runs whose tokens a router holds."""
-        return all(run.holder is not router for run in self.elsewhere)
+        """Return whether a router holds no tokens of a running remote request."""
+        return all(run.holder is not router for run in self.running)
 
 
 def holds_of(router: Router) -> LentHolds:
-    """Return the holds of one life of a router."""
+    """Return the remote holds of one incarnation of a router."""
     return LentHolds(lambda workspace: router.account, lambda: False)
 
 
 @pytest.mark.parametrize("seed", range(40))
-async def test_no_history_of_holders_overspends(seed: int) -> None:
-    await HolderPlay(seed).run()
+async def test_random_remote_holds_do_not_overspend(seed: int) -> None:
+    await RandomHolderHistory(seed).run()
 
 
-class ForgivingHolds(LentHolds):
-    """Holds that cost nothing if nobody settles them."""
+class FreeExpiryHolds(LentHolds):
+    """Remote holds that cost nothing if they are never settled."""
 
     __slots__ = ()
 
     def expire(self, now: float) -> None:
-        """Settle what is old with nothing."""
-        for hold, lent in list(self.open.items()):
-            if now >= lent.until:
+        """Settle expired holds with a charge of 0."""
+        for hold, remote in list(self.open.items()):
+            if now >= remote.expires_at:
                 self.settle(hold, 0)
 
 
-class TwiceSettledHolds(LentHolds):
-    """Holds that are ended as often as somebody says so."""
+class RepeatableHolds(LentHolds):
+    """Remote holds that each repeated settlement ends once more."""
 
     __slots__ = ()
 
     def settle(self, hold: str, charge: int) -> None:
-        """Keep the hold open."""
-        lent = self.open.get(hold)
+        """Settle a hold, but keep it open."""
+        remote = self.open.get(hold)
         super().settle(hold, charge)
-        if lent is not None:
-            self.open[hold] = lent
+        if remote is not None:
+            self.open[hold] = remote
 
 
-@pytest.mark.parametrize("weak", [ForgivingHolds, TwiceSettledHolds])
-async def test_a_weakened_holder_is_caught(weak: type[LentHolds]) -> None:
-    def lending(router: Router) -> LentHolds:
+@pytest.mark.parametrize("weak", [FreeExpiryHolds, RepeatableHolds])
+async def test_missing_holder_safeguard_is_detected(weak: type[LentHolds]) -> None:
+    def make_holds(router: Router) -> LentHolds:
         return weak(lambda workspace: router.account, lambda: False)
 
     for seed in range(60):
         try:
-            await HolderPlay(seed, lending=lending).run()
+            await RandomHolderHistory(seed, make_holds=make_holds).run()
         except AssertionError:
             return
     pytest.fail("no history shows the missing guard")
--- a/tests/prepaid/test_holders.py
+++ b/tests/prepaid/test_holders.py
@@ -1,4 +1,4 @@
-"""Which routers hold a workspace's tokens."""
+"""The choice of a workspace's holders among the routers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def fleet(size: int, domains: int) -> dict[str, str]:
-    """Return routers that are spread evenly over failure domains."""
+    """Return routers spread evenly over failure domains."""
     return {f"vm-{n}": f"domain-{n % domains}" for n in range(size)}
 
 
@@ -23,7 +23,7 @@
 def test_each_domain_of_a_large_fleet_has_holders(
     size: int, domains: int, in_each: int
 ) -> None:
-    """Callers of a domain that is cut off would find no tokens in it."""
+    """A domain without a holder would have no tokens while it is cut off."""
     routers = fleet(size, domains)
     for workspace in WORKSPACES:
         chosen = choose_holders(workspace, routers)
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("size", [1, 6, 9, 12])
-def test_all_routers_of_a_small_fleet_hold(size: int) -> None:
+def test_all_routers_of_a_small_fleet_are_holders(size: int) -> None:
     routers = fleet(size, 4)
     assert set(choose_holders("acme", routers)) == set(routers)
 
 
-def test_holding_is_spread_over_the_fleet() -> None:
-    """A router that held many of the workspaces would spend its time on answers."""
+def test_holders_are_spread_over_the_fleet() -> None:
+    """A router that holds many workspaces would be overloaded with hold requests."""
     routers = fleet(195, 6)
     held = Counter(
         name for space in WORKSPACES for name in choose_holders(space, routers)
@@ -46,28 +46,30 @@
     assert max(held.values()) <= 6
 
 
-def test_a_router_that_goes_changes_the_holders_of_its_own_workspaces_only() -> None:
-    """Grants would move between routers whenever any of them restarts."""
+def test_leaving_router_changes_only_holders_of_its_workspaces() -> None:
+    """Other changes would move grants between routers whenever one restarts."""
     routers = fleet(84, 3)
-    rest = {name: domain for name, domain in routers.items() if name != "vm-7"}
+    others = {name: domain for name, domain in routers.items() if name != "vm-7"}
     for workspace in WORKSPACES:
         before = choose_holders(workspace, routers)
-        after = choose_holders(workspace, rest)
+        after = choose_holders(workspace, others)
         if "vm-7" in before:
             assert len(set(before) - set(after)) == 1
         else:
             assert before == after
 
 
-def test_the_order_of_the_rows_does_not_matter() -> None:
-    """Two routers would ask different holders for the same tokens."""
+def test_order_of_the_fleet_does_not_matter() -> None:
+    """Routers read the fleet in different orders, but must choose the same holders."""
     routers = fleet(84, 3)
-    turned = dict(reversed(routers.items()))
+    reversed_fleet = dict(reversed(routers.items()))
     for workspace in WORKSPACES:
-        assert choose_holders(workspace, routers) == choose_holders(workspace, turned)
+        assert choose_holders(workspace, routers) == choose_holders(
+            workspace, reversed_fleet
+        )
 
 
-def test_a_table_names_the_own_domain_first_and_follows_the_fleet() -> None:
+def test_table_lists_own_domain_first_and_follows_the_fleet() -> None:
     table = HolderTable("vm-0", "domain-0")
     assert table.holders("acme").own
     assert table.holders("acme").whole_fleet
--- a/tests/prepaid/test_limits.py
+++ b/tests/prepaid/test_limits.py
@@ -1,4 +1,4 @@
-"""What a router may have used, by the renewals that a successor may find."""
+"""Spending limits from the renewals that a successor may find in the store."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def in_doubt(age: float) -> LimitBook:
-    """Return the limits after a renewal, and one in doubt so much later."""
-    book = LimitBook()
-    book.took_effect(book.propose(WANTED, 0.0).number)
-    book.propose(WANTED, age)
-    return book
+    """Return the limits after a confirmed renewal at 0 s and one in doubt at an age."""
+    limits = LimitBook()
+    limits.took_effect(limits.propose(WANTED, 0.0).number)
+    limits.propose(WANTED, age)
+    return limits
 
 
 RATES = [
-    # the age of the renewal that arrived, and the growth within the next second
+    # age of the confirmed renewal, and growth of the limit within the next second
     (0.4, 10),
     (2.0, 10),
     (3.0, 100),
@@ -26,26 +26,26 @@
 
 
 @pytest.mark.parametrize(("age", "growth"), RATES)
-def test_a_renewal_after_one_in_doubt_grows_as_its_age_allows(
+def test_growth_after_a_renewal_in_doubt_depends_on_age(
     age: float, growth: int
 ) -> None:
-    """The store loses an answer, the next renewal arrives, and all VMs lose power.
+    """A renewal is in doubt, the next one is confirmed, and all VMs lose power.
 
-    The later rate from the first moment lost a tenth of a budget.  In a long outage it
-    must stay: each renewal in doubt would else start the early time anew.
+    Growth at the later rate from the start lost a tenth of a budget.  In a long outage
+    that rate must stay, since each renewal in doubt would restart the early period.
     """
-    book = in_doubt(age)
-    renewal = book.propose(WANTED, age)
-    book.took_effect(renewal.number)
-    before = book.limit("acme", age)
-    assert book.limit("acme", age + 1.0) - before == pytest.approx(growth, abs=1)
+    limits = in_doubt(age)
+    renewal = limits.propose(WANTED, age)
+    limits.took_effect(renewal.number)
+    before = limits.limit("acme", age)
+    assert limits.limit("acme", age + 1.0) - before == pytest.approx(growth, abs=1)
 
 
-def test_no_renewal_in_doubt_lowers_a_limit() -> None:
-    book = in_doubt(5.0)
-    allowed = book.limit("acme", 5.0)
+def test_renewals_in_doubt_do_not_lower_a_limit() -> None:
+    limits = in_doubt(5.0)
+    allowed = limits.limit("acme", 5.0)
     for number in range(1, 6):
         now = 5.0 + number * 0.5
-        assert book.limit("acme", now) >= allowed
-        allowed = book.limit("acme", now)
-        book.propose(WANTED, now)
+        assert limits.limit("acme", now) >= allowed
+        allowed = limits.limit("acme", now)
+        limits.propose(WANTED, now)
--- a/tests/prepaid/test_purse.py
+++ b/tests/prepaid/test_purse.py
@@ -1,4 +1,4 @@
-"""Where one request's tokens are held, and what holders do for other routers."""
+"""Request holds, and the holds that holders keep for other routers."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 @define(eq=False)
 class Answers:
-    """Holders that answer as they are told.
+    """Fake holders with fixed answers.
 
     Attributes:
-        outcomes: What each holder answers.
-        asked: Who was asked, in turn.
-        settled: What was told to whom.
+        outcomes: The answer of each holder.
+        asked: The holders that were asked, in order.
+        settled: The settlements, each with its holder, hold and charge.
     """
 
     outcomes: dict[str, HoldOutcome]
@@ -44,17 +44,17 @@
     settled: list[tuple[str, str, int]] = field(factory=list)
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Answer a question."""
+        """Record a request for a hold and return the fixed answer."""
         self.asked.append(peer)
         return self.outcomes[peer]
 
     def settle(self, peer: str, hold: str, charge: int) -> None:
-        """Note a settlement."""
+        """Record a settlement."""
         self.settled.append((peer, hold, charge))
 
 
 async def started() -> Router:
-    """Return a router that may use tokens."""
+    """Return a router whose first renewal is confirmed."""
     one = router(RowHistory())
     await one.renewals.step()
     return one
@@ -70,18 +70,18 @@
         ([], [], None),
     ],
 )
-async def test_holders_are_asked_in_turn_and_the_own_account_last(
+async def test_holders_are_tried_in_turn_and_the_own_grant_last(
     outcomes: Sequence[HoldOutcome], asked: list[str], holder: str | None
 ) -> None:
-    """Callers would be refused while the holders of their workspace restart."""
+    """Otherwise callers would be refused while their workspace's holders restart."""
     names = [f"h{n}" for n in range(len(outcomes))]
     answers = Answers(dict(zip(names, outcomes, strict=True)))
     one = await started()
-    purse = RequestPurse(WORKSPACE, lambda: one.account, names, answers, "vm-1.a/1")
-    await purse.hold(900, "r")
+    hold = RequestPurse(WORKSPACE, lambda: one.account, names, answers, "vm-1.a/1")
+    await hold.hold(900, "r")
     assert answers.asked == asked
     assert one.account.grant.ledger.held == (0 if holder else 900)
-    purse.settle(900, 300)
+    hold.settle(900, 300)
     assert one.account.grant.charged == (0 if holder else 300)
     assert answers.settled == ([(holder, "vm-1.a/1", 300)] if holder else [])
 
@@ -90,123 +90,125 @@
     ("outcome", "error"),
     [(EXHAUSTED, BudgetExhaustedError), (UNREACHABLE, BudgetUnreachableError)],
 )
-async def test_a_holder_that_refuses_decides(
+async def test_refusal_of_a_holder_is_final(
     outcome: HoldOutcome, error: type[Exception]
 ) -> None:
-    """Each refused request would else draw a piece of the budget at its own router."""
+    """Otherwise each refused request would draw tokens to its own router."""
     one = await started()
     answers = Answers({"h0": outcome, "h1": HELD})
-    purse = RequestPurse(WORKSPACE, lambda: one.account, ["h0", "h1"], answers, "1")
+    hold = RequestPurse(WORKSPACE, lambda: one.account, ["h0", "h1"], answers, "1")
     with pytest.raises(error):
-        await purse.hold(900, "r")
+        await hold.hold(900, "r")
     assert answers.asked == ["h0"]
 
 
 @define(eq=False)
-class Lender:
-    """A router that holds tokens for others."""
+class HolderRouter:
+    """A router with its remote holds."""
 
     router: Router
     stopping: bool = False
-    lent: LentHolds = field(init=False)
+    remote: LentHolds = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.lent = LentHolds(self.find, lambda: self.stopping)
+        self.remote = LentHolds(self.find, lambda: self.stopping)
 
     def find(self, workspace: str) -> Account | None:
-        """Return the account of the one workspace that there is."""
+        """Return the grant of the only workspace."""
         return self.router.account if workspace == WORKSPACE else None
 
     @property
-    def books(self) -> tuple[int, int]:
-        """Return what is held and what was charged."""
+    def balances(self) -> tuple[int, int]:
+        """Tokens held and tokens charged."""
         grant = self.router.account.grant
         return grant.ledger.held, grant.charged
 
 
-async def lender() -> Lender:
-    """Return a router that holds tokens for others."""
-    return Lender(await started())
+async def holder_router() -> HolderRouter:
+    """Return a router that can hold tokens for other routers."""
+    return HolderRouter(await started())
 
 
 def wanted(hold: str = "vm-2.a/1", amount: int = 900) -> WantedHold:
-    """Return what another router asks for."""
+    """Return another router's request for a hold."""
     return WantedHold(hold, WORKSPACE, amount, "r")
 
 
 @pytest.mark.parametrize(
     ("charge", "charged"), [(300, 300), (0, 0), (900, 900), (5_000, 900), (-7, 0)]
 )
-async def test_a_hold_ends_with_what_it_cost(charge: int, charged: int) -> None:
-    one = await lender()
-    assert await one.lent.hold(wanted()) is HELD
-    assert one.books == (900, 0)
-    one.lent.settle("vm-2.a/1", charge)
-    assert one.books == (0, charged)
-    one.lent.settle("vm-2.a/1", 0)
-    assert one.books == (0, charged)
-
-
-async def test_a_hold_that_was_given_up_before_it_came_holds_nothing() -> None:
-    """A question that was late held its tokens for a minute, for nobody."""
-    one = await lender()
-    one.lent.settle("vm-2.a/1", 0)
-    assert await one.lent.hold(wanted()) is UNAVAILABLE
-    assert one.books == (0, 0)
-
-
-async def test_a_hold_of_a_killed_router_is_charged_in_full() -> None:
-    """Its request may have run, and only its router knew what it cost."""
-    one = await lender()
-    assert await one.lent.hold(wanted()) is HELD
-    one.lent.expire(anyio.current_time() + 50.0)
-    assert one.books == (900, 0)
-    one.lent.expire(anyio.current_time() + 60.0)
-    assert one.books == (0, 900)
-    one.lent.settle("vm-2.a/1", 0)
-    assert one.books == (0, 900)
-
-
-async def test_a_stopping_holder_sends_requests_elsewhere() -> None:
-    """Tokens that it held meanwhile would stay out with its grant."""
-    one = await lender()
+async def test_settlement_charges_the_cost_once(charge: int, charged: int) -> None:
+    one = await holder_router()
+    assert await one.remote.hold(wanted()) is HELD
+    assert one.balances == (900, 0)
+    one.remote.settle("vm-2.a/1", charge)
+    assert one.balances == (0, charged)
+    one.remote.settle("vm-2.a/1", 0)
+    assert one.balances == (0, charged)
+
+
+async def test_hold_settled_before_it_arrives_holds_nothing() -> None:
+    """A delayed hold request, already settled, kept tokens held for a minute."""
+    one = await holder_router()
+    one.remote.settle("vm-2.a/1", 0)
+    assert await one.remote.hold(wanted()) is UNAVAILABLE
+    assert one.balances == (0, 0)
+
+
+async def test_expired_hold_is_charged_in_full() -> None:
+    """The request may have run, and its cost is unknown to the holder."""
+    one = await holder_router()
+    assert await one.remote.hold(wanted()) is HELD
+    one.remote.expire(anyio.current_time() + 50.0)
+    assert one.balances == (900, 0)
+    one.remote.expire(anyio.current_time() + 60.0)
+    assert one.balances == (0, 900)
+    one.remote.settle("vm-2.a/1", 0)
+    assert one.balances == (0, 900)
+
+
+async def test_stopping_holder_is_unavailable() -> None:
+    """Tokens held during the stop would not be returned with the grant."""
+    one = await holder_router()
     one.stopping = True
-    assert await one.lent.hold(wanted()) is UNAVAILABLE
-    assert one.books == (0, 0)
+    assert await one.remote.hold(wanted()) is UNAVAILABLE
+    assert one.balances == (0, 0)
 
 
 @pytest.mark.parametrize(("spent", "outcome"), [(0, UNREACHABLE), (99_500, EXHAUSTED)])
-async def test_a_holder_says_why_it_refuses(spent: int, outcome: HoldOutcome) -> None:
-    """A refusal for good that is not true keeps callers from coming back."""
-    one = await lender()
+async def test_holder_reports_the_reason_of_a_refusal(
+    spent: int, outcome: HoldOutcome
+) -> None:
+    """A wrong EXHAUSTED would stop callers from retrying."""
+    one = await holder_router()
     if spent:
-        assert await one.lent.hold(wanted("first", spent)) is HELD
-        one.lent.settle("first", spent)
+        assert await one.remote.hold(wanted("first", spent)) is HELD
+        one.remote.settle("first", spent)
         await one.router.account.close()
         one.router.account.closing = False
     else:
         one.router.store.faults.down = True
-    assert await one.lent.hold(wanted()) is outcome
+    assert await one.remote.hold(wanted()) is outcome
 
 
-async def test_a_router_that_holds_no_more_returns_its_grant() -> None:
-    """Tokens would stay with each router that once was a holder."""
+async def test_former_holder_returns_its_grant() -> None:
+    """Otherwise tokens would stay at each router that was a holder before."""
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
     await one.account.hold(900, "r")
     one.account.settle(900, 400)
-    one.account.holding = lambda: False
+    one.account.is_holder = lambda: False
     await one.account.tick()
     assert budget(history).budget.outstanding == 0
     assert one.account.grant.ledger.available == 0
 
 
-async def test_a_router_that_is_no_holder_draws_what_a_request_needs() -> None:
-    """It is asked when no holder answers, and must not keep more than that."""
+async def test_router_that_is_no_holder_draws_only_the_amount() -> None:
+    """A router draws itself if no holder answers, and must not keep extra tokens."""
     history = RowHistory()
     one = router(history)
-    one.account.holding = lambda: False
+    one.account.is_holder = lambda: False
     await one.renewals.step()
     await one.account.hold(900, "r")
     assert budget(history).budget.outstanding == 900
--- a/tests/prepaid/test_reclaim.py
+++ b/tests/prepaid/test_reclaim.py
@@ -1,4 +1,4 @@
-"""What a killed router left goes to its successor, once."""
+"""A successor reclaims the unused tokens of a killed router exactly once."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from ebonyhold.standins import RowHistory
 from tests.prepaid.kit import (
     WORKSPACE,
-    Loss,
+    Fault,
     delay_effect,
     grants,
-    killed_after_use,
     lose_answer,
     lose_request,
+    successor_of_killed,
 )
 from tests.virtual import anyio_backend
 
@@ -24,33 +24,43 @@
 __all__ = ["anyio_backend"]
 
 
-async def test_a_successor_takes_what_was_left_without_the_budgets_row() -> None:
-    """All VMs lose their power at once, and all their successors want their tokens.
+async def test_reclaim_does_not_write_the_budget_row() -> None:
+    """All VMs lose power at once, and all successors reclaim grants of the same budget.
 
-    When each returned them to the budget, 84 routers met at each row, and a conflict
-    costs the store as much as a write: some tokens came back after 5 s.
+    When they returned the tokens to the budget row, 84 routers wrote it at once.  Each
+    conflict costs the store as much as a write, and some tokens came back after 5 s.
     """
     history = RowHistory()
-    two = await killed_after_use(history)
+    two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
     version = history.rows[budget_row_key(WORKSPACE)].version
-    await two.account.inherit(before)
+    await two.account.reclaim(before)
     assert history.rows[budget_row_key(WORKSPACE)].version == version
-    one, other = grants(history)["vm-1.a"], grants(history)["vm-1.b"]
-    assert one.returned == other.drawn == two.account.grant.ledger.available > 0
-    assert one.drawn - one.returned >= 1000
+    predecessor, successor = grants(history)["vm-1.a"], grants(history)["vm-1.b"]
+    assert (
+        predecessor.returned
+        == successor.drawn
+        == two.account.grant.ledger.available
+        > 0
+    )
+    assert predecessor.drawn - predecessor.returned >= 1000
 
 
 @pytest.mark.parametrize("lose", [lose_answer, lose_request, delay_effect])
-async def test_an_inheritance_in_doubt_counts_once(lose: Loss) -> None:
-    """The answer to it is lost; it took effect, or not, or does so late."""
+async def test_reclaim_in_doubt_counts_once(lose: Fault) -> None:
+    """The outcome of a reclaim is unknown: it took effect, did not, or does so late."""
     history = RowHistory()
-    two = await killed_after_use(history)
+    two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
     lose(two)
     with pytest.raises(UnknownOutcomeError):
-        await two.account.inherit(before)
-    await two.account.inherit(before)
+        await two.account.reclaim(before)
+    await two.account.reclaim(before)
     await two.store.faults.flush()
-    one, other = grants(history)["vm-1.a"], grants(history)["vm-1.b"]
-    assert one.returned == other.drawn == two.account.grant.ledger.available > 0
+    predecessor, successor = grants(history)["vm-1.a"], grants(history)["vm-1.b"]
+    assert (
+        predecessor.returned
+        == successor.drawn
+        == two.account.grant.ledger.available
+        > 0
+    )
--- a/tests/prepaid/test_transfers.py
+++ b/tests/prepaid/test_transfers.py
@@ -1,4 +1,4 @@
-"""Tokens reach the request that needs them, whichever router holds them."""
+"""Transfers bring tokens to the router whose request needs them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @define(eq=False)
 class Fleet:
-    """Three routers that share one budget and reach each other."""
+    """Three routers that share one budget and can reach each other."""
 
     history: RowHistory = field(factory=RowHistory)
     routers: dict[str, Router] = field(factory=dict)
@@ -34,9 +34,9 @@
         for vm, router in self.routers.items():
             router.account.peers = Peers(vm, self.routers)
 
-    async def start(self, *stock: int) -> list[Router]:
-        """Let each router hold as much as is named, free to be used."""
-        for router, amount in zip(self.routers.values(), stock, strict=True):
+    async def start(self, *available: int) -> list[Router]:
+        """Start the routers, each with at least the given available tokens."""
+        for router, amount in zip(self.routers.values(), available, strict=True):
             await router.renewals.step()
             if amount:
                 await router.account.hold(amount, "first")
@@ -44,15 +44,15 @@
             await router.renew()
         return list(self.routers.values())
 
-    def cut(self) -> None:
-        """Take the store from all routers."""
+    def disconnect_store(self) -> None:
+        """Disconnect all routers from the store."""
         for router in self.routers.values():
             router.store.faults.down = True
 
 
-async def cut_until_limits_are_open(fleet: Fleet) -> None:
-    """Cut the store off for so long that limits have grown by an outage's demand."""
-    fleet.cut()
+async def disconnect_until_limits_grow(fleet: Fleet) -> None:
+    """Disconnect the store long enough for the limits to grow by the outage demand."""
+    fleet.disconnect_store()
     for router in fleet.routers.values():
         for _ in range(2):
             await router.renew()
@@ -60,36 +60,37 @@
 
 
 @pytest.mark.parametrize(
-    ("stock", "wanted", "served"),
+    ("available", "wanted", "served"),
     [
         ((0, 6_000, 0), 4_000, True),
         ((500, 3_000, 3_000), 5_000, True),
         ((0, 6_000, 6_000), 30_000, False),
     ],
 )
-async def test_neighbours_serve_what_a_router_lacks_in_an_outage(
-    stock: tuple[int, ...], wanted: int, served: bool
+async def test_transfers_serve_an_empty_grant_in_an_outage(
+    available: tuple[int, ...], wanted: int, served: bool
 ) -> None:
-    """Callers of one router were refused for tokens that lay idle at its neighbours.
+    """A router with an empty grant gets idle tokens of others in an outage.
 
-    It had just restarted, and its grant was empty, when all routers lost the store.
-    They reached each other all the while.
+    A router had just restarted when all routers lost the store.  It refused requests
+    although the other routers were reachable and had unused tokens.
     """
     fleet = Fleet()
-    one, *others = await fleet.start(*stock)
-    await cut_until_limits_are_open(fleet)
+    one, *others = await fleet.start(*available)
+    await disconnect_until_limits_grow(fleet)
     before = [other.account.grant.ledger.available for other in others]
     if served:
         await one.account.hold(wanted, "r")
     else:
         with pytest.raises(BudgetUnreachableError):
             await one.account.hold(wanted, "r")
-        # What cannot serve the request stays where smaller ones may need it.
+        # Too few tokens for the request are not transferred; smaller requests at the
+        # other routers may need them.
         assert [o.account.grant.ledger.available for o in others] == before
 
 
-async def test_a_router_cut_off_alone_draws_through_a_neighbour() -> None:
-    """The budget was full, and callers of the one cut-off router were refused."""
+async def test_disconnected_router_draws_through_another() -> None:
+    """One router loses the store; the others can draw on the full budget for it."""
     fleet = Fleet()
     one, _, _ = await fleet.start(0, 1_000, 0)
     one.store.faults.down = True
@@ -99,10 +100,10 @@
 
 
 async def test_transfers_are_filed_at_both_ends() -> None:
-    """The grants' rows add up to what the budget says is out."""
+    """Otherwise the grant rows would not add up to the outstanding tokens."""
     fleet = Fleet()
     one, two, three = await fleet.start(0, 6_000, 0)
-    await cut_until_limits_are_open(fleet)
+    await disconnect_until_limits_grow(fleet)
     await one.account.hold(4_000, "r")
     one.account.settle(4_000, 1_500)
     for router in (one, two, three):
@@ -118,8 +119,8 @@
     assert (after.spent, after.outstanding) == (1_500, 0)
 
 
-async def test_a_stopping_router_passes_nothing_on() -> None:
-    """Its grant is being returned, and what it gave meanwhile would count twice."""
+async def test_stopping_router_gives_no_tokens() -> None:
+    """Tokens given while the grant is returned would be counted twice."""
     fleet = Fleet()
     _, two, _ = await fleet.start(0, 6_000, 0)
     await two.account.close()
@@ -138,7 +139,7 @@
         ([("a", 5)], 0, []),
     ],
 )
-def test_givers(
+def test_choose_givers(
     offers: Sequence[tuple[str, int]], lacking: int, givers: list[str]
 ) -> None:
     assert choose_givers([Offer(*offer) for offer in offers], lacking) == givers
