--- a/tests/prepaid/test_treasury.py
+++ b/tests/prepaid/test_treasury.py
@@ -1,4 +1,4 @@
-"""All accounts of a router: its stop, and what one that fails does to the others."""
+"""All grants of a router: their return at a stop, and failures of a single grant."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     Router,
     budget,
     grants,
-    killed_after_use,
     router,
+    successor_of_killed,
 )
 from tests.virtual import anyio_backend
 
@@ -29,9 +29,9 @@
 __all__ = ["anyio_backend"]
 
 
-def treasury_of(one: Router) -> Treasury:
-    """Return a treasury with the one account of a router."""
-    treasury = Treasury(
+def manager_of(one: Router) -> Treasury:
+    """Return a grant manager with the one grant of a router."""
+    manager = Treasury(
         one.router,
         one.store,
         lambda name: (1, 100_000),
@@ -41,80 +41,80 @@
         one.renew,
         one.renewals.in_touch,
     )
-    treasury.accounts[WORKSPACE] = one.account
-    return treasury
+    manager.accounts[WORKSPACE] = one.account
+    return manager
 
 
-async def test_a_stopping_router_returns_all_it_can_in_its_time() -> None:
-    """A router is told to stop while others write the same budgets, and is slow.
+async def test_stopping_router_retries_returns_until_its_timeout() -> None:
+    """A stopping router keeps retrying while the store throttles its writes.
 
-    It gave up after 0.6 s of its 8 s; 494,000 tokens of four budgets stayed out, and
-    since its presence was removed, its successor did not look for them.
+    A router whose writes were slow, since others wrote the same budgets, gave up after
+    0.6 s of the 8 s it had.  494,000 tokens of four budgets were not returned, and its
+    successor did not reclaim them, since the row of its limits was removed.
     """
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
     await one.account.hold(1000, "r")
     one.account.grant.settle(1000, 400)
-    treasury = treasury_of(one)
+    manager = manager_of(one)
     one.store.faults.throttled = 6
-    assert await treasury.close(5.0)
+    assert await manager.close(5.0)
     assert budget(history).budget.outstanding == 0
 
 
-async def test_a_stopping_router_says_what_it_could_not_return() -> None:
+async def test_stopping_router_reports_grants_not_returned() -> None:
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
     await one.account.hold(1000, "r")
-    treasury = treasury_of(one)
+    manager = manager_of(one)
     one.store.faults.down = True
-    assert not await treasury.close(2.0)
+    assert not await manager.close(2.0)
 
 
-async def test_a_stopping_router_draws_nothing_after_its_return() -> None:
-    """A router returns its grants as it stops, and a moment later draws them again.
+async def test_stopping_router_draws_nothing_after_its_return() -> None:
+    """A stopping router must not draw again after it has returned its grants.
 
-    The task that keeps grants filled went on until the process ended, so each planned
-    stop left whole grants out: with three stops in a day a third of one budget.
+    The periodic rounds continued until the process ended and drew the grants again.
+    With three planned stops in a day, a third of one budget was not returned.
     """
     history = RowHistory()
     one = router(history)
     await one.renew()
     await one.account.hold(1000, "r")
     one.account.grant.settle(1000, 400)
-    treasury = treasury_of(one)
+    manager = manager_of(one)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(treasury.run)
+        tasks.start_soon(manager.run)
         await anyio.sleep(2.0)
-        assert await treasury.close(5.0)
+        assert await manager.close(5.0)
         await anyio.sleep(2.0)
         tasks.cancel_scope.cancel()
     assert budget(history).budget.outstanding == 0
 
 
 @pytest.mark.parametrize("late", ["stock", "request"])
-async def test_a_stopping_router_opens_no_further_grants(late: str) -> None:
-    """A workspace misses the tokens of one whole grant after each planned stop.
+async def test_grant_opened_during_the_return_draws_nothing(late: str) -> None:
+    """A grant is opened and draws tokens while a stopping router returns its grants.
 
-    While a stopping router returns its grants, the task that opens accounts ahead of
-    their first request opens another one, or a request does, and it draws; the return
-    knew only the accounts that there were when it began.  Seen while reading what may
-    change during the return's awaits.
+    Either a request opens it, or the task that opens grants ahead of requests.  The
+    return covers only grants that were open when it began, so after each planned stop
+    the tokens of one whole grant would be missing.
     """
     history = RowHistory()
     one = router(history)
     await one.renew()
     await one.account.hold(1000, "r")
-    treasury = treasury_of(one)
-    treasury.workspaces = lambda: [WORKSPACE, "blue"]
+    manager = manager_of(one)
+    manager.workspaces = lambda: [WORKSPACE, "blue"]
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(treasury.run)
+        tasks.start_soon(manager.run)
         one.store.faults.down = True
-        tasks.start_soon(treasury.close, 30.0)
+        tasks.start_soon(manager.close, 30.0)
         await anyio.sleep(10.0)
         if late == "request":
-            assert treasury.account("blue") is not None
+            assert manager.account("blue") is not None
         one.store.faults.down = False
         await one.renew()
         await anyio.sleep(10.0)
@@ -123,22 +123,22 @@
     assert row is None or from_json(row.value, PrepaidRow).budget.outstanding == 0
 
 
-async def test_a_stopping_router_opens_no_further_accounts() -> None:
-    """A router returns its grants as it stops, and stocks a workspace meanwhile.
+async def test_grant_opened_after_the_return_draws_nothing() -> None:
+    """A router that has returned its grants opens another one before it exits.
 
-    The grant of the new account was drawn after the list of those to return was read.
-    Its row of limits then went, so that no successor looked for the tokens either.
+    The tokens of the new grant were drawn after the list of grants to return was read.
+    The row of limits was then removed, so no successor reclaimed them either.
     """
     history = RowHistory()
     one = router(history)
     await one.renew()
-    treasury = treasury_of(one)
-    del treasury.accounts[WORKSPACE]
+    manager = manager_of(one)
+    del manager.accounts[WORKSPACE]
     async with anyio.create_task_group() as tasks:
-        assert await treasury.close(5.0)
-        tasks.start_soon(treasury.run)
+        assert await manager.close(5.0)
+        tasks.start_soon(manager.run)
         await anyio.sleep(30.0)
-        late = treasury.account(WORKSPACE)
+        late = manager.account(WORKSPACE)
         assert late is not None
         with pytest.raises(BudgetUnreachableError):
             await late.hold(1000, "r")
@@ -146,35 +146,35 @@
     assert budget(history).budget.outstanding == 0
 
 
-async def test_a_stopping_router_inherits_nothing_any_more() -> None:
-    """A router is told to stop while it takes over what its predecessor left.
+async def test_stopping_router_reclaims_nothing() -> None:
+    """A router is stopped before it has reclaimed its predecessor's grant.
 
-    What it took after its own return stayed in its grant, and nobody returned it.
+    Tokens reclaimed after the return of its own grant were never returned.
     """
     history = RowHistory()
-    two = await killed_after_use(history)
+    two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
     left = budget(history).budget.outstanding
-    treasury = treasury_of(two)
-    assert await treasury.close(5.0)
-    assert not await treasury.reclaim(before)
+    manager = manager_of(two)
+    assert await manager.close(5.0)
+    assert not await manager.reclaim(before)
     one, other = grants(history)["vm-1.a"], grants(history).get("vm-1.b")
     assert one.returned == 0
     assert other is None or other.drawn == other.returned
     assert budget(history).budget.outstanding == left
 
 
-async def test_a_stop_waits_for_an_inheritance_under_way() -> None:
-    """What is taken over just before the return is returned with the rest."""
+async def test_stop_waits_for_a_running_reclaim() -> None:
+    """Tokens reclaimed just before the return must be returned with the rest."""
     history = RowHistory()
-    two = await killed_after_use(history)
+    two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
-    treasury = treasury_of(two)
+    manager = manager_of(two)
     two.store.faults.answer_delay = 0.05
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(treasury.reclaim, before)
+        tasks.start_soon(manager.reclaim, before)
         await anyio.sleep(0.01)
-        assert await treasury.close(5.0)
+        assert await manager.close(5.0)
     other = grants(history)["vm-1.b"]
     assert other.drawn == other.returned > 0
 
@@ -183,19 +183,19 @@
 
 
 @pytest.mark.parametrize("value", DAMAGED)
-async def test_a_damaged_budget_harms_its_workspace_only(value: Json) -> None:
-    """Somebody else wrote into a budget's row what is none.
+async def test_damaged_budget_row_affects_only_its_workspace(value: Json) -> None:
+    """Another client writes an invalid value to a budget row.
 
-    Each router that read it met an error that is not the store's, in the middle of its
-    rounds over all budgets.
+    Routers that read it raised an error that was not handled as a store error, which
+    ended their rounds for all budgets.
     """
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
     history.apply(Transaction((), (Put(budget_row_key(WORKSPACE), value),)))
-    treasury = treasury_of(one)
+    manager = manager_of(one)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(treasury.run)
+        tasks.start_soon(manager.run)
         await anyio.sleep(2.0)
         with pytest.raises(BudgetUnreachableError):
             await one.account.hold(1000, "r")
@@ -205,22 +205,22 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_one_account_that_fails_keeps_no_other_from_its_return(
+async def test_failing_grant_does_not_prevent_other_returns(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A router stops, since the books of one budget are in doubt, and returns the rest.
+    """A router stops after an unexpected error in one grant, and returns the others.
 
-    The error of the one account ended the return of all, and with it the stop: the
-    requests that were still open were cut, and the other budgets missed their grants.
+    The error of the one grant ended the return of all grants and the stop.  Open
+    requests were cut, and the other grants were not returned.
     """
     history = RowHistory()
     one = router(history)
     await one.renew()
     await one.account.hold(1000, "r")
     one.account.grant.settle(1000, 400)
-    treasury = treasury_of(one)
-    treasury.workspaces = lambda: [WORKSPACE, "blue"]
-    blue = treasury.account("blue")
+    manager = manager_of(one)
+    manager.workspaces = lambda: [WORKSPACE, "blue"]
+    blue = manager.account("blue")
     assert blue is not None
     close = Account.close
 
@@ -234,8 +234,8 @@
     before = anyio.current_time()
     async with anyio.create_task_group() as tasks:
         supervisor = Supervisor(tasks, lambda *what: counted.append(what), lambda: None)
-        treasury.guard = partial(supervisor.guard, "return")
-        assert not await treasury.close(5.0)
+        manager.guard = partial(supervisor.guard, "return")
+        assert not await manager.close(5.0)
     assert anyio.current_time() - before < 1.0
     assert budget(history).budget.outstanding == 0
     assert counted == [("return", "ends alone")]
