--- a/ebonyhold/prepaid/_account.py
+++ b/ebonyhold/prepaid/_account.py
@@ -42,7 +42,7 @@
 log = logging.getLogger(__name__)
 
 MAX_ATTEMPTS = 12
-"""Attempts of one round when other routers write the same budget."""
+"""Maximum attempts of one round when other routers change the same budget row."""
 
 CONFLICT_BACKOFF: Seconds = 0.02
 """Maximum delay after a first conflict; it doubles with each further one.
@@ -72,7 +72,7 @@
             router; 0 if unknown.
         limits: The spending limits of this router's renewals.
         renew: Renews the limits in the store immediately.
-        in_touch: Returns whether renewals currently reach the store.
+        can_renew: Returns whether renewals currently reach the store.
         peers: The other routers, for transfers; None if there are none to ask.
         is_holder: Returns whether this router is a holder of the workspace.
         options: The options of the prepaid budgets.
@@ -94,7 +94,7 @@
     default_typical: Callable[[], float]
     limits: LimitBook
     renew: Callable[[], Coroutine[None, None, None]]
-    in_touch: Callable[[], bool]
+    can_renew: Callable[[], bool]
     peers: TransferPeers | None = None
     is_holder: Callable[[], bool] = lambda: True
     options: PrepaidOptions = field(factory=PrepaidOptions)
@@ -141,7 +141,7 @@
         """
         if self.try_hold(amount):
             return
-        if self.reachable and self.in_touch():
+        if self.reachable and self.can_renew():
             with anyio.move_on_after(self.options.draw_timeout):
                 await self.obtain(amount)
                 if self.try_hold(amount):
@@ -154,14 +154,14 @@
         self.log_refusal(amount, request)
         if self.is_exhausted(amount):
             raise BudgetExhaustedError(
-                f"{self.workspace}: {amount} tokens exceed the rest of the budget"
+                f"{self.workspace}: {amount} tokens exceed the unspent budget"
             )
         raise BudgetUnreachableError(
             f"{self.workspace}: {amount} tokens could not be obtained in time"
         )
 
     def is_exhausted(self, amount: Tokens) -> bool:
-        """Return whether the budget cannot cover a request, as currently configured."""
+        """Return whether a request exceeds the budget even with all grants returned."""
         rows = self.grant.cache.rows or GrantRows()
         prepaid = self.apply_configuration(rows.budget).budget.prepaid
         return self.grant.cache.is_exhausted(amount, self.grant.ledger, prepaid)
@@ -182,7 +182,7 @@
 
     @property
     def usable(self) -> Tokens:
-        """Available tokens that the limit allows to use now."""
+        """Available tokens that may be used within the current limit."""
         headroom = self.limit() - self.grant.used
         return max(0, min(self.grant.ledger.available, headroom))
 
@@ -190,18 +190,18 @@
     def offer(self) -> Tokens:
         """Number of tokens that other routers may request from this one.
 
-        While the store is reachable this includes what the budget itself has left.  A
-        router that alone has lost the store can so draw through others.
+        While the store is reachable this includes what the budget itself has left, so
+        a router without a connection to the store can draw tokens through this one.
         """
         if self.closing:
             return 0
-        if self.reachable and self.in_touch():
+        if self.reachable and self.can_renew():
             return self.grant.ledger.available + max(0, self.budget.remaining)
         return self.usable
 
     async def give(self, amount: Tokens) -> Tokens:
         """Give tokens to another router on request; return how many were given."""
-        if amount > self.usable and self.reachable and self.in_touch():
+        if amount > self.usable and self.reachable and self.can_renew():
             with anyio.move_on_after(self.options.draw_timeout):
                 await self.obtain(amount)
         # The process may have begun to return the grant during the wait above.
@@ -225,7 +225,7 @@
                 "remaining": budget.remaining,
                 "budget_age": round(self.grant.cache.age(), 2),
                 "limit_age": round(self.limits.age(anyio.current_time()), 2),
-                "store_reachable": self.reachable and self.in_touch(),
+                "store_reachable": self.reachable and self.can_renew(),
             },
         )
 
@@ -255,7 +255,7 @@
                 )
 
     async def tick(self) -> None:
-        """Draw ahead of demand, return excess tokens and file charges, as needed.
+        """Run a periodic round: draw in advance, return excess tokens, file charges.
 
         Raises:
             PlatformError: The store call failed.
@@ -281,8 +281,9 @@
         """Reclaim the tokens that a predecessor provably left unused.
 
         Returns:
-            Whether the grant is dealt with.  A process that is shutting down leaves
-            it to the next one, since it may already have returned its own grant.
+            False if this process is shutting down, else True.  A process that is
+            shutting down may already have returned its own grant, so it leaves the
+            tokens to the next incarnation.
 
         Raises:
             PlatformError: The store call failed.
--- a/ebonyhold/prepaid/_allowance.py
+++ b/ebonyhold/prepaid/_allowance.py
@@ -31,10 +31,10 @@
 
 
 HEADROOM_RENEWALS = 4.0
-"""Expected demand for which a renewal leaves headroom, in renewal delays."""
+"""Headroom of a renewal: the expected demand during this many renewal delays."""
 
 MAX_HEADROOM = 2.0
-"""Maximum headroom that a renewal leaves, in requests of the typical size."""
+"""Maximum headroom of a renewal, in requests of the typical size."""
 
 
 @frozen
--- a/ebonyhold/prepaid/_books.py
+++ b/ebonyhold/prepaid/_books.py
@@ -21,14 +21,14 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 REREAD_INTERVAL: Seconds = 0.2
-"""Minimum time between two budget reads for requests that need more than it has left.
+"""Minimum time between budget reads while requests need more than it has left.
 
 Otherwise each refused request would cost two store calls.  Five reads a second for
 each workspace are enough to notice tokens that other routers return.
 """
 
 MAX_AGE_PER_SHARER: Seconds = 0.3
-"""Maximum age of the cached budget, per sharing router, while tokens are available.
+"""Maximum age of the cached budget, per sharing router, if tokens are available here.
 
 Only the budget row shows that other routers need tokens; with an older copy a router
 keeps tokens that it does not need.  All routers together read each budget about three
@@ -88,7 +88,7 @@
     def is_exhausted(
         self, amount: Tokens, ledger: GrantLedger, prepaid: Tokens
     ) -> bool:
-        """Return whether the budget cannot cover a request even with all grants back.
+        """Return whether a request exceeds the budget even if all grants are returned.
 
         Other routers may return their grants, so only filed charges and this router's
         own unfiled ones count as spent.  Unfiled charges of other routers make the
--- a/ebonyhold/prepaid/_changes.py
+++ b/ebonyhold/prepaid/_changes.py
@@ -26,7 +26,7 @@
 
 @frozen
 class ChangeAmounts:
-    """The amounts of a change.
+    """Token amounts of one change of the budget and grant rows.
 
     Attributes:
         drawn: Tokens moved from the budget to the grant.
--- a/ebonyhold/prepaid/_holders.py
+++ b/ebonyhold/prepaid/_holders.py
@@ -26,7 +26,7 @@
 SMALL_FLEET = 12
 """Number of routers up to which each router is a holder of every workspace.
 
-Their even shares of a budget are large compared with a request, and each router serves
+Even shares of a budget are then large compared with a request, and each router serves
 its own callers without a call to another one.
 """
 
--- a/ebonyhold/prepaid/_lent.py
+++ b/ebonyhold/prepaid/_lent.py
@@ -86,7 +86,7 @@
         return HoldOutcome.HELD
 
     def settle(self, hold: HoldId, charge: Tokens) -> None:
-        """End a hold and charge the cost of its request; a repeat charges nothing."""
+        """End a hold and charge its cost; a repeated settlement charges nothing."""
         remote = self.open.pop(hold, None)
         if remote is None:
             self.early_settlements[hold] = anyio.current_time()
@@ -94,7 +94,7 @@
         remote.grant.settle(remote.amount, max(0, min(charge, remote.amount)))
 
     def expire(self, now: Seconds) -> None:
-        """Charge expired holds in full, and drop old settlements without a hold."""
+        """Charge expired holds in full, and drop old settlements of unknown holds."""
         for hold, remote in list(self.open.items()):
             if now >= remote.expires_at:
                 log.warning(
--- a/ebonyhold/prepaid/_purse.py
+++ b/ebonyhold/prepaid/_purse.py
@@ -39,8 +39,8 @@
     """A router's request that a holder set tokens aside.
 
     Attributes:
-        hold: Identifier of the hold.  It is not the request's identifier, which callers
-            choose: two requests with the same one must not end each other's hold.
+        hold: Identifier of the hold.  The request's identifier is not used for this,
+            because callers choose it and may choose the same one for two requests.
         workspace: The workspace that owns the tokens.
         amount: Number of tokens.
         request: Identifier of the request that needs them, for logs.
@@ -60,7 +60,7 @@
         ...
 
     def settle(self, peer: str, hold: HoldId, charge: Tokens) -> None:
-        """Queue the cost of a hold for its holder, which is resent until confirmed."""
+        """Queue a settlement for a holder and resend it until the holder confirms."""
         ...
 
 
--- a/ebonyhold/prepaid/_reclaim.py
+++ b/ebonyhold/prepaid/_reclaim.py
@@ -25,7 +25,7 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 CLOCK_MARGIN: Seconds = 0.2
-"""Maximum drift between the clocks of two incarnations and of the store."""
+"""Maximum drift between the clocks of both incarnations and of the store."""
 
 
 @frozen
@@ -45,7 +45,7 @@
     limits: Limits = field(factory=dict)
 
     def limit(self, workspace: WorkspaceName) -> Tokens:
-        """Return how many tokens of a grant it can have used at most."""
+        """Return the maximum number of tokens of a grant that it can have used."""
         limit = self.limits.get(workspace, ZERO_LIMIT)
         return limit.after(self.elapsed + CLOCK_MARGIN)
 
--- a/ebonyhold/prepaid/_treasury.py
+++ b/ebonyhold/prepaid/_treasury.py
@@ -62,12 +62,12 @@
         routers: Returns the number of routers.
         limits: The spending limits of this router's renewals.
         renew: Renews the limits in the store immediately.
-        in_touch: Returns whether renewals currently reach the store.
+        can_renew: Returns whether renewals currently reach the store.
         peers: The other routers, for transfers; None if there are none to ask.
         holders: The holders at other routers, for holds; None if there are none.
         table: The holders of each workspace.
-        settled: Returns whether enough is known of the other routers to draw tokens
-            before the first request.
+        fleet_known: Returns whether enough is known of the other routers to draw
+            tokens before the first request.
         options: The options of the prepaid budgets.
         accounts: The grants opened so far, by workspace.
         paused_until: When the first round of each grant after an outage may start.
@@ -84,11 +84,11 @@
     routers: Callable[[], int]
     limits: LimitBook
     renew: Callable[[], Coroutine[None, None, None]]
-    in_touch: Callable[[], bool]
+    can_renew: Callable[[], bool]
     peers: TransferPeers | None = None
     holders: HolderPeers | None = None
     table: HolderTable = field(factory=HolderTable)
-    settled: Callable[[], bool] = lambda: True
+    fleet_known: Callable[[], bool] = lambda: True
     options: PrepaidOptions = field(factory=PrepaidOptions)
     accounts: dict[WorkspaceName, Account] = field(factory=dict)
     paused_until: dict[WorkspaceName, Seconds] = field(factory=dict)
@@ -108,7 +108,7 @@
         return RequestPurse(workspace, open_grant, asked, self.holders, hold_id)
 
     def account(self, workspace: WorkspaceName) -> Account | None:
-        """Return a workspace's grant, opened if necessary; None without a budget."""
+        """Return a workspace's grant, opened if necessary; None if it has no budget."""
         if self.prepaid(workspace)[1] is None:
             return None
         grant = self.accounts.get(workspace)
@@ -122,7 +122,7 @@
                 self.mean_typical,
                 self.limits,
                 self.renew,
-                self.in_touch,
+                self.can_renew,
                 self.peers,
                 partial(self.is_holder, workspace),
                 options=self.options,
@@ -175,7 +175,7 @@
         outage.  Routers that start together share each budget, so their first draws
         are spread over time.
         """
-        if self.closing or not self.settled():
+        if self.closing or not self.fleet_known():
             return
         for workspace in self.workspaces():
             if workspace in self.accounts or not self.is_holder(workspace):
@@ -197,7 +197,7 @@
         its first round.
         """
         now = anyio.current_time()
-        if not self.in_touch():
+        if not self.can_renew():
             spread = RECOVERY_SPREAD * self.sharers(grant.workspace)
             self.paused_until[grant.workspace] = now + random.random() * spread
             return
@@ -216,11 +216,12 @@
         it drew just before it was killed may be missing there and is not reclaimed.
 
         Returns:
-            Whether all grants are dealt with.
+            False if a grant could not be reclaimed or the process is shutting down,
+            else True.
         """
         done = True
-        # In random order, so that routers killed together do not conflict on the same
-        # budgets.
+        # The order is random, so that successors of routers that were killed together
+        # rarely change grants of the same budget at the same time.
         order = random.sample(list(predecessor.limits), len(predecessor.limits))
         for workspace in order:
             done = await self.reclaim_one(predecessor, workspace) and done
@@ -229,7 +230,7 @@
     async def reclaim_one(
         self, predecessor: Predecessor, workspace: WorkspaceName
     ) -> bool:
-        """Reclaim one grant of a predecessor; return whether it is dealt with."""
+        """Reclaim one grant of a predecessor; return whether that succeeded."""
         grant = self.account(workspace)
         if grant is None:
             # The workspace has no budget any more, so its tokens are not needed.
--- a/ebonyhold/prepaid/_types.py
+++ b/ebonyhold/prepaid/_types.py
@@ -42,7 +42,7 @@
     Attributes:
         rules_version: Version of the configuration that set `budget.prepaid`.  A
             router with an older configuration must not apply its own value.
-        budget: Tokens that were prepaid, are granted to routers, and were spent.
+        budget: The prepaid, outstanding (granted to routers) and spent tokens.
     """
 
     rules_version: int = 0
--- a/tests/prepaid/kit.py
+++ b/tests/prepaid/kit.py
@@ -76,7 +76,7 @@
     Attributes:
         vm: The VM of the router that sends the requests.
         routers: All routers by VM.
-        lose: Number of next transfers whose answers are lost.
+        lose: Number of upcoming transfers whose answers are lost.
     """
 
     vm: str
--- a/tests/prepaid/test_account.py
+++ b/tests/prepaid/test_account.py
@@ -141,7 +141,7 @@
 
 
 async def test_request_above_the_limit_raises_it() -> None:
-    """The grant covers a large request, but the limit only one of the usual size."""
+    """The grant covers a large request, but the limit allows only a usual one."""
     history = RowHistory()
     one = router(history, 1_000_000)
     await one.renew()
--- a/tests/prepaid/test_allowance.py
+++ b/tests/prepaid/test_allowance.py
@@ -32,7 +32,7 @@
     ({"level": 0.05}, 0, 800, 8_000),
     # A workspace with rare requests gets headroom for one request.
     ({"rate": 100.0, "cover": 12_000.0}, 4_000, 1_333, 1_333),
-    # One without requests so far gets its outage cover over the outage.
+    # A workspace without requests gets its outage cover, spread over the outage.
     ({"rate": 0.0, "typical": 0.0, "cover": 9_000.0}, 0, 1_000, 1_000),
 ]
 
@@ -46,10 +46,10 @@
 
 
 def test_kill_loses_fewer_tokens_of_a_nearly_spent_budget() -> None:
-    """All VMs lose power when the budget is nearly spent, and lost tokens are missing.
+    """All VMs lose power late in a day, and lost tokens cause refusals later.
 
-    The tokens that a limit allowed in the 1.5 s since the last renewal are lost.  They
-    may be at most the demand of 1.5 s with a full budget, of 0.15 s with a tenth left.
+    In 1.5 s after a renewal, the limit may grow by at most 1.5 s of the demand with a
+    full budget, and by 0.15 s of the demand with a tenth of it left.
     """
     lost = []
     for level in (1.0, 0.1):
--- a/tests/prepaid/test_histories.py
+++ b/tests/prepaid/test_histories.py
@@ -130,7 +130,7 @@
         return self.random.choice(list(self.routers.values()))
 
     async def start_request(self) -> None:
-        """Start a request, which holds tokens."""
+        """Start a request that holds tokens, unless it is refused."""
         router = self.pick()
         amount = self.random.choice([200, 900, 2500])
         try:
--- a/tests/prepaid/test_holder_histories.py
+++ b/tests/prepaid/test_holder_histories.py
@@ -120,7 +120,7 @@
             self.remote[router.router].expire(anyio.current_time() + ahead)
 
     def is_quiet(self, router: Router) -> bool:
-        """Return whether a router holds no tokens of a running remote request."""
+        """Return whether a router holds no tokens for running remote requests."""
         return all(run.holder is not router for run in self.running)
 
 
@@ -147,7 +147,7 @@
 
 
 class RepeatableHolds(LentHolds):
-    """Remote holds that each repeated settlement ends once more."""
+    """Remote holds that each repeated settlement settles again."""
 
     __slots__ = ()
 
--- a/tests/prepaid/test_holders.py
+++ b/tests/prepaid/test_holders.py
@@ -47,7 +47,7 @@
 
 
 def test_leaving_router_changes_only_holders_of_its_workspaces() -> None:
-    """Other changes would move grants between routers whenever one restarts."""
+    """Otherwise each restart of a router would move grants of other workspaces."""
     routers = fleet(84, 3)
     others = {name: domain for name, domain in routers.items() if name != "vm-7"}
     for workspace in WORKSPACES:
--- a/tests/prepaid/test_limits.py
+++ b/tests/prepaid/test_limits.py
@@ -10,7 +10,7 @@
 
 
 def in_doubt(age: float) -> LimitBook:
-    """Return the limits after a confirmed renewal at 0 s and one in doubt at an age."""
+    """Return limits with a renewal confirmed at 0 s and one sent at `age` in doubt."""
     limits = LimitBook()
     limits.took_effect(limits.propose(WANTED, 0.0).number)
     limits.propose(WANTED, age)
--- a/tests/prepaid/test_purse.py
+++ b/tests/prepaid/test_purse.py
@@ -148,7 +148,7 @@
 
 
 async def test_hold_settled_before_it_arrives_holds_nothing() -> None:
-    """A delayed hold request, already settled, kept tokens held for a minute."""
+    """A hold request that came after its settlement held tokens for a minute."""
     one = await holder_router()
     one.remote.settle("vm-2.a/1", 0)
     assert await one.remote.hold(wanted()) is UNAVAILABLE
--- a/tests/prepaid/test_treasury.py
+++ b/tests/prepaid/test_treasury.py
@@ -30,7 +30,7 @@
 
 
 def manager_of(one: Router) -> Treasury:
-    """Return a grant manager with the one grant of a router."""
+    """Return a grant manager that has the grant of a router."""
     manager = Treasury(
         one.router,
         one.store,
