--- a/ebonyhold/money/_claims.py
+++ b/ebonyhold/money/_claims.py
@@ -1,4 +1,4 @@
-"""Taking claims of requests in the table."""
+"""Reading and writing the claims of requests in the table."""
 
 from __future__ import annotations
 
@@ -30,12 +30,13 @@
 from ebonyhold.money._interface import Order
 from ebonyhold.types import AttemptId
 
-CLAIM_TRIES = 5
+MAX_CLAIM_TRIES = 5
+"""Maximum tries to write one claim when it conflicts with other writers."""
 
 
 @frozen
-class Look:
-    """A request's row, and what it lets the request do."""
+class ClaimReading:
+    """A request's row as read, and the decision whether the request may run."""
 
     request: Seen[RequestRow]
     decision: ClaimDecision
@@ -48,38 +49,40 @@
     router: Seen[RouterRow]
     table: Table
 
-    async def look(self, order: Order) -> Look:
-        """Read a request's row.
+    async def read(self, order: Order) -> ClaimReading:
+        """Read a request's row and decide whether the request may run.
 
         Raises:
             UnavailableError: The table cannot be reached.
-            KeyReusedError: The same key came with another body.
-            OutcomeUnknownError: It may have run, and may not run again.
+            KeyReusedError: The key was used before with another body.
+            OutcomeUnknownError: The request may have run and must not run again.
         """
         key = request_key(order.workspace, order.request)
         (row,) = await self.table.read((key,))
         request = seen(key, row, RequestRow)
         decision = decide(order, request.value)
-        refuse(decision, order)
-        return Look(request, decision)
+        raise_refusal(decision, order)
+        return ClaimReading(request, decision)
 
-    async def take(self, order: Order, look: Look, attempt: AttemptId) -> Look:
-        """Write the claim; what it lets the request do may have changed since.
+    async def write(
+        self, order: Order, reading: ClaimReading, attempt: AttemptId
+    ) -> ClaimReading:
+        """Write the claim; the returned decision may differ from the one passed in.
 
         Raises:
-            UnavailableError: The table cannot be reached; the claim may be
-                written all the same, later.
-            SealedError: This incarnation is over.
-            KeyReusedError: The same key came with another body.
-            OutcomeUnknownError: It may have run, and may not run again.
+            UnavailableError: The table cannot be reached; the claim may still take
+                effect later.
+            SealedError: This incarnation was sealed.
+            KeyReusedError: The key was used before with another body.
+            OutcomeUnknownError: The request may have run and must not run again.
         """
         owner = self.router.key.removeprefix(router_key(""))
-        for _ in range(CLAIM_TRIES):
-            if look.decision.answer is ClaimAnswer.REPLAY:
-                return look
-            wish = claim_transaction(
+        for _ in range(MAX_CLAIM_TRIES):
+            if reading.decision.answer is ClaimAnswer.REPLAY:
+                return reading
+            transaction = claim_transaction(
                 self.router,
-                look.request,
+                reading.request,
                 owner,
                 attempt,
                 order.backend,
@@ -87,19 +90,21 @@
                 order.digest,
             )
             try:
-                await self.table.commit(wish)
+                await self.table.commit(transaction)
             except (ConflictError, UnknownOutcomeError):
-                fresh = await self._after(order, look, attempt)
-                if fresh is None:
-                    return look
-                look = fresh
+                current = await self._reread(order, reading, attempt)
+                if current is None:
+                    return reading
+                reading = current
             else:
-                return look
+                return reading
         raise UnavailableError("the claim met other writers")
 
-    async def _after(self, order: Order, look: Look, attempt: AttemptId) -> Look | None:
-        """Read back after a conflict or a lost answer; None when the claim stands."""
-        key = look.request.key
+    async def _reread(
+        self, order: Order, reading: ClaimReading, attempt: AttemptId
+    ) -> ClaimReading | None:
+        """Read the row after a failed commit; return None if the claim was written."""
+        key = reading.request.key
         router, row = await self.table.read((self.router.key, key))
         if router is None or router.version != self.router.version:
             raise SealedError(f"{self.router.key} was sealed")
@@ -108,19 +113,19 @@
         if claim is not None and claim.attempt == attempt:
             return None
         decision = decide(order, claim)
-        refuse(decision, order)
-        return Look(request, decision)
+        raise_refusal(decision, order)
+        return ClaimReading(request, decision)
 
 
 def decide(order: Order, row: RequestRow | None) -> ClaimDecision:
-    """Decide what an order may do, given its row."""
+    """Decide whether a request may run, given its row."""
     return decide_claim(
         row, order.kind, order.digest, deduplicated=not order.claim_needed
     )
 
 
-def refuse(decision: ClaimDecision, order: Order) -> None:
-    """Raise what a caller hears of a claim that may not run."""
+def raise_refusal(decision: ClaimDecision, order: Order) -> None:
+    """Raise the error for the caller if a request may not run."""
     if decision.answer is ClaimAnswer.KEY_REUSED:
         raise KeyReusedError(f"the key {order.request} came with another body before")
     if decision.answer is ClaimAnswer.UNKNOWN:
@@ -134,10 +139,10 @@
 
 
 def needs_claim(order: Order) -> bool:
-    """Tell whether a request must not run without its claim in the table."""
+    """Return whether a request must not run without its claim in the table."""
     return order.claim_needed and order.kind is RequestKind.BOOKING
 
 
-def unavailable(error: UnavailableError) -> ClaimUnavailableError:
-    """Return what a caller hears when a needed claim cannot be written."""
+def claim_unavailable(error: UnavailableError) -> ClaimUnavailableError:
+    """Return the error for the caller when a needed claim cannot be written."""
     return ClaimUnavailableError(f"the claim cannot be recorded: {error}")
--- a/ebonyhold/money/_demand.py
+++ b/ebonyhold/money/_demand.py
@@ -1,4 +1,4 @@
-"""How fast one workspace asks for tokens."""
+"""An estimate of the rate at which one workspace uses tokens."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from ebonyhold.types import Seconds, Tokens
 
-MEMORY: Seconds = 1800.0
-"""After this long, an old request counts for 1/e of a new one."""
+TIME_CONSTANT: Seconds = 1800.0
+"""Time after which a request counts for 1/e of a new one."""
 
-SHORTEST: Seconds = 300.0
-"""A first request counts as seen over this long."""
+MIN_WINDOW: Seconds = 300.0
+"""Minimum time over which the demand is averaged, also for a first request."""
 
 
 @define
@@ -24,23 +24,26 @@
     since: Seconds | None = None
     typical: Tokens = 0
 
-    def note(self, need: Tokens, now: Seconds) -> None:
-        """Count a request."""
+    def record(self, need: Tokens, now: Seconds) -> None:
+        """Record the tokens that a request needs."""
         if self.since is None:
             self.since = now
-        self.weight = self._faded(now) + need
+        self.weight = self._decayed(now) + need
         self.at = now
         self.typical = need if not self.typical else (3 * self.typical + need) // 4
 
     def rate(self, now: Seconds) -> float:
-        """Return the demand in tokens a second.
+        """Return the demand in tokens per second.
 
-        What was seen is divided by the time that can have contributed to it:
-        a workspace seen for a short while would look idle otherwise.
+        The weighted sum is divided by the weight of the time observed so far. Dividing
+        by the whole time constant would underestimate a workspace that was observed for
+        a short time only.
         """
-        seen_for = now - self.since if self.since is not None else 0.0
-        span = MEMORY * (1 - math.exp(-max(seen_for, SHORTEST) / MEMORY))
-        return self._faded(now) / span
-
-    def _faded(self, now: Seconds) -> float:
-        return self.weight * math.exp((self.at - now) / MEMORY)
+        observed_for = now - self.since if self.since is not None else 0.0
+        span = TIME_CONSTANT * (
+            1 - math.exp(-max(observed_for, MIN_WINDOW) / TIME_CONSTANT)
+        )
+        return self._decayed(now) / span
+
+    def _decayed(self, now: Seconds) -> float:
+        return self.weight * math.exp((self.at - now) / TIME_CONSTANT)
--- a/ebonyhold/money/_exchange.py
+++ b/ebonyhold/money/_exchange.py
@@ -1,4 +1,4 @@
-"""Giving tokens to other routers, and asking them for some."""
+"""Transfers of tokens: giving them to other routers and requesting them."""
 
 from __future__ import annotations
 
@@ -16,72 +16,74 @@
 )
 from ebonyhold.document import Policy
 from ebonyhold.exceptions import PeerError
-from ebonyhold.money._account import Account
 from ebonyhold.money._journal import Journal
 from ebonyhold.money._options import MoneyOptions
-from ebonyhold.money._transfer_book import Given
+from ebonyhold.money._transfer_book import GivenTransfer
+from ebonyhold.money._workspace_grant import WorkspaceGrant
 from ebonyhold.routers import PeerLink, PeerMessage, TransferGiven, TransferRequest
 from ebonyhold.types import RouterId, Tokens, WorkspaceName
 
 
 @define(eq=False)
 class TokenExchange:
-    """One incarnation's transfers of tokens with the other routers.
+    """Transfers of tokens between one incarnation and the other routers.
 
     Attributes:
-        me: The incarnation.
-        peers: The link to the others, or None.
-        accounts: The workspaces in use here.
-        account: Returns a workspace's account, a new one if need be.
-        over: Whether this incarnation gives and takes no more.
-        received: Transfers that were taken, for ever: each counts once.
-        serial: Transfers given.
+        self_id: The incarnation.
+        peers: The link to the other routers, or None.
+        grants: The grants of the workspaces in use.
+        grant_of: Returns a workspace's grant, and creates it if needed.
+        over: Whether this incarnation neither gives nor receives tokens any more.
+        received: Names of all transfers received; each is counted once.
+        serial: Number of transfers given.
     """
 
-    me: RouterId
+    self_id: RouterId
     peers: PeerLink | None
     journal: Journal
     policy: Callable[[], Policy]
     options: MoneyOptions
-    accounts: dict[WorkspaceName, Account]
-    account: Callable[[WorkspaceName], Account]
+    grants: dict[WorkspaceName, WorkspaceGrant]
+    grant_of: Callable[[WorkspaceName], WorkspaceGrant]
     over: Callable[[], bool]
     received: set[str] = field(factory=set)
     serial: int = 0
 
-    def listen(self) -> None:
-        """Answer the other routers from now on."""
+    def register_handlers(self) -> None:
+        """Start to answer requests of other routers."""
         if self.peers is not None:
             self.peers.handle(TransferRequest, self.answer_request)
             self.peers.handle(TransferGiven, self.take_given)
 
-    def routers(self) -> int:
-        """Return how many routers are believed alive, this one counted."""
+    def count_routers(self) -> int:
+        """Return how many routers are believed alive, including this one."""
         return 1 + (len(self.peers.alive()) if self.peers else 0)
 
-    async def ask_peers(self, account: Account, lack: Tokens) -> None:
-        """Ask other routers for tokens until nothing lacks or all were asked."""
+    async def ask_peers(self, grant: WorkspaceGrant, shortage: Tokens) -> None:
+        """Request tokens from peers in turn until the shortage is covered."""
         policy = find_grant_policy(self.policy().grants)
         if self.peers is None or not policy.asks_peers:
             return
-        wanted = account.ledger.available + lack
-        for peer in self.peers.alive()[: self.options.peers_asked]:
-            still = wanted - account.ledger.available
-            if still <= 0:
+        wanted = grant.ledger.available + shortage
+        for peer in self.peers.alive()[: self.options.max_peers]:
+            missing = wanted - grant.ledger.available
+            if missing <= 0:
                 return
-            await self._ask_peer(peer, account, still)
+            await self._ask_peer(peer, grant, missing)
 
-    async def _ask_peer(self, peer: RouterId, account: Account, need: Tokens) -> None:
+    async def _ask_peer(
+        self, peer: RouterId, grant: WorkspaceGrant, need: Tokens
+    ) -> None:
         assert self.peers is not None
         have = tuple(
             transfer
-            for transfer in account.transfers.receipts
+            for transfer in grant.transfers.receipts
             if transfer_ends(transfer)[0] == peer
         )
-        message = TransferRequest(account.workspace, need, have)
+        message = TransferRequest(grant.workspace, need, have)
         try:
             given = await self.peers.ask(
-                peer, message, TransferGiven, self.options.ask_within
+                peer, message, TransferGiven, self.options.peer_timeout
             )
         except PeerError:
             return
@@ -90,66 +92,66 @@
     async def answer_request(
         self, peer: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Give tokens to another router, if there are some to spare."""
+        """Give tokens to another router, if this one can spare some."""
         assert isinstance(message, TransferRequest)
-        account = self.accounts.get(message.workspace)
-        if account is None or self.over():
+        grant = self.grants.get(message.workspace)
+        if grant is None or self.over():
             return TransferGiven(message.workspace, "", 0)
-        given = self._lost_gift(account, peer, message.have) or self._new_gift(
-            account, peer, message
+        given = self._unreceived_transfer(grant, peer, message.have) or self._give(
+            grant, peer, message
         )
         if given is None:
             return TransferGiven(message.workspace, "", 0)
-        with anyio.move_on_after(self.options.given_within):
+        with anyio.move_on_after(self.options.give_timeout):
             await given.append.done.wait()
         if not given.append.done.is_set() or given.append.error is not None:
             return TransferGiven(message.workspace, "", 0)
         return TransferGiven(message.workspace, given.transfer, given.amount)
 
-    def _lost_gift(
-        self, account: Account, peer: RouterId, have: tuple[str, ...]
-    ) -> Given | None:
-        """Return a transfer that this peer has not received.
+    def _unreceived_transfer(
+        self, grant: WorkspaceGrant, peer: RouterId, have: tuple[str, ...]
+    ) -> GivenTransfer | None:
+        """Return a transfer given to this peer that it has not received.
 
         Sending it again is safe, since a receiver counts a transfer once.
         """
-        for given in account.transfers.given.values():
+        for given in grant.transfers.given.values():
             to = transfer_ends(given.transfer)[1]
             if to == peer and given.transfer not in have:
                 return given
         return None
 
-    def _new_gift(
-        self, account: Account, peer: RouterId, message: TransferRequest
-    ) -> Given | None:
+    def _give(
+        self, grant: WorkspaceGrant, peer: RouterId, message: TransferRequest
+    ) -> GivenTransfer | None:
         policy = find_grant_policy(self.policy().grants)
-        amount = policy.give(account.view(), message.wanted)
-        amount = min(amount, account.ledger.available)
+        amount = policy.give(grant.view(), message.wanted)
+        amount = min(amount, grant.ledger.available)
         if amount <= 0:
             return None
         self.serial += 1
-        transfer = transfer_name(self.me, peer, self.serial)
-        entry = TransferOut(account.workspace, transfer, peer, amount)
-        append = self.journal.put(entry)
-        return account.transfers.give(transfer, amount, append)
+        transfer = transfer_name(self.self_id, peer, self.serial)
+        entry = TransferOut(grant.workspace, transfer, peer, amount)
+        append = self.journal.enqueue(entry)
+        return grant.transfers.give(transfer, amount, append)
 
     async def take_given(
         self, peer: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Receive tokens from another router, once."""
+        """Receive tokens from another router; a repeated transfer is ignored."""
         assert isinstance(message, TransferGiven)
         transfer = message.transfer
         if not transfer or message.amount <= 0 or transfer in self.received:
             return None
-        # Tokens meant for another incarnation must not arrive here: whoever
-        # recovers that one decides about them.
-        if transfer_ends(transfer) != (peer, self.me) or self.over():
+        # A transfer to another incarnation is not accepted: the router that recovers
+        # that incarnation settles it.
+        if transfer_ends(transfer) != (peer, self.self_id) or self.over():
             return None
         self.received.add(transfer)
         entry = TransferIn(message.workspace, transfer, peer, message.amount)
-        append = self.journal.put(entry)
+        append = self.journal.enqueue(entry)
         await append.done.wait()
         if append.error is None:
-            account = self.account(message.workspace)
-            account.arrive(transfer, message.amount)
+            grant = self.grant_of(message.workspace)
+            grant.receive(transfer, message.amount)
         return None
--- a/ebonyhold/money/_grant_writer.py
+++ b/ebonyhold/money/_grant_writer.py
@@ -29,7 +29,7 @@
 
 @frozen
 class GrantRows:
-    """The rows that one settlement rests on."""
+    """The rows that one settlement reads."""
 
     budget: Seen[BudgetRow]
     grant: Seen[GrantRow]
@@ -41,23 +41,23 @@
     """Makes the settlements of one grant, one after the other.
 
     Attributes:
-        workspace: Whose grant.
-        took_effect: Called once for a settlement that took effect.
-        dropped: Called once for a settlement that never will.
+        workspace: Name of the workspace.
+        on_applied: Called once when a settlement has taken effect.
+        on_discarded: Called once when a settlement can no longer take effect.
         budget: The budget as last read or written.
-        doubt: The settlement that may or may not have taken effect yet.
-        reads_begun: How many reads were begun.
-        last_read: The number of the last read that was answered.
+        in_doubt: The settlement whose outcome is unknown.
+        reads_started: Number of reads started.
+        last_read: Number of the last read that succeeded.
     """
 
     workspace: WorkspaceName
     journal: Journal
     table: Table
-    took_effect: Callable[[Settlement], None]
-    dropped: Callable[[Settlement], None]
+    on_applied: Callable[[Settlement], None]
+    on_discarded: Callable[[Settlement], None]
     budget: BudgetRow | None = None
-    doubt: Settlement | None = None
-    reads_begun: int = 0
+    in_doubt: Settlement | None = None
+    reads_started: int = 0
     last_read: int = 0
 
     async def read(self, bills: tuple[Bill, ...] = ()) -> GrantRows:
@@ -65,20 +65,20 @@
 
         Raises:
             UnavailableError: The table could not be reached.
-            SealedError: This incarnation is over.
+            SealedError: This incarnation was sealed.
         """
-        me = self.journal.me
+        owner = self.journal.self_id
         keys = (
-            router_key(me),
+            router_key(owner),
             budget_key(self.workspace),
-            grant_key(me, self.workspace),
+            grant_key(owner, self.workspace),
             *(bill.key for bill in bills),
         )
-        self.reads_begun += 1
-        number = self.reads_begun
+        self.reads_started += 1
+        number = self.reads_started
         router, budget, grant, *requests = await self.table.read(keys)
         if router is None or router.version != self.journal.router.version:
-            raise SealedError(f"{me} was sealed")
+            raise SealedError(f"{owner} was sealed")
         rows = GrantRows(
             seen(keys[1], budget, BudgetRow),
             seen(keys[2], grant, GrantRow),
@@ -92,18 +92,21 @@
         return rows
 
     def resolve(self, rows: GrantRows) -> bool:
-        """Learn from the grant's sequence number whether a lost commit took effect."""
-        doubt = self.doubt
+        """Apply the settlement in doubt if it took effect; return whether it did.
+
+        The sequence number of the grant's row shows whether it took effect.
+        """
+        in_doubt = self.in_doubt
         grant = rows.grant.value or GrantRow()
-        if doubt is None or grant.sequence < doubt.sequence:
+        if in_doubt is None or grant.sequence < in_doubt.sequence:
             return False
-        self._end(doubt)
+        self._finish(in_doubt)
         return True
 
     def plan(self, rows: GrantRows, change: LedgerChange) -> Settlement:
-        """Plan a settlement; it is in doubt until it is known to be over."""
-        self.doubt = plan_settlement(
-            self.journal.me,
+        """Plan a settlement; it is in doubt until its outcome is known."""
+        self.in_doubt = plan_settlement(
+            self.journal.self_id,
             self.journal.router,
             rows.budget,
             rows.grant,
@@ -111,38 +114,39 @@
             change,
             time.time(),
         )
-        return self.doubt
+        return self.in_doubt
 
     async def commit(self, plan: Settlement) -> bool:
-        """Commit a plan, perhaps for the second time; False when it did not count.
+        """Commit a plan; return False if it is not known to have taken effect.
 
-        A call whose answer was lost may still arrive.  It carries the versions
-        of the rows that it read, so sending it again takes effect once at most;
-        a conflict then says, by the grant's sequence number, which it was.
+        A plan in doubt may be committed again. It checks the versions of the rows that
+        it read, so it takes effect at most once. After a conflict, the grant's sequence
+        number shows whether the earlier commit took effect.
 
         Raises:
             UnavailableError: The table could not be reached.
-            SealedError: This incarnation is over.
+            SealedError: This incarnation was sealed.
         """
         if plan.returned:
-            # What goes back may have been set free by outcomes that only this
-            # router knows; recovery must not charge a hold that has left.
+            # The returned tokens may come from holds whose outcomes are not durable
+            # yet. Recovery could otherwise charge such a hold again.
             await self.journal.flush()
         try:
             await self.table.commit(plan.transaction)
         except ConflictError:
             if self.resolve(await self.read()):
                 return True
-            # A check failed, and a version never comes back: the plan is dead.
-            self.doubt = None
-            self.dropped(plan)
+            # A row changed, and its version never recurs, so the plan can no longer
+            # take effect.
+            self.in_doubt = None
+            self.on_discarded(plan)
             return False
         except UnknownOutcomeError:
             return False
-        self._end(plan)
+        self._finish(plan)
         return True
 
-    def _end(self, plan: Settlement) -> None:
-        self.doubt = None
+    def _finish(self, plan: Settlement) -> None:
+        self.in_doubt = None
         self.budget = plan.budget
-        self.took_effect(plan)
+        self.on_applied(plan)
--- a/ebonyhold/money/_incarnations.py
+++ b/ebonyhold/money/_incarnations.py
@@ -1,4 +1,4 @@
-"""A router's money through all its incarnations."""
+"""Successive incarnations of a router: each sealed one is replaced by a new one."""
 
 from __future__ import annotations
 
@@ -13,36 +13,37 @@
 from ebonyhold.money._treasury import Treasury
 from ebonyhold.types import BackendName, RouterId, Seconds
 
-RENEW_WITHIN: Seconds = 5.0
-"""The longest a request waits for the next incarnation to be registered."""
+RENEW_TIMEOUT: Seconds = 5.0
+"""Maximum time a request waits for the next incarnation to be registered."""
 
-OPEN_PAUSE: Seconds = 0.5
+OPEN_RETRY_DELAY: Seconds = 0.5
+"""Delay before registering a new incarnation is tried again."""
 
 
 class Incarnations:
-    """Gives the router a new incarnation whenever one was sealed.
+    """Starts a new incarnation of the router whenever one was sealed.
 
-    A sealed incarnation has lost its grants, its claims and its running
-    attempts to whoever recovered it.  The router itself goes on: requests that
-    hear `SealedError` may begin again, and run under the next incarnation.
+    The router that recovers a sealed incarnation takes over its grants, claims and
+    running attempts. Requests that were refused with `SealedError` may begin again
+    under the next incarnation.
 
     Attributes:
-        current: The incarnation that takes requests.
-        renewals: How often the router was sealed.
+        current: The incarnation that serves requests.
+        renewals: How often an incarnation was replaced.
     """
 
     def __init__(
-        self, name: Callable[[], RouterId], make: Callable[[RouterId], Treasury]
+        self, new_id: Callable[[], RouterId], make: Callable[[RouterId], Treasury]
     ) -> None:
-        """Prepare the first incarnation.
+        """Create the first incarnation.
 
         Args:
-            name: Makes an identifier that no incarnation ever had.
-            make: Makes the money side of one incarnation.
+            new_id: Returns an identifier that no incarnation has had before.
+            make: Creates the manager of one incarnation.
         """
-        self.name = name
+        self.new_id = new_id
         self.make = make
-        self.current = make(name())
+        self.current = make(new_id())
         self.renewals = 0
         self.renewed = anyio.Event()
         self.stopping = False
@@ -58,7 +59,7 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run one incarnation after another until `drain` ends the last."""
+        """Run one incarnation after another until `drain` closes the last one."""
         task_status.started()
         while True:
             await self.current.run()
@@ -67,58 +68,58 @@
             await self._renew()
 
     async def _renew(self) -> None:
-        treasury = self.make(self.name())
+        manager = self.make(self.new_id())
         while True:
             try:
-                await treasury.open()
+                await manager.open()
             except PlatformError:
-                await anyio.sleep(OPEN_PAUSE)
+                await anyio.sleep(OPEN_RETRY_DELAY)
             else:
                 break
-        self.current = treasury
+        self.current = manager
         self.renewals += 1
         self.renewed.set()
         self.renewed = anyio.Event()
 
     async def begin(self, order: Order) -> Permit | Replay:
-        """Begin a request, if need be under the next incarnation.
+        """Begin a request, under the next incarnation if this one is sealed.
 
         Raises:
             EbonyholdError: As `Treasury.begin` does.
         """
-        treasury = self.current
+        manager = self.current
         try:
-            return await treasury.begin(order)
+            return await manager.begin(order)
         except SealedError:
             if self.stopping:
                 raise
-        with anyio.move_on_after(RENEW_WITHIN):
-            while self.current is treasury:
+        with anyio.move_on_after(RENEW_TIMEOUT):
+            while self.current is manager:
                 await self.renewed.wait()
-        if self.current is treasury:
-            raise UnavailableError(f"{treasury.me} was sealed, and has no successor")
+        if self.current is manager:
+            raise UnavailableError(f"{manager.me} was sealed, and has no successor")
         return await self.current.begin(order)
 
     async def again(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
-        """Make a further attempt durable.
+        """Make the intent of a further attempt durable.
 
         Raises:
             UnavailableError: The intent cannot be made durable; nothing ran.
-            SealedError: The permit's incarnation is over; begin again.
+            SealedError: The permit's incarnation was sealed; begin again.
         """
         return await self.current.again(permit, backend, boot)
 
     async def finish(
         self, permit: Permit, outcome: Outcome, *, durable_within: float = 0.0
     ) -> None:
-        """Settle a request; one of a sealed incarnation is its recoverer's."""
+        """Settle a request; one of a sealed incarnation is settled by recovery."""
         await self.current.finish(permit, outcome, durable_within=durable_within)
 
     async def drain(self) -> None:
-        """File everything, return everything and close the last incarnation.
+        """File all bills, return all tokens and close the last incarnation.
 
         Raises:
-            PlatformError: The table could not be reached in the end.
+            PlatformError: The incarnation's row could not be closed in the table.
             SealedError: Another router has recovered the incarnation.
         """
         self.stopping = True
--- a/ebonyhold/money/_interface.py
+++ b/ebonyhold/money/_interface.py
@@ -1,4 +1,4 @@
-"""What the request path asks of the money: one permit for each dispatch."""
+"""The interface through which the request path obtains permits and settles requests."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 
 @frozen
 class Order:
-    """A request that wants to run.
+    """Parameters of a request that asks for a permit.
 
     Attributes:
-        workspace: Who pays.
-        request: The caller's idempotency key, or an identifier made here.
-        kind: What may be repeated.
+        workspace: The workspace that pays.
+        request: The caller's idempotency key, or an identifier made by this router.
+        kind: Whether the request is a chat or a booking: a booking may run only once.
         digest: SHA-256 of the body, hexadecimal.
-        keyed: Whether `request` came from the caller.
-        hold: The most it can cost, in tokens.
+        keyed: Whether the caller supplied `request` as its idempotency key.
+        hold: The maximum cost of the request, in tokens.
         backend: The backend server chosen for the first attempt.
-        boot: That server's boot identifier, as its load report gave it.
-        claim_needed: Whether the table's claim is needed before it runs: True
-            for what may not be repeated, unless the service itself honours keys.
+        boot: That server's boot identifier, from its load report.
+        claim_needed: Whether the request may run only after its claim is written to the
+            table. True for requests that must not be repeated, unless the service
+            itself deduplicates by idempotency key.
     """
 
     workspace: WorkspaceName
@@ -46,12 +47,13 @@
 
 @frozen
 class Permit:
-    """Leave to dispatch one attempt: held, claimed and durable.
+    """Permission to dispatch one attempt, given once its intent is in the journal.
 
     Attributes:
-        order: What it is for.
-        attempt: The identifier to give the backend server.
-        unbilled: True for a repeat of a request that has its bill already.
+        order: Parameters of the request.
+        attempt: The attempt identifier to send to the backend server.
+        unbilled: Whether the request has been billed already, so that this repeat is
+            free.
     """
 
     order: Order
@@ -61,53 +63,55 @@
 
 @frozen
 class Replay:
-    """The request has ended before; here is its answer, and there is no new bill."""
+    """The kept answer of a request that completed earlier; it is not billed again."""
 
     row: RequestRow
     answer: KeptAnswer
 
 
-class BackendTruth(Protocol):
-    """What recovery asks of backend servers."""
+class AttemptLookup(Protocol):
+    """Looks up attempts at backend servers during recovery."""
 
     async def close_attempt(
         self, backend: BackendName, attempt: AttemptId
     ) -> AttemptTruth:
-        """Cancel an attempt, forbid its later start, and learn what it came to.
-
-        A server that cannot be reached, or cannot tell, gives
-        `AttemptState.UNKNOWN`.  `AttemptState.NEVER_RAN` is a promise for the
-        future too: only a server that refuses the closed attempt for the rest
-        of its boot, and attempts addressed to another boot, may give it.
-        Otherwise a router that was paused between its intent and its dispatch
-        could run the attempt after the server was restarted.
+        """Cancel an attempt, prevent its later start, and return its status.
+
+        The status is `AttemptState.UNKNOWN` if the server cannot be reached or does not
+        know the attempt. `AttemptState.NEVER_RAN` also means that the attempt can never
+        run later. A server may return it only if it refuses the closed attempt until it
+        restarts, or if the attempt names another boot of the server. Otherwise a router
+        that was paused between its intent and its dispatch could run the attempt after
+        the server was restarted.
         """
         ...
 
 
 class Money(Protocol):
-    """The money side of one router, as the request path sees it."""
+    """Grants, claims and bills of one router, as used by the request path."""
 
     async def begin(self, order: Order) -> Permit | Replay:
-        """Take the hold and the claim, and make the intent durable.
+        """Take a hold, write a claim if needed, and make the intent durable.
 
         Raises:
-            BudgetExhaustedError: The table says that nothing is left.
-            BudgetUnreachableError: Tokens may exist elsewhere.
-            KeyReusedError: The same key came with another body.
-            ClaimUnavailableError: A needed claim cannot be recorded now.
-            OutcomeUnknownError: A call that may not be repeated may have run.
+            BudgetExhaustedError: The budget in the table has too few tokens left.
+            BudgetUnreachableError: Too few tokens are available now, but the budget may
+                have more.
+            KeyReusedError: The key was used before with another body.
+            ClaimUnavailableError: A needed claim cannot be written now.
+            OutcomeUnknownError: The request must not be repeated and may have run
+                already.
             UnavailableError: The intent cannot be made durable; nothing ran.
-            SealedError: This incarnation has been recovered by another.
+            SealedError: Another router has recovered this incarnation.
         """
         ...
 
     async def again(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
-        """Make a further attempt of the same request durable, under the same hold.
+        """Make the intent of a further attempt durable, under the same hold.
 
         Raises:
             UnavailableError: The intent cannot be made durable; nothing ran.
-            SealedError: This incarnation has been recovered by another.
+            SealedError: Another router has recovered this incarnation.
         """
         ...
 
@@ -118,8 +122,8 @@
 
         Args:
             permit: The last permit of the request.
-            outcome: How it ended.
-            durable_within: How long to wait for the journal, in seconds; the
-                outcome is queued either way.
+            outcome: How the request ended.
+            durable_within: Maximum time to wait until the outcome is in the journal, in
+                seconds. The outcome is queued in any case.
         """
         ...
--- a/ebonyhold/money/_journal.py
+++ b/ebonyhold/money/_journal.py
@@ -1,4 +1,4 @@
-"""The task that owns a router's journal: group commit in the table or the store."""
+"""The journal of one incarnation: group commit to the table or the object store."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 from ebonyhold.money._options import MoneyOptions
 from ebonyhold.types import RouterId
 
-APPEND_TRIES = 4
-"""Tries of one append in one place, before the other place is used."""
+MAX_APPEND_TRIES = 4
+"""Maximum tries of one append to the table, and then to the object store."""
 
 
-class Place(Enum):
-    """Where the last append went."""
+class JournalTarget(Enum):
+    """Where the last append was written."""
 
     TABLE = "table"
     OBJECTS = "objects"
@@ -53,36 +53,36 @@
 
 
 @define(eq=False)
-class Append:
-    """Entries on their way into the journal.
+class PendingAppend:
+    """Entries that are queued to be appended to the journal.
 
     Attributes:
-        entries: What to append, together.
-        keep: Whether the entries stay queued until they are durable.  Intents
-            do not: a request that is refused must not wait for an outage's end.
-        done: Set when they are durable, or have failed.
-        error: Why they failed.
-        then: Called when they are durable, or have failed.
+        entries: The entries, which are appended together.
+        retry: Whether the entries stay queued after a failed append. Intents do not, so
+            that a request is refused promptly and does not wait until an outage ends.
+        done: Set when the entries are durable or have failed.
+        error: Why the entries failed.
+        on_done: Called when the entries are durable or have failed.
     """
 
     entries: tuple[JournalEntry, ...]
-    keep: bool
+    retry: bool
     done: anyio.Event = field(factory=anyio.Event)
     error: Exception | None = None
-    then: Callable[[], None] | None = None
+    on_done: Callable[[], None] | None = None
 
-    def end(self, error: Exception | None = None) -> None:
-        """Note how it ended."""
+    def finish(self, error: Exception | None = None) -> None:
+        """Record the result and call `on_done`."""
         self.error = error
         self.done.set()
-        if self.then is not None:
-            self.then()
+        if self.on_done is not None:
+            self.on_done()
 
     async def wait(self) -> None:
         """Wait until the entries are durable.
 
         Raises:
-            UnavailableError: Neither place could be written.
+            UnavailableError: Neither the table nor the object store could be written.
             SealedError: The journal is sealed.
         """
         await self.done.wait()
@@ -92,116 +92,118 @@
 
 @frozen
 class _Pin:
-    """What keeps a segment from being dropped: a run or a transfer."""
+    """Name of a run or transfer that keeps its segments from being deleted."""
 
     name: str
 
 
 @define(eq=False)
 class Journal:
-    """One incarnation's journal.
+    """Journal of one incarnation.
 
-    Entries are appended in the order in which they were queued, and no append
-    starts before the one before it is durable or has failed.  Recovery relies
-    on that order: tokens that an outcome set free are only ever held again by
-    an intent behind it.
+    Entries are appended in the order in which they were queued, and no append starts
+    before the previous one is durable or has failed. Recovery relies on that order:
+    tokens released by an outcome are held again only by intents that follow it.
 
     Attributes:
-        me: The incarnation.
-        router: Its row, whose version every append to the table checks.
-        place: Where the last append went.
-        sealed: Set once another router has sealed this journal.
-        appended: Entries made durable.
-        segments: Segments written, by place.
-        random: The source of jitter for all tasks of this incarnation.
+        self_id: The incarnation.
+        router: Row of the incarnation; each append to the table checks its version.
+        target: Where the last append was written.
+        sealed: Set when another router has sealed this journal, or when it is closed.
+        appended: Number of entries made durable.
+        segments: Number of segments written, by target.
+        random: Source of random delays for all tasks of this incarnation.
     """
 
-    me: RouterId
+    self_id: RouterId
     table: Table
     objects: Objects
     options: MoneyOptions
     router: Seen[RouterRow]
-    place: Place = Place.TABLE
+    target: JournalTarget = JournalTarget.TABLE
     sealed: anyio.Event = field(factory=anyio.Event)
     appended: int = 0
-    segments: dict[Place, int] = field(factory=dict)
-    queue: deque[Append] = field(factory=deque)
-    some: anyio.Event = field(factory=anyio.Event)
+    segments: dict[JournalTarget, int] = field(factory=dict)
+    queue: deque[PendingAppend] = field(factory=deque)
+    queued: anyio.Event = field(factory=anyio.Event)
     wake: anyio.Event = field(factory=anyio.Event)
     table_number: int = 1
     object_number: int = 1
-    table_rests_until: float = 0.0
-    pause: float = 0.0
+    table_backoff_until: float = 0.0
+    retry_delay: float = 0.0
     pins: dict[int, set[str]] = field(factory=dict)
     pinned: dict[str, list[int]] = field(factory=dict)
-    droppable: deque[int] = field(factory=deque)
+    deletable: deque[int] = field(factory=deque)
     random: random.Random = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Seed the jitter by the name, so that two routers do not agree on it."""
-        self.random = random.Random(self.me)
+        """Seed the random source by the identifier, so that routers' delays differ."""
+        self.random = random.Random(self.self_id)
 
-    def put(
-        self, *entries: JournalEntry, keep: bool = True, lazy: bool = False
-    ) -> Append:
-        """Queue entries; the returned append says when they are durable.
+    def enqueue(
+        self, *entries: JournalEntry, retry: bool = True, lazy: bool = False
+    ) -> PendingAppend:
+        """Queue entries; the returned append reports when they are durable.
 
         Args:
-            entries: What to append, together.
-            keep: Whether they stay queued until they are durable.
-            lazy: Whether they may wait a moment for other entries, and be
-                withdrawn meanwhile.
+            entries: The entries, which are appended together.
+            retry: Whether they stay queued after a failed append.
+            lazy: Whether they may wait for other entries, up to the outcome delay, and
+                be withdrawn in the meantime.
         """
-        append = Append(entries, keep)
+        append = PendingAppend(entries, retry)
         if self.sealed.is_set():
-            append.end(SealedError(f"{self.me} was sealed"))
+            append.finish(SealedError(f"{self.self_id} was sealed"))
             return append
         self.queue.append(append)
-        self.some.set()
+        self.queued.set()
         if not lazy:
             self.wake.set()
         return append
 
-    def withdraw(self, append: Append) -> bool:
-        """Take entries back that are not on their way yet; False when they are.
+    def withdraw(self, append: PendingAppend) -> bool:
+        """Remove entries that are still queued; return False if they no longer are.
 
-        An outcome is not needed any more once its bill is in the table.
+        An outcome need not be written once its bill is in the table.
         """
         if append not in self.queue:
             return False
         self.queue.remove(append)
-        append.end()
+        append.finish()
         return True
 
     async def flush(self) -> None:
-        """Wait until everything queued so far is durable.
+        """Wait until all entries queued so far are durable.
 
         Raises:
             SealedError: The journal is sealed.
         """
-        await self.put().wait()
+        await self.enqueue().wait()
 
-    def settle(self, name: str) -> None:
-        """Note that a run's bill, or a transfer, is in the table for good."""
+    def unpin(self, name: str) -> None:
+        """Record that a run's bill or a transfer is final in the table.
+
+        Segments in which nothing else is pending may then be deleted.
+        """
         for number in self.pinned.pop(name, ()):
             pins = self.pins[number]
             pins.discard(name)
             if not pins:
                 del self.pins[number]
-                self.droppable.append(number)
+                self.deletable.append(number)
 
     def table_keys(self) -> list[str]:
-        """Return the keys of the segments that still stand in the table."""
-        numbers = sorted((*self.pins, *self.droppable))
-        return [segment_key(self.me, number) for number in numbers]
+        """Return the keys of the segments that are still in the table."""
+        numbers = sorted((*self.pins, *self.deletable))
+        return [segment_key(self.self_id, number) for number in numbers]
 
     async def run(self) -> None:
-        """Append what is queued until the journal is sealed or the task ends."""
+        """Append queued entries until the journal is sealed."""
         while not self.sealed.is_set():
-            await self.some.wait()
+            await self.queued.wait()
             with anyio.move_on_after(self.options.outcome_delay):
                 await self.wake.wait()
-            self.some = anyio.Event()
+            self.queued = anyio.Event()
             self.wake = anyio.Event()
             while self.queue and not self.sealed.is_set():
                 await self._append_queued()
@@ -216,97 +218,101 @@
         except SealedError as error:
             self.seal(batch, error)
         except PlatformError as error:
-            await self._failed(batch, error)
+            await self._handle_failure(batch, error)
         except BaseException:
             self.queue.extendleft(reversed(batch))
             raise
         else:
-            self.pause = 0.0
+            self.retry_delay = 0.0
             self.appended += len(entries)
             for append in batch:
-                append.end()
+                append.finish()
 
-    def seal(self, batch: list[Append], error: SealedError) -> None:
-        """Fail everything: this incarnation is over."""
+    def seal(self, batch: list[PendingAppend], error: SealedError) -> None:
+        """Fail all appends, because this incarnation was sealed."""
         self.sealed.set()
         for append in (*batch, *self.queue):
-            append.end(error)
+            append.finish(error)
         self.queue.clear()
 
-    async def _failed(self, batch: list[Append], error: PlatformError) -> None:
-        self.place = Place.NOWHERE
-        kept = [append for append in batch if append.keep]
+    async def _handle_failure(
+        self, batch: list[PendingAppend], error: PlatformError
+    ) -> None:
+        self.target = JournalTarget.NOWHERE
+        kept = [append for append in batch if append.retry]
         for append in batch:
-            if not append.keep:
-                append.end(UnavailableError(f"the journal is not writable: {error}"))
+            if not append.retry:
+                append.finish(UnavailableError(f"the journal is not writable: {error}"))
         self.queue.extendleft(reversed(kept))
-        longer = max(self.options.retry_pause, self.pause * 2)
-        self.pause = min(longer, self.options.most_pause)
+        longer = max(self.options.retry_delay, self.retry_delay * 2)
+        self.retry_delay = min(longer, self.options.max_retry_delay)
         if kept:
-            await self._rest()
+            await self._back_off()
 
-    async def _rest(self) -> None:
-        # A new entry ends the pause: a request must hear soon that it cannot run.
+    async def _back_off(self) -> None:
+        # A new entry ends the delay, so that its request is refused promptly.
         before = len(self.queue)
-        with anyio.move_on_after(self.pause):
+        with anyio.move_on_after(self.retry_delay):
             while len(self.queue) == before:
                 self.wake = anyio.Event()
                 await self.wake.wait()
 
     async def _append(self, segment: JournalSegment) -> None:
-        if anyio.current_time() >= self.table_rests_until:
+        if anyio.current_time() >= self.table_backoff_until:
             try:
                 await self._append_to_table(segment)
             except SealedError:
                 raise
             except PlatformError:
-                rest = self.options.table_rest
-                self.table_rests_until = anyio.current_time() + rest
+                backoff = self.options.table_backoff
+                self.table_backoff_until = anyio.current_time() + backoff
             else:
-                self._went(Place.TABLE)
+                self._count_segment(JournalTarget.TABLE)
                 return
         await self._append_to_objects(segment)
-        self._went(Place.OBJECTS)
+        self._count_segment(JournalTarget.OBJECTS)
 
-    def _went(self, place: Place) -> None:
-        self.place = place
-        self.segments[place] = self.segments.get(place, 0) + 1
+    def _count_segment(self, target: JournalTarget) -> None:
+        self.target = target
+        self.segments[target] = self.segments.get(target, 0) + 1
 
     async def _append_to_table(self, segment: JournalSegment) -> None:
-        drops = list(self.droppable)[: self.options.drops_at_once]
+        deletions = list(self.deletable)[: self.options.deletions_per_append]
         error: PlatformError = UnavailableError("the append met other writers")
-        for _ in range(APPEND_TRIES):
+        for _ in range(MAX_APPEND_TRIES):
             number = self.table_number
-            wish = append_transaction(self.me, self.router, number, segment, drops)
+            transaction = append_transaction(
+                self.self_id, self.router, number, segment, deletions
+            )
             try:
-                await self.table.commit(wish)
+                await self.table.commit(transaction)
             except UnknownOutcomeError as unknown:
                 error = unknown
-                written = await self._written_in_table(number)
+                written = await self._read_table_segment(number)
             except ConflictError as conflict:
                 error = conflict
-                written = await self._written_in_table(number)
+                written = await self._read_table_segment(number)
                 if written is None:
                     continue
             else:
                 written = segment
             if written is None:
-                # The lost call may still arrive.  Trying the same number again
-                # is safe: only one of the two can be the first to write it.
+                # The lost call may still take effect. Retrying with the same number is
+                # safe, because a number can be written only once.
                 continue
             self.table_number = number + 1
             self._pin(number, written)
             if written == segment:
-                for old in drops:
-                    self.droppable.remove(old)
+                for old in deletions:
+                    self.deletable.remove(old)
                 return
         raise error
 
-    async def _written_in_table(self, number: int) -> JournalSegment | None:
-        key = segment_key(self.me, number)
-        router, row = await self.table.read((router_key(self.me), key))
+    async def _read_table_segment(self, number: int) -> JournalSegment | None:
+        key = segment_key(self.self_id, number)
+        router, row = await self.table.read((router_key(self.self_id), key))
         if router is None or router.version != self.router.version:
-            raise SealedError(f"{self.me} was sealed")
+            raise SealedError(f"{self.self_id} was sealed")
         if row is None:
             return None
         return from_json(row.value, JournalSegment)
@@ -314,33 +320,33 @@
     async def _append_to_objects(self, segment: JournalSegment) -> None:
         body = to_bytes(segment)
         error: PlatformError = UnavailableError("the append met other writers")
-        for _ in range(APPEND_TRIES):
-            key = segment_key(self.me, self.object_number)
+        for _ in range(MAX_APPEND_TRIES):
+            key = segment_key(self.self_id, self.object_number)
             try:
                 await self.objects.put(key, body, if_absent=True)
-            except (ConflictError, UnknownOutcomeError) as unclear:
-                error = unclear
-                there = await self.objects.get(key)
-                if there is None:
+            except (ConflictError, UnknownOutcomeError) as failure:
+                error = failure
+                existing = await self.objects.get(key)
+                if existing is None:
                     continue
-                self._refuse_sealed(there)
+                self._check_seal(existing)
                 self.object_number += 1
-                if there == body:
+                if existing == body:
                     return
             else:
                 self.object_number += 1
                 return
         raise error
 
-    def _refuse_sealed(self, body: bytes) -> None:
+    def _check_seal(self, body: bytes) -> None:
         written = from_bytes(body, JournalSegment)
         if any(isinstance(entry, Seal) for entry in written.entries):
-            raise SealedError(f"{self.me} was sealed")
+            raise SealedError(f"{self.self_id} was sealed")
 
     def _pin(self, number: int, segment: JournalSegment) -> None:
         names = {pin.name for pin in map(_pin_of, segment.entries) if pin}
         if not names:
-            self.droppable.append(number)
+            self.deletable.append(number)
             return
         self.pins[number] = names
         for name in names:
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -1,4 +1,4 @@
-"""Carrying operators' top-ups and refunds to the table, each at most once."""
+"""Top-ups, refunds and rulings of operators, each written to the table at most once."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 )
 from ebonyhold.types import RequestId, Tokens, WorkspaceName
 
-TRIES = 30
-"""Tries against routers that draw from the same budget."""
+MAX_TRIES = 30
+"""Maximum tries of one change; routers that draw from the same budget conflict."""
 
 
 Rows: TypeAlias = tuple[Row | None, ...]
@@ -42,40 +42,40 @@
     table: Table,
     keys: tuple[str, ...],
     plan: Callable[[Rows], Transaction | None],
-    what: str,
+    label: str,
 ) -> bool:
-    """Commit what is planned on the rows of some keys, against other writers.
+    """Commit a planned change of some rows, and retry on conflicts with other writers.
 
-    A lost answer is not taken for either outcome: the rows are read again, and
-    the plan, which finds its own row there, says whether anything is left to do.
+    After an unknown outcome the rows are read again. The plan finds its own row there
+    if the change took effect, and returns None.
 
     Args:
         table: The table.
-        keys: The rows that the plan needs.
-        plan: Returns the transaction, or None when it has been done.
-        what: Names the change in an error.
+        keys: Keys of the rows that the plan needs.
+        plan: Returns the transaction, or None if the change has been made.
+        label: Name of the change in error messages.
 
     Returns:
-        Whether this call made the change; False when it had been made before.
+        Whether this call made the change; False if it had been made before.
 
     Raises:
-        ValueError: The plan refuses.
+        ValueError: The plan refuses the change.
         PlatformError: The table could not be written; try again.
     """
-    unclear = False
-    for _ in range(TRIES):
-        wish = plan(await table.read(keys))
-        if wish is None:
-            return unclear
+    in_doubt = False
+    for _ in range(MAX_TRIES):
+        transaction = plan(await table.read(keys))
+        if transaction is None:
+            return in_doubt
         try:
-            await table.commit(wish)
+            await table.commit(transaction)
         except ConflictError:
             continue
         except UnknownOutcomeError:
-            unclear = True
+            in_doubt = True
             continue
         return True
-    raise UnavailableError(f"{what} met other writers")
+    raise UnavailableError(f"{label} met other writers")
 
 
 async def top_up(
@@ -84,11 +84,12 @@
     """Add prepaid tokens to a workspace's budget, once for each key.
 
     Returns:
-        Whether this call made the top-up; False when the key was used before.
+        Whether this call made the top-up; False if it had been made before.
 
     Raises:
-        ValueError: The amount is not above zero, or the key was used for another.
-        PlatformError: The table could not be written; try again with the key.
+        ValueError: The amount is not above zero, or the key was used for another
+            top-up.
+        PlatformError: The table could not be written; try again with the same key.
     """
     keys = (topup_key(workspace, key), budget_key(workspace))
 
@@ -110,15 +111,15 @@
     amount: Tokens,
     operator: str = "",
 ) -> bool:
-    """Give back a part of a request's charge, once for each key.
+    """Return a part of a request's charge to the budget, once for each key.
 
     Returns:
-        Whether this call made the refund; False when the key was used before.
+        Whether this call made the refund; False if it had been made before.
 
     Raises:
-        ValueError: There is no such bill, too little of it is left, or the key
-            was used for another refund.
-        PlatformError: The table could not be written; try again with the key.
+        ValueError: The request has no bill, too little of its charge is left, or the
+            key was used for another refund.
+        PlatformError: The table could not be written; try again with the same key.
     """
     keys = (
         refund_key(workspace, key),
@@ -140,13 +141,19 @@
 async def rule(
     table: Table, workspace: WorkspaceName, request: RequestId, *, ran: bool
 ) -> bool:
-    """Settle a request whose outcome is unknown, on an operator's word.
+    """Settle a request whose outcome is unknown, as an operator decided.
+
+    Args:
+        table: The table.
+        workspace: Workspace of the request.
+        request: The request.
+        ran: Whether the operator found that the request ran.
 
     Returns:
-        Whether this call settled it; False when it had been settled that way.
+        Whether this call settled the request; False if it had been settled that way.
 
     Raises:
-        ValueError: There is no such request, or its outcome is not unknown.
+        ValueError: There is no such request, its outcome is known, or it was refunded.
         PlatformError: The table could not be written; try again.
     """
     keys = (request_key(workspace, request), budget_key(workspace))
--- a/ebonyhold/money/_options.py
+++ b/ebonyhold/money/_options.py
@@ -1,4 +1,4 @@
-"""Time constants of the money's tasks, in seconds unless said otherwise."""
+"""Intervals, timeouts and batch sizes of the tasks for grants, journal and bills."""
 
 from __future__ import annotations
 
@@ -9,43 +9,48 @@
 
 @frozen
 class MoneyOptions:
-    """How often and how long the money's tasks wait.
+    """Intervals, timeouts and batch sizes; times are in seconds.
 
     Attributes:
-        filing_interval: How long a bill may wait for others of its workspace.
-        outcome_delay: How long a chat's outcome may wait for company in the
-            journal.  It is longer than the filing interval, since an outcome
-            whose bill is filed first need not be written at all; a router that
-            dies meanwhile leaves the question to the engine.
-        bills_at_once: Bills of one transaction.
-        resize_interval: How often a grant's size is looked at without need.
-        evict_after: How long a workspace may be idle before its grant returns
-            and its state is forgotten.
-        table_rest: How long the table is left alone after it failed an append.
-        conflict_pause: The longest pause after a settlement met another writer.
-        conflict_pause: Seconds = 0.03
-    retry_pause: The first pause after a failure; it doubles.
-        most_pause: The longest pause.
-        acquire_within: The longest a request waits for tokens.
-        ask_within: The longest wait for one peer's answer.
-        patience_step: How often a patient request looks for returned tokens.
-        peers_asked: Peers asked for tokens, at most, for one request.
-        given_within: The longest a giver waits for its journal.
-        drops_at_once: Settled segments that one append deletes.
+        filing_interval: Maximum time a bill waits for other bills of its workspace, to
+            be filed in the same transaction.
+        outcome_delay: Maximum time a chat's outcome waits for other journal entries. It
+            exceeds the filing interval because an outcome need not be written if its
+            bill is filed first. If the router crashes in the meantime, recovery looks
+            up the attempt at its engine.
+        bills_per_transaction: Maximum number of bills in one transaction.
+        resize_interval: Interval between checks of a grant's size if no request needs
+            tokens.
+        evict_after: Idle time after which a workspace's grant is returned and its state
+            is discarded.
+        table_backoff: Time for which the journal does not use the table after a failed
+            append.
+        conflict_delay: Maximum random delay after a settlement conflicted with another
+            writer.
+        retry_delay: Delay after a first failure; it doubles with each further failure.
+        max_retry_delay: Maximum delay between retries.
+        acquire_timeout: Maximum time a request waits for tokens.
+        peer_timeout: Maximum time to wait for one peer's answer.
+        recheck_interval: Interval at which the budget is read again while requests wait
+            for others to return tokens.
+        max_peers: Maximum number of peers asked for tokens in one round.
+        give_timeout: Maximum time a giver waits until a transfer is in its journal.
+        deletions_per_append: Maximum number of settled segments that one append
+            deletes.
     """
 
     filing_interval: Seconds = 1.0
     outcome_delay: Seconds = 2.0
-    bills_at_once: int = 10
+    bills_per_transaction: int = 10
     resize_interval: Seconds = 15.0
     evict_after: Seconds = 900.0
-    table_rest: Seconds = 2.0
-    conflict_pause: Seconds = 0.03
-    retry_pause: Seconds = 0.05
-    most_pause: Seconds = 10.0
-    acquire_within: Seconds = 8.0
-    ask_within: Seconds = 0.5
-    patience_step: Seconds = 0.25
-    peers_asked: int = 8
-    given_within: Seconds = 0.4
-    drops_at_once: int = 16
+    table_backoff: Seconds = 2.0
+    conflict_delay: Seconds = 0.03
+    retry_delay: Seconds = 0.05
+    max_retry_delay: Seconds = 10.0
+    acquire_timeout: Seconds = 8.0
+    peer_timeout: Seconds = 0.5
+    recheck_interval: Seconds = 0.25
+    max_peers: int = 8
+    give_timeout: Seconds = 0.4
+    deletions_per_append: int = 16
--- a/ebonyhold/money/_recovery.py
+++ b/ebonyhold/money/_recovery.py
@@ -1,4 +1,4 @@
-"""Recovering another incarnation's work, safely when several do it at once."""
+"""Recovery of another incarnation's work; several routers may do it at once."""
 
 from __future__ import annotations
 
@@ -54,18 +54,18 @@
     UnavailableError,
     UnknownOutcomeError,
 )
-from ebonyhold.money._interface import BackendTruth
+from ebonyhold.money._interface import AttemptLookup
 from ebonyhold.money._sealing import SealedJournal
 from ebonyhold.scans import scan_rows
 from ebonyhold.types import AttemptId, RouterId, Tokens, WorkspaceName
 
-TRIES = 20
-"""Tries of one step against other writers: two survivors may race each other."""
+MAX_TRIES = 20
+"""Maximum tries of one step: routers that recover the same incarnation conflict."""
 
 
 @frozen
-class Unsettled:
-    """A run that waits for evidence; its hold stays out of reach until then."""
+class UnsettledRun:
+    """A run whose outcome is unknown; its hold is kept until the outcome is known."""
 
     workspace: WorkspaceName
     request: str
@@ -76,16 +76,16 @@
 
 @define
 class RecoveryReport:
-    """What a recovery came to.
+    """Result of one recovery.
 
     Attributes:
-        router: The incarnation.
-        closed: Whether nothing of it is left to settle.
-        billed: Bills that this recovery filed.
+        router: The incarnation that was recovered.
+        closed: Whether everything of the incarnation is settled.
+        billed: Number of bills that this recovery filed.
         paid: Tokens of those bills.
-        returned: Tokens that went back to the budgets.
-        stranded: Tokens that stay out of reach for now.
-        unsettled: Runs that wait for evidence.
+        returned: Tokens that were returned to the budgets.
+        stranded: Tokens that cannot be returned yet.
+        unsettled: Runs whose outcome is unknown.
     """
 
     router: RouterId
@@ -94,63 +94,65 @@
     paid: Tokens = 0
     returned: Tokens = 0
     stranded: Tokens = 0
-    unsettled: list[Unsettled] = field(factory=list)
+    unsettled: list[UnsettledRun] = field(factory=list)
 
 
 @frozen
 class Recovery:
-    """Recovers incarnations on behalf of the router `me`.
+    """Recovers incarnations on behalf of the router `self_id`.
 
-    No step rests on time or on anyone's word that a router is dead.  Sealing
-    takes the right to write from the incarnation in both places; what stands in
-    its journal after that is all that it can ever have dispatched.
+    Recovery is safe even if the incarnation is still running, and depends on no timing.
+    A sealed incarnation can write neither to the table nor to the object store, so its
+    journal lists all attempts that it can have dispatched.
     """
 
     table: Table
     objects: Objects
-    me: RouterId
-    backend_truth: BackendTruth | None
+    self_id: RouterId
+    attempt_lookup: AttemptLookup | None
     policy: Callable[[], Policy]
 
     async def recover(self, router: RouterId) -> RecoveryReport:
         """Seal an incarnation, file its bills and return its tokens.
 
-        It may be called again, and by several routers at once: every step is a
-        write that is conditional on what it read.
+        It may be called again, and by several routers at once: each write is
+        conditional on the rows that were read.
 
         Raises:
-            PlatformError: A place could not be reached; call it again later.
+            PlatformError: The table or the object store could not be reached; call
+                again later.
         """
         report = RecoveryReport(router)
-        journal = SealedJournal(self.table, self.objects, router, self.me)
+        journal = SealedJournal(self.table, self.objects, router, self.self_id)
         row = await journal.seal()
         if row.value is None or row.value.state is RouterState.CLOSED:
             report.closed = True
             return report
         reading = await journal.read()
         await self._settle_receipts(row, reading)
-        pending = await self._announce_gifts(reading)
-        bills = [*reading.bills(), *await self._judge_open(row, reading, report)]
+        pending_tokens = await self._announce_given(reading)
+        bills = [*reading.bills(), *await self._bill_open_runs(row, reading, report)]
         await self._file_all(row, bills, report)
-        await self._return_all(row, report, pending)
+        await self._return_all(row, report, pending_tokens)
         if not report.unsettled:
             await self._close(row)
-            await journal.drop()
+            await journal.delete()
             report.closed = True
         return report
 
     async def rule(
         self, router: RouterId, attempt: AttemptId, state: RequestState, charge: Tokens
     ) -> None:
-        """Settle a run that waits for evidence, on an operator's word.
+        """Settle a run whose outcome is unknown, as an operator decided.
 
-        Call `recover` again afterwards: it returns the rest of the hold.
+        Call `recover` again afterwards to return the rest of the hold.
 
         Raises:
-            ValueError: The sealed router's journal has no such run open.
-            PlatformError: A place could not be reached; call it again later.
+            ValueError: The router is not sealed, or its journal has no such open run.
+            PlatformError: The table or the object store could not be reached; call
+                again later.
         """
-        journal = SealedJournal(self.table, self.objects, router, self.me)
+        journal = SealedJournal(self.table, self.objects, router, self.self_id)
         row = await journal.row()
         if row.value is None or row.value.state is not RouterState.SEALED:
             raise ValueError(f"{router} is not sealed")
@@ -172,9 +174,9 @@
         for receipt in reading.received.values():
             source, own = grant_keys(receipt.transfer, receipt.workspace)
             keys = (transfer_key(receipt.transfer), source, own)
-            for _ in range(TRIES):
+            for _ in range(MAX_TRIES):
                 rows = await self.table.read(keys)
-                wish = settle_transfer(
+                transaction = settle_transfer(
                     seen(keys[0], rows[0], TransferRow),
                     router,
                     seen(keys[1], rows[1], GrantRow),
@@ -182,32 +184,38 @@
                     receipt.workspace,
                     receipt.amount,
                 )
-                if wish is None or await self._try(wish):
+                if transaction is None or await self._commit(transaction):
                     break
             else:
                 raise UnavailableError(f"{receipt.transfer} could not be settled")
 
-    async def _announce_gifts(
+    async def _announce_given(
         self, reading: JournalReading
     ) -> dict[WorkspaceName, Tokens]:
-        """Make unsettled transfers visible, and sum what must stay for them."""
-        pending: dict[WorkspaceName, Tokens] = {}
-        for gift in reading.given.values():
-            key = transfer_key(gift.transfer)
-            for _ in range(TRIES):
+        """Write unsettled given transfers to the table.
+
+        Returns:
+            The tokens of transfers that are still pending, by workspace.
+        """
+        pending_tokens: dict[WorkspaceName, Tokens] = {}
+        for given in reading.given.values():
+            key = transfer_key(given.transfer)
+            for _ in range(MAX_TRIES):
                 (raw,) = await self.table.read((key,))
                 row = seen(key, raw, TransferRow)
-                wish = announce_transfer(row, gift.workspace, gift.amount)
-                if wish is None:
+                transaction = announce_transfer(row, given.workspace, given.amount)
+                if transaction is None:
                     break
-                await self._try(wish)
+                await self._commit(transaction)
             else:
-                raise UnavailableError(f"{gift.transfer} could not be announced")
-            waits = row.value is not None and row.value.state is TransferState.PENDING
-            if waits and not await self._lapse(row):
-                total = pending.get(gift.workspace, 0)
-                pending[gift.workspace] = total + gift.amount
-        return pending
+                raise UnavailableError(f"{given.transfer} could not be announced")
+            is_pending = (
+                row.value is not None and row.value.state is TransferState.PENDING
+            )
+            if is_pending and not await self._lapse(row):
+                total = pending_tokens.get(given.workspace, 0)
+                pending_tokens[given.workspace] = total + given.amount
+        return pending_tokens
 
     async def _lapse(self, transfer: Seen[TransferRow]) -> bool:
         value = transfer.value
@@ -217,26 +225,26 @@
             grant_key(value.source, value.workspace),
             budget_key(value.workspace),
         )
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             rows = await self.table.read((*keys, transfer.key))
-            fresh = seen(transfer.key, rows[3], TransferRow)
-            wish = lapse_transfer(
-                fresh,
+            current = seen(transfer.key, rows[3], TransferRow)
+            transaction = lapse_transfer(
+                current,
                 seen(keys[0], rows[0], RouterRow),
                 seen(keys[1], rows[1], GrantRow),
                 seen(keys[2], rows[2], BudgetRow),
             )
-            if wish is None:
-                ended = fresh.value
+            if transaction is None:
+                ended = current.value
                 return ended is None or ended.state is not TransferState.PENDING
-            await self._try(wish)
+            await self._commit(transaction)
         return False
 
     async def sweep(self) -> int:
-        """Return to the budgets what closed routers can no longer receive.
+        """Return pending transfers that closed routers never received to the budgets.
 
         Returns:
-            How many transfers are still pending.
+            The number of transfers that are still pending.
 
         Raises:
             PlatformError: The table could not be reached.
@@ -251,26 +259,30 @@
                 left += 1
         return left
 
-    async def _judge_open(
+    async def _bill_open_runs(
         self, router: Seen[RouterRow], reading: JournalReading, report: RecoveryReport
     ) -> list[Bill]:
         bills: list[Bill] = []
         charge_unknown = self.policy().unknown_outcome is UnknownOutcome.CHARGE_HOLD
         for attempts in reading.open_runs():
-            if await self._settled_before(attempts[0]):
+            if await self._is_settled(attempts[0]):
                 continue
-            witnesses = [
-                Witness(intent, await self._ask(intent)) for intent in attempts
+            evidence = [
+                Witness(intent, await self._look_up(intent)) for intent in attempts
             ]
-            bill = settle_run(witnesses, charge_unknown=charge_unknown)
+            bill = settle_run(evidence, charge_unknown=charge_unknown)
             if bill is None:
                 report.unsettled.append(_unsettled(attempts[-1]))
             else:
                 bills.append(bill)
         return bills
 
-    async def _settled_before(self, intent: Intent) -> bool:
-        """Tell whether this very run has its final row, its segments half dropped."""
+    async def _is_settled(self, intent: Intent) -> bool:
+        """Return whether the run's final row is filed.
+
+        Its outcome may be missing from the journal, because segments are deleted after
+        that.
+        """
         key = request_key(intent.workspace, intent.request)
         (raw,) = await self.table.read((key,))
         row = seen(key, raw, RequestRow).value
@@ -278,11 +290,11 @@
             return False
         return run_of(row.attempt) == run_of(intent.attempt)
 
-    async def _ask(self, intent: Intent) -> AttemptTruth:
-        if self.backend_truth is None:
+    async def _look_up(self, intent: Intent) -> AttemptTruth:
+        if self.attempt_lookup is None:
             return AttemptTruth(AttemptState.UNKNOWN)
         try:
-            return await self.backend_truth.close_attempt(
+            return await self.attempt_lookup.close_attempt(
                 intent.backend, intent.attempt
             )
         except EbonyholdError:
@@ -303,10 +315,10 @@
             grant_key(owner, bill.workspace),
             bill.key,
         )
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             rows = await self.table.read(keys)
             request = seen(keys[2], rows[2], RequestRow)
-            if _final_of(request.value, bill):
+            if _is_filed(request.value, bill):
                 return
             plan = plan_settlement(
                 owner,
@@ -319,7 +331,7 @@
             )
             if plan.filed[0].verdict is Verdict.LEAVE:
                 return
-            if await self._try(plan.transaction):
+            if await self._commit(plan.transaction):
                 report.billed += 1
                 report.paid += plan.filed[0].paid
                 return
@@ -329,60 +341,62 @@
         self,
         router: Seen[RouterRow],
         report: RecoveryReport,
-        pending: dict[WorkspaceName, Tokens],
+        pending_tokens: dict[WorkspaceName, Tokens],
     ) -> None:
-        waiting = dict(pending)
+        reservations = dict(pending_tokens)
         for run in report.unsettled:
-            waiting[run.workspace] = waiting.get(run.workspace, 0) + run.hold
-        report.stranded = sum(waiting.values())
+            reservations[run.workspace] = reservations.get(run.workspace, 0) + run.hold
+        report.stranded = sum(reservations.values())
         prefix = grant_prefix(report.router)
         async for row in scan_rows(self.table, prefix):
             workspace = row.key.removeprefix(prefix)
-            stay = waiting.get(workspace, 0)
-            await self._return(router, row.key, workspace, stay, report)
+            reserved = reservations.get(workspace, 0)
+            await self._return(router, row.key, workspace, reserved, report)
 
     async def _return(
         self,
         router: Seen[RouterRow],
         key: str,
         workspace: WorkspaceName,
-        stay: Tokens,
+        reserved: Tokens,
         report: RecoveryReport,
     ) -> None:
         budget = budget_key(workspace)
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             rows = await self.table.read((budget, key))
             grant = seen(key, rows[1], GrantRow)
-            wish = close_grant(router, seen(budget, rows[0], BudgetRow), grant, stay)
-            if wish is None:
+            transaction = close_grant(
+                router, seen(budget, rows[0], BudgetRow), grant, reserved
+            )
+            if transaction is None:
                 return
-            if await self._try(wish):
+            if await self._commit(transaction):
                 assert grant.value is not None
-                report.returned += max(grant.value.held - stay, 0)
+                report.returned += max(grant.value.held - reserved, 0)
                 return
         raise UnavailableError(f"{key} could not be returned")
 
     async def _close(self, router: Seen[RouterRow]) -> None:
-        wish = close_transaction(router, time.time())
-        if wish is not None:
-            await self._try(wish)
+        transaction = close_transaction(router, time.time())
+        if transaction is not None:
+            await self._commit(transaction)
 
-    async def _try(self, wish: Transaction) -> bool:
-        """Commit; False when it is not known to have taken effect."""
+    async def _commit(self, transaction: Transaction) -> bool:
+        """Commit; return False if the transaction is not known to have taken effect."""
         try:
-            await self.table.commit(wish)
+            await self.table.commit(transaction)
         except (ConflictError, UnknownOutcomeError):
             return False
         return True
 
 
-def _final_of(row: RequestRow | None, bill: Bill) -> bool:
+def _is_filed(row: RequestRow | None, bill: Bill) -> bool:
     if row is None or row.state is RequestState.RUNNING:
         return False
     return run_of(row.attempt) == run_of(bill.attempt) and row.state is bill.state
 
 
-def _unsettled(intent: Intent) -> Unsettled:
-    return Unsettled(
+def _unsettled(intent: Intent) -> UnsettledRun:
+    return UnsettledRun(
         intent.workspace, intent.request, intent.attempt, intent.backend, intent.hold
     )
--- a/ebonyhold/money/_registration.py
+++ b/ebonyhold/money/_registration.py
@@ -1,4 +1,4 @@
-"""The row by which others know of an incarnation, from its opening to its close."""
+"""The row of an incarnation in the table, from its registration until it is closed."""
 
 from __future__ import annotations
 
@@ -29,74 +29,79 @@
 from ebonyhold.money._journal import Journal
 from ebonyhold.types import RouterId
 
-TRIES = 5
+MAX_TRIES = 5
+"""Maximum tries of one write when its outcome is unknown."""
 
-DROPPED_AT_ONCE = 100
-"""Rows of grants that one transaction deletes."""
+DELETE_BATCH = 100
+"""Maximum number of grants' rows that one transaction deletes."""
 
 
 async def register(
     table: Table, router: RouterId, domain: str, address: str
 ) -> Seen[RouterRow]:
-    """Write an incarnation's row; its version is what all its writes check.
+    """Write an incarnation's row and return it; all its later writes check the version.
 
     Raises:
         PlatformError: The table could not be written.
-        SealedError: The incarnation is over already.
+        SealedError: The incarnation was sealed or closed before.
     """
     key, row = open_row(router, domain, address, time.time())
     absent: Seen[RouterRow] = Seen(key)
-    wish = Transaction((absent.check,), (absent.put(row),))
-    for _ in range(TRIES):
+    transaction = Transaction((absent.check,), (absent.put(row),))
+    for _ in range(MAX_TRIES):
         with suppress(ConflictError, UnknownOutcomeError):
-            await table.commit(wish)
+            await table.commit(transaction)
         (raw,) = await table.read((key,))
-        there = seen(key, raw, RouterRow)
-        if there.value is None:
+        stored = seen(key, raw, RouterRow)
+        if stored.value is None:
             continue
-        if there.value.state is not RouterState.OPEN:
+        if stored.value.state is not RouterState.OPEN:
             raise SealedError(f"{router} was sealed")
-        return there
+        return stored
     raise UnavailableError(f"{router} could not be registered")
 
 
 async def unregister(table: Table, journal: Journal) -> None:
-    """Close an incarnation that has filed and returned everything.
+    """Close an incarnation that has filed all bills and returned all tokens.
 
     Raises:
         PlatformError: The table could not be written.
     """
-    await _drop_empty_grants(table, journal)
-    wish = close_transaction(journal.router, time.time())
-    assert wish is not None
-    drops = tuple(Delete(key) for key in journal.table_keys())
-    for _ in range(TRIES):
+    await _delete_empty_grants(table, journal)
+    transaction = close_transaction(journal.router, time.time())
+    assert transaction is not None
+    deletions = tuple(Delete(key) for key in journal.table_keys())
+    for _ in range(MAX_TRIES):
         with suppress(ConflictError, UnknownOutcomeError):
-            await table.commit(evolve(wish, writes=(*wish.writes, *drops)))
+            await table.commit(
+                evolve(transaction, writes=(*transaction.writes, *deletions))
+            )
         (row,) = await table.read((journal.router.key,))
         if row is not None and row.version != journal.router.version:
             journal.sealed.set()
             return
-    raise UnavailableError(f"{journal.me} could not be closed")
+    raise UnavailableError(f"{journal.self_id} could not be closed")
 
 
-async def _drop_empty_grants(table: Table, journal: Journal) -> None:
-    """Delete the rows of grants that hold nothing any more.
+async def _delete_empty_grants(table: Table, journal: Journal) -> None:
+    """Delete the rows of grants that hold no tokens.
 
-    One that still holds tokens has given them to a router that did not settle
-    them yet; its row stays until that is decided.
+    A grant that still holds tokens gave them to a router that has not settled the
+    transfer. Its row is kept until the transfer has ended.
     """
-    prefix = grant_prefix(journal.me)
+    prefix = grant_prefix(journal.self_id)
     after = ""
     while True:
-        page = await table.scan(prefix, after, DROPPED_AT_ONCE)
+        page = await table.scan(prefix, after, DELETE_BATCH)
         grants = [seen(row.key, row, GrantRow) for row in page]
         empty = [one for one in grants if one.value and one.value.held == 0]
         checks = tuple(one.check for one in empty)
-        drops = tuple(Delete(one.key) for one in empty)
-        if drops:
+        deletions = tuple(Delete(one.key) for one in empty)
+        if deletions:
             with suppress(ConflictError, UnknownOutcomeError):
-                await table.commit(Transaction((journal.router.check, *checks), drops))
-        if len(page) < DROPPED_AT_ONCE:
+                await table.commit(
+                    Transaction((journal.router.check, *checks), deletions)
+                )
+        if len(page) < DELETE_BATCH:
             return
         after = page[-1].key
--- a/ebonyhold/money/_retention.py
+++ b/ebonyhold/money/_retention.py
@@ -1,4 +1,4 @@
-"""Deleting what is older than the document keeps it."""
+"""Deletion of rows that are older than the retention period of the document."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 from ebonyhold.scans import scan_rows
 from ebonyhold.types import RouterId, Seconds, WorkspaceName
 
-BILLS_AT_ONCE = 50
-"""Bills that one transaction deletes."""
+BILL_BATCH = 50
+"""Maximum number of bills that one transaction deletes."""
 
 T = TypeVar("T")
 
 
 @define
 class RetentionReport:
-    """What one sweep deleted."""
+    """Numbers of rows that one sweep deleted."""
 
     bills: int = 0
     transfers: int = 0
@@ -51,13 +51,13 @@
 class Retention:
     """Deletes old bills, ended transfers and closed routers.
 
-    Any router may run it, several at once: every deletion is conditional on the
-    row being as it was read.
+    Several routers may run it at once: each deletion is conditional on the row being
+    unchanged since it was read.
 
     Attributes:
         table: The table.
         objects: The object store.
-        keep: How long bills, claims and seals stay, in seconds.
+        keep: How long bills, claims and seals are kept, in seconds.
     """
 
     table: Table
@@ -65,17 +65,18 @@
     keep: Seconds
 
     async def sweep(self, now: float) -> RetentionReport:
-        """Delete what has expired.
+        """Delete the rows that have expired.
 
-        A retry of a request whose row is gone counts as a new request.  So a
-        booking is at most once for as long as its row is kept, and no caller
-        may repeat a key after that.
+        A retry of a request whose row was deleted counts as a new request. A booking
+        therefore runs at most once only while its row is kept, and callers must not
+        repeat a key after that.
 
         Args:
             now: Seconds since the epoch.
 
         Raises:
-            PlatformError: A place could not be reached; sweep again later.
+            PlatformError: The table or the object store could not be reached; sweep
+                again later.
         """
         report = RetentionReport()
         await self._bills(now - self.keep, report)
@@ -90,7 +91,7 @@
             workspace = row.key.split("/", 2)[1]
             batch = batches.setdefault(workspace, [])
             batch.append(row)
-            if len(batch) >= BILLS_AT_ONCE:
+            if len(batch) >= BILL_BATCH:
                 await self._archive(workspace, batch, before, report)
                 batch.clear()
         for workspace, batch in batches.items():
@@ -105,9 +106,9 @@
     ) -> None:
         key = archive_key(workspace)
         (row,) = await self.table.read((key,))
-        wish = plan_archive(seen(key, row, ArchiveRow), batch, before)
-        if wish is not None and await self._try(wish):
-            report.bills += len(wish.writes) - 1
+        transaction = plan_archive(seen(key, row, ArchiveRow), batch, before)
+        if transaction is not None and await self._commit(transaction):
+            report.bills += len(transaction.writes) - 1
 
     async def _routers(self) -> dict[RouterId, Seen[RouterRow]]:
         return {
@@ -118,18 +119,18 @@
     async def _transfers(
         self, routers: dict[RouterId, Seen[RouterRow]], report: RetentionReport
     ) -> None:
-        """Delete transfers whose two ends are both closed.
+        """Delete ended transfers of which both routers are closed.
 
-        While either end lives, its journal may name the transfer, and only this
-        row says that it has been settled.
+        While one of them is open, its journal may name the transfer, and only the
+        transfer's row shows that it has been settled.
         """
         async for row in self._scan(TRANSFER_PREFIX, TransferRow):
             transfer = row.value
             if transfer is None or transfer.state is TransferState.PENDING:
                 continue
             if _closed(routers, transfer.source) and _closed(routers, transfer.to):
-                wish = Transaction((row.check,), (Delete(row.key),))
-                report.transfers += await self._try(wish)
+                transaction = Transaction((row.check,), (Delete(row.key),))
+                report.transfers += await self._commit(transaction)
 
     async def _closed_routers(
         self,
@@ -145,20 +146,20 @@
                 continue
             if await self.table.scan(f"{GRANT_PREFIX}{name}/", "", 1):
                 continue
-            # The row goes last, so that a sweep that dies is repeated.
+            # The row is deleted last, so that a later sweep repeats an interrupted one.
             while keys := await self.objects.keys(journal_prefix(name)):
                 for key in keys:
                     await self.objects.delete(key)
-            wish = Transaction((row.check,), (Delete(row.key),))
-            report.routers += await self._try(wish)
+            transaction = Transaction((row.check,), (Delete(row.key),))
+            report.routers += await self._commit(transaction)
 
     async def _scan(self, prefix: str, as_type: type[T]) -> AsyncIterator[Seen[T]]:
         async for row in scan_rows(self.table, prefix):
             yield seen(row.key, row, as_type)
 
-    async def _try(self, wish: Transaction) -> bool:
+    async def _commit(self, transaction: Transaction) -> bool:
         try:
-            await self.table.commit(wish)
+            await self.table.commit(transaction)
         except (ConflictError, UnknownOutcomeError):
             return False
         return True
--- a/ebonyhold/money/_sealing.py
+++ b/ebonyhold/money/_sealing.py
@@ -1,4 +1,4 @@
-"""Sealing the journal of another incarnation, and reading it afterwards."""
+"""Sealing and reading the journal of another incarnation."""
 
 from __future__ import annotations
 
@@ -30,21 +30,22 @@
 from ebonyhold.scans import scan_rows
 from ebonyhold.types import RouterId
 
-TRIES = 20
-"""Tries to seal the router's row against other writers."""
+MAX_TRIES = 20
+"""Maximum tries to seal the router's row when it conflicts with other writers."""
 
-PAGE = 500
+PAGE_SIZE = 500
+"""Keys listed by one call to the object store."""
 
 
 @frozen
 class SealedJournal:
-    """The journal of an incarnation that may be dead.
+    """The journal of an incarnation that another router recovers.
 
     Attributes:
         table: The table.
         objects: The object store.
-        router: The incarnation.
-        by: Who seals it.
+        router: The incarnation that is recovered.
+        by: The router that seals the journal.
     """
 
     table: Table
@@ -63,21 +64,22 @@
         return seen(key, row, RouterRow)
 
     async def seal(self) -> Seen[RouterRow]:
-        """Take the right to write from the incarnation, in both places.
+        """Prevent further writes of the incarnation, in the table and the object store.
 
         Returns:
-            Its row; the store is left alone when it is closed, or unknown.
+            The incarnation's row. The object store is sealed only if the row is sealed:
+            not if it is closed or absent.
 
         Raises:
-            PlatformError: A place could not be reached.
+            PlatformError: The table or the object store could not be reached.
         """
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             row = await self.row()
-            wish = seal_transaction(row, self.by)
-            if wish is None:
+            transaction = seal_transaction(row, self.by)
+            if transaction is None:
                 break
             with suppress(ConflictError, UnknownOutcomeError):
-                await self.table.commit(wish)
+                await self.table.commit(transaction)
         else:
             raise UnavailableError(f"{self.router} could not be sealed")
         if row.value is not None and row.value.state is RouterState.SEALED:
@@ -85,10 +87,10 @@
         return row
 
     async def _seal_objects(self) -> None:
-        """Put a seal at the next free number of the chain in the object store.
+        """Write a seal at the first free number of the journal in the object store.
 
-        The router numbers its segments densely, so whatever it still has under
-        way is for the very number that the seal takes, or was written before.
+        The incarnation numbers its segments without gaps. An append still in flight
+        therefore either was written before or uses the number that the seal takes.
         """
         prefix = journal_prefix(self.router)
         keys = await self._object_keys()
@@ -96,12 +98,12 @@
         seal = to_bytes(JournalSegment((Seal(self.by),)))
         while True:
             key = segment_key(self.router, number)
-            there = await self.objects.get(key)
-            if there is None:
+            existing = await self.objects.get(key)
+            if existing is None:
                 with suppress(ConflictError, UnknownOutcomeError):
                     await self.objects.put(key, seal, if_absent=True)
                 continue
-            if _holds_seal(there):
+            if _has_seal(existing):
                 return
             number += 1
 
@@ -109,16 +111,18 @@
         prefix = journal_prefix(self.router)
         keys: list[str] = []
         while True:
-            page = await self.objects.keys(prefix, keys[-1] if keys else "", PAGE)
+            page = await self.objects.keys(prefix, keys[-1] if keys else "", PAGE_SIZE)
             keys.extend(page)
-            if len(page) < PAGE:
+            if len(page) < PAGE_SIZE:
                 return keys
 
     async def read(self) -> JournalReading:
-        """Read both chains; nothing is missing once they are sealed.
+        """Read the segments in the table and the object store.
+
+        No segment can be added once both are sealed.
 
         Raises:
-            UnavailableError: A place could not be reached.
+            UnavailableError: The table or the object store could not be reached.
         """
         reading = JournalReading()
         async for row in scan_rows(self.table, journal_prefix(self.router)):
@@ -129,14 +133,14 @@
                 reading.add(from_bytes(body, JournalSegment).entries)
         return reading
 
-    async def drop(self) -> None:
-        """Delete a closed incarnation's journal, but for the seal.
+    async def delete(self) -> None:
+        """Delete the journal of a closed incarnation, except for the seal.
 
-        The seal must outlive the incarnation: a router that wakes after a long
-        pause would otherwise find its next number in the store free.
+        The seal is kept because a router that resumes after a long pause would
+        otherwise find its next number in the object store free, and append there.
 
         Raises:
-            PlatformError: A place could not be reached.
+            PlatformError: The table or the object store could not be reached.
         """
         async for row in scan_rows(self.table, journal_prefix(self.router)):
             with suppress(ConflictError, UnknownOutcomeError):
@@ -145,6 +149,6 @@
             await self.objects.delete(key)
 
 
-def _holds_seal(body: bytes) -> bool:
+def _has_seal(body: bytes) -> bool:
     entries = from_bytes(body, JournalSegment).entries
     return any(isinstance(entry, Seal) for entry in entries)
--- a/ebonyhold/money/_status.py
+++ b/ebonyhold/money/_status.py
@@ -1,18 +1,18 @@
-"""What operators see of a router's money."""
+"""Status of a router's grants and journal, for operators."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
 from ebonyhold.coordination import BudgetRow
-from ebonyhold.money._account import Account
-from ebonyhold.money._journal import Place
+from ebonyhold.money._journal import JournalTarget
+from ebonyhold.money._workspace_grant import WorkspaceGrant
 from ebonyhold.types import RouterId, Tokens, WorkspaceName
 
 
 @frozen
 class GrantStatus:
-    """One grant, for operators."""
+    """Status of one grant."""
 
     workspace: WorkspaceName
     available: Tokens
@@ -26,37 +26,37 @@
 
 @frozen
 class MoneyStatus:
-    """The money side of a router, for operators.
+    """Status of the grants, the journal and the bills of one router.
 
     Attributes:
         router: The incarnation.
         sealed: Whether another router has recovered it.
-        place: Where the journal's last append went.
-        unfiled: Bills that are not in the table yet.
-        running: Requests with a hold.
-        segments: Journal segments in the table that are not settled.
-        grants: What is held, by workspace.
+        target: Where the journal's last append was written.
+        unfiled: Number of bills that are not in the table yet.
+        running: Number of requests that have a hold.
+        segments: Number of journal segments in the table that are not settled.
+        grants: Status of each grant.
     """
 
     router: RouterId
     sealed: bool
-    place: Place
+    target: JournalTarget
     unfiled: int
     running: int
     segments: int
     grants: tuple[GrantStatus, ...]
 
 
-def grant_status(account: Account) -> GrantStatus:
-    """Describe one grant."""
-    ledger = account.ledger
+def grant_status(grant: WorkspaceGrant) -> GrantStatus:
+    """Return the status of one grant."""
+    ledger = grant.ledger
     return GrantStatus(
-        workspace=account.workspace,
+        workspace=grant.workspace,
         available=ledger.available,
         held=ledger.held,
         unfiled=ledger.unfiled,
         given=ledger.given,
         received=ledger.received,
-        budget=account.budget,
-        reachable=account.reachable,
+        budget=grant.budget,
+        reachable=grant.reachable,
     )
--- a/ebonyhold/money/_transfer_book.py
+++ b/ebonyhold/money/_transfer_book.py
@@ -1,4 +1,4 @@
-"""Transfers of one workspace's tokens to and from other routers, until settled."""
+"""Transfers of one workspace's tokens between routers, until they are settled."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
     UnavailableError,
     UnknownOutcomeError,
 )
-from ebonyhold.money._journal import Append, Journal
+from ebonyhold.money._journal import Journal, PendingAppend
 from ebonyhold.money._options import MoneyOptions
 from ebonyhold.types import Tokens, WorkspaceName
 
-RECEIPTS = 32
-"""Transfers that a request for more names as received."""
+MAX_RECEIPTS = 32
+"""Maximum number of received transfers listed in a request for tokens."""
 
-TRIES = 8
-"""Tries of one settlement against other writers, before the next round."""
+MAX_TRIES = 8
+"""Maximum tries of one settlement that conflicts with other writers."""
 
 
 @frozen
-class Arrival:
+class ReceivedTransfer:
     """A received transfer that is not settled in the table yet."""
 
     transfer: str
@@ -51,25 +51,25 @@
 
 
 @frozen
-class Given:
+class GivenTransfer:
     """A transfer to another router that is not settled in the table yet."""
 
     transfer: str
     amount: Tokens
-    append: Append
+    append: PendingAppend
 
 
 @define(eq=False)
-class TransferBook:
-    """The transfers of one workspace that the table does not know to be over.
+class UnsettledTransfers:
+    """The transfers of one workspace that are not settled in the table.
 
     Attributes:
-        workspace: Whose tokens.
-        ledger: The ledger that they count in.
-        arrivals: Received transfers on their way into the table.
+        workspace: Name of the workspace.
+        ledger: The ledger that counts the tokens.
+        received: Received transfers that are not settled, by name.
         receipts: The last transfers received, settled or not.
-        given: Transfers to others on their way into the table, by name.
-        announced: Whether a closing router's transfers stand in the table.
+        given: Given transfers that are not settled, by name.
+        announced: Whether the transfers given by this closing router are in the table.
     """
 
     workspace: WorkspaceName
@@ -77,118 +77,120 @@
     journal: Journal
     table: Table
     options: MoneyOptions
-    arrivals: dict[str, Arrival] = field(factory=dict)
-    receipts: deque[str] = field(factory=partial(deque, maxlen=RECEIPTS))
-    given: dict[str, Given] = field(factory=dict)
+    received: dict[str, ReceivedTransfer] = field(factory=dict)
+    receipts: deque[str] = field(factory=partial(deque, maxlen=MAX_RECEIPTS))
+    given: dict[str, GivenTransfer] = field(factory=dict)
     checked_at: float = 0.0
     announced: bool = False
 
-    def give(self, transfer: str, amount: Tokens, append: Append) -> Given:
-        """Take tokens out for another router."""
+    def give(
+        self, transfer: str, amount: Tokens, append: PendingAppend
+    ) -> GivenTransfer:
+        """Move tokens from the ledger into a transfer to another router."""
         self.ledger.give(amount)
-        given = Given(transfer, amount, append)
+        given = GivenTransfer(transfer, amount, append)
         self.given[transfer] = given
         return given
 
-    def arrive(self, transfer: str, amount: Tokens) -> None:
-        """Add tokens whose receipt is durable."""
+    def receive(self, transfer: str, amount: Tokens) -> None:
+        """Add tokens whose receipt is in the journal."""
         self.ledger.receive(amount)
-        self.arrivals[transfer] = Arrival(transfer, amount)
+        self.received[transfer] = ReceivedTransfer(transfer, amount)
         self.receipts.append(transfer)
 
     async def settle(self) -> None:
-        """Settle what arrived, and learn what became of what was given.
+        """Settle received transfers, and check whether given ones have ended.
 
         Raises:
             PlatformError: The table could not be reached.
-            SealedError: This incarnation is over.
+            SealedError: This incarnation was sealed.
         """
-        for arrival in list(self.arrivals.values()):
-            await self._settle_arrival(arrival)
-        await self._settle_gifts()
+        for received in list(self.received.values()):
+            await self._settle_received(received)
+        await self._settle_all_given()
 
-    async def _settle_arrival(self, arrival: Arrival) -> None:
-        source_key, own_key = grant_keys(arrival.transfer, self.workspace)
+    async def _settle_received(self, received: ReceivedTransfer) -> None:
+        source_key, own_key = grant_keys(received.transfer, self.workspace)
         keys = (
-            transfer_key(arrival.transfer),
-            router_key(self.journal.me),
+            transfer_key(received.transfer),
+            router_key(self.journal.self_id),
             source_key,
             own_key,
         )
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             transfer, router, source, own = await self.table.read(keys)
             if router is None or router.version != self.journal.router.version:
-                raise SealedError(f"{self.journal.me} was sealed")
-            wish = settle_transfer(
+                raise SealedError(f"{self.journal.self_id} was sealed")
+            transaction = settle_transfer(
                 seen(keys[0], transfer, TransferRow),
                 seen(keys[1], router, RouterRow),
                 seen(keys[2], source, GrantRow),
                 seen(keys[3], own, GrantRow),
                 self.workspace,
-                arrival.amount,
+                received.amount,
             )
-            if wish is None:
-                del self.arrivals[arrival.transfer]
-                self.ledger.received -= arrival.amount
-                self.journal.settle(arrival.transfer)
+            if transaction is None:
+                del self.received[received.transfer]
+                self.ledger.received -= received.amount
+                self.journal.unpin(received.transfer)
                 return
             try:
-                await self.table.commit(wish)
+                await self.table.commit(transaction)
             except (ConflictError, UnknownOutcomeError):
                 continue
-        raise UnavailableError(f"transfer {arrival.transfer} met other writers")
+        raise UnavailableError(f"transfer {received.transfer} met other writers")
 
-    async def _settle_gifts(self) -> None:
-        """Find out which transfers to others are settled, or can never be."""
+    async def _settle_all_given(self) -> None:
+        """Check which given transfers are settled or can never be settled."""
         now = anyio.current_time()
         if now < self.checked_at + self.options.resize_interval:
             return
         self.checked_at = now
         for given in list(self.given.values()):
-            await self._settle_gift(given)
+            await self._settle_given(given)
 
     async def announce(self) -> None:
-        """Leave transfers that nobody settled yet to whoever sweeps later.
+        """Write unsettled given transfers to the table, where a later sweep finds them.
 
         Raises:
             PlatformError: The table could not be reached.
         """
         for given in self.given.values():
             key = transfer_key(given.transfer)
-            for _ in range(TRIES):
+            for _ in range(MAX_TRIES):
                 (row,) = await self.table.read((key,))
-                wish = announce_transfer(
+                transaction = announce_transfer(
                     seen(key, row, TransferRow), self.workspace, given.amount
                 )
-                if wish is None:
+                if transaction is None:
                     break
                 with suppress(ConflictError, UnknownOutcomeError):
-                    await self.table.commit(wish)
+                    await self.table.commit(transaction)
             else:
                 raise UnavailableError(f"{given.transfer} could not be announced")
         self.announced = True
 
-    async def _settle_gift(self, given: Given) -> None:
+    async def _settle_given(self, given: GivenTransfer) -> None:
         _, to = transfer_ends(given.transfer)
         keys = (transfer_key(given.transfer), router_key(to))
         row, receiver = await self.table.read(keys)
         transfer = seen(keys[0], row, TransferRow)
         if transfer.value is not None:
-            self._gift_ended(given, transfer.value.state)
+            self._end_given(given, transfer.value.state)
             return
         router = seen(keys[1], receiver, RouterRow)
-        wish = revoke_transfer(
+        transaction = revoke_transfer(
             self.journal.router, transfer, router, self.workspace, given.amount
         )
-        if wish is None:
+        if transaction is None:
             return
         try:
-            await self.table.commit(wish)
+            await self.table.commit(transaction)
         except (ConflictError, UnknownOutcomeError):
             return
-        self._gift_ended(given, TransferState.LAPSED)
+        self._end_given(given, TransferState.LAPSED)
 
-    def _gift_ended(self, given: Given, state: TransferState) -> None:
+    def _end_given(self, given: GivenTransfer, state: TransferState) -> None:
         if state is TransferState.PENDING:
             return
         if self.given.pop(given.transfer, None) is None:
@@ -196,4 +198,4 @@
         self.ledger.given -= given.amount
         if state is TransferState.LAPSED:
             self.ledger.available += given.amount
-        self.journal.settle(given.transfer)
+        self.journal.unpin(given.transfer)
--- a/ebonyhold/money/_treasury.py
+++ b/ebonyhold/money/_treasury.py
@@ -1,4 +1,4 @@
-"""The money side of one incarnation of a router."""
+"""Holds, claims, journal and bills of one incarnation of a router."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     SealedError,
     UnavailableError,
 )
-from ebonyhold.money._account import Account
-from ebonyhold.money._claims import Claims, Look, needs_claim, unavailable
+from ebonyhold.money._claims import ClaimReading, Claims, claim_unavailable, needs_claim
 from ebonyhold.money._exchange import TokenExchange
-from ebonyhold.money._interface import BackendTruth, Order, Permit, Replay
-from ebonyhold.money._journal import Append, Journal
+from ebonyhold.money._interface import AttemptLookup, Order, Permit, Replay
+from ebonyhold.money._journal import Journal, PendingAppend
 from ebonyhold.money._options import MoneyOptions
 from ebonyhold.money._registration import register, unregister
 from ebonyhold.money._status import MoneyStatus, grant_status
+from ebonyhold.money._workspace_grant import WorkspaceGrant
 from ebonyhold.routers import PeerLink
 from ebonyhold.types import BackendName, RouterId, Tokens, WorkspaceName
 
 
 @frozen
 class _Run:
-    """A request between its hold and its end."""
+    """A request that has its permit and has not ended."""
 
     intent: Intent
     hold: Tokens
@@ -48,13 +48,13 @@
 
 
 class Treasury:
-    """Holds, claims, journals and bills for one incarnation.
+    """Manages holds, claims, the journal and bills of one incarnation.
 
     Attributes:
         me: The incarnation.
-        accounts: The workspaces in use here; idle ones are forgotten.
-        runs: Requests between their hold and their end, by run.
-        journal: The journal, once `open` has registered the incarnation.
+        accounts: The grants of the workspaces in use; idle ones are discarded.
+        runs: Requests that have a hold and have not ended, by run.
+        journal: The journal; None until `open` has registered the incarnation.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         objects: Objects,
         policy: Callable[[], Policy],
         peers: PeerLink | None = None,
-        backend_truth: BackendTruth | None = None,
+        backend_truth: AttemptLookup | None = None,
         address: str = "",
         domain: str = "",
         options: MoneyOptions | None = None,
@@ -78,7 +78,7 @@
         self.address = address
         self.domain = domain
         self.options = options or MoneyOptions()
-        self.accounts: dict[WorkspaceName, Account] = {}
+        self.accounts: dict[WorkspaceName, WorkspaceGrant] = {}
         self.runs: dict[str, _Run] = {}
         self.journal: Journal | None = None
         self.claims: Claims | None = None
@@ -95,7 +95,8 @@
     async def open(self) -> None:
         """Register the incarnation in the table.
 
-        Without its row nobody could recover it, so nothing is served before.
+        No requests are served before, because other routers can recover an incarnation
+        only if its row is in the table.
 
         Raises:
             PlatformError: The table could not be written.
@@ -110,35 +111,35 @@
             self.policy,
             self.options,
             self.accounts,
-            self._account,
+            self._grant,
             lambda: self.sealed or self.draining,
         )
 
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run the tasks; returns once the incarnation is sealed or drained."""
+        """Run the tasks until the incarnation is sealed or closed."""
         journal = self._journal()
-        self._exchange().listen()
+        self._exchange().register_handlers()
         try:
             async with anyio.create_task_group() as tasks:
                 self.tasks = tasks
                 tasks.start_soon(journal.run)
-                for account in self.accounts.values():
-                    tasks.start_soon(self._keep, account)
+                for grant in self.accounts.values():
+                    tasks.start_soon(self._run_grant, grant)
                 task_status.started()
                 await journal.sealed.wait()
                 tasks.cancel_scope.cancel()
         finally:
-            # A request may still settle while the daemon stops: its account
-            # must not start a task in a group that has ended.
+            # Requests may still be settled while the daemon stops. Their grants must
+            # not start tasks in a task group that has ended.
             self.tasks = None
         self._fail_all()
 
     def _fail_all(self) -> None:
         error = SealedError(f"{self.me} was sealed")
-        for account in self.accounts.values():
-            account.fail(error)
+        for grant in self.accounts.values():
+            grant.fail(error)
 
     def _journal(self) -> Journal:
         if self.journal is None:
@@ -151,43 +152,45 @@
         return self.exchange
 
     async def begin(self, order: Order) -> Permit | Replay:
-        """Take the hold and the claim, and make the intent durable.
+        """Take a hold, write a claim if needed, and make the intent durable.
 
         Raises:
-            BudgetExhaustedError: The table says that nothing is left.
-            BudgetUnreachableError: Tokens may exist elsewhere.
-            KeyReusedError: The same key came with another body.
-            ClaimUnavailableError: A needed claim cannot be recorded now.
-            OutcomeUnknownError: A call that may not be repeated may have run.
+            BudgetExhaustedError: The budget in the table has too few tokens left.
+            BudgetUnreachableError: Too few tokens are available now, but the budget may
+                have more.
+            KeyReusedError: The key was used before with another body.
+            ClaimUnavailableError: A needed claim cannot be written now.
+            OutcomeUnknownError: The request must not be repeated and may have run
+                already.
             UnavailableError: The intent cannot be made durable; nothing ran.
-            SealedError: This incarnation has been recovered by another.
+            SealedError: Another router has recovered this incarnation.
         """
         if self.sealed:
             raise SealedError(f"{self.me} was sealed")
         if self.draining:
             raise UnavailableError(f"{self.me} is stopping")
         self._journal()
-        look = await self._look(order)
-        if look is not None and look.decision.kept is not None:
-            return _replay(look)
-        unbilled = _unbilled(look)
+        reading = await self._read_claim(order)
+        if reading is not None and reading.decision.kept is not None:
+            return _replay(reading)
+        unbilled = _unbilled(reading)
         hold = 0 if unbilled else order.hold
         if hold:
-            await self._account(order.workspace).acquire(hold)
-        return await self._start(order, look, hold, unbilled)
+            await self._grant(order.workspace).acquire(hold)
+        return await self._start(order, reading, hold, unbilled)
 
-    async def _look(self, order: Order) -> Look | None:
+    async def _read_claim(self, order: Order) -> ClaimReading | None:
         if self.claims is None or not (order.keyed or order.claim_needed):
             return None
         try:
-            return await self.claims.look(order)
+            return await self.claims.read(order)
         except UnavailableError as error:
             if needs_claim(order):
-                raise unavailable(error) from error
+                raise claim_unavailable(error) from error
             return None
 
     async def _start(
-        self, order: Order, look: Look | None, hold: Tokens, unbilled: bool
+        self, order: Order, reading: ClaimReading | None, hold: Tokens, unbilled: bool
     ) -> Permit | Replay:
         self.serial += 1
         attempt = first_attempt(self.me, self.serial)
@@ -205,27 +208,29 @@
         permit = Permit(order, attempt, unbilled)
         self.runs[run_of(attempt)] = _Run(intent, hold)
         try:
-            await self._journal().put(intent, keep=False).wait()
-            if look is not None and self.claims is not None:
-                look = await self._claim(order, look, permit)
+            await self._journal().enqueue(intent, retry=False).wait()
+            if reading is not None and self.claims is not None:
+                reading = await self._write_claim(order, reading, permit)
         except BaseException:
-            # Nothing was dispatched.  The intent may be durable all the same,
-            # so its outcome follows it, before the hold can be used again.
+            # Nothing was dispatched, but the intent may be durable. Its outcome is
+            # queued behind it before the tokens can be held again.
             self._end_not_run(permit)
             raise
-        if look is not None and look.decision.kept is not None:
+        if reading is not None and reading.decision.kept is not None:
             self._end_not_run(permit)
-            return _replay(look)
+            return _replay(reading)
         return permit
 
-    async def _claim(self, order: Order, look: Look, permit: Permit) -> Look:
+    async def _write_claim(
+        self, order: Order, reading: ClaimReading, permit: Permit
+    ) -> ClaimReading:
         assert self.claims is not None
         try:
-            return await self.claims.take(order, look, permit.attempt)
+            return await self.claims.write(order, reading, permit.attempt)
         except UnavailableError as error:
             if needs_claim(order):
-                raise unavailable(error) from error
-            return look
+                raise claim_unavailable(error) from error
+            return reading
 
     def _end_not_run(self, permit: Permit) -> None:
         order = permit.order
@@ -235,18 +240,18 @@
         self._end(permit, outcome)
 
     async def again(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
-        """Make a further attempt of the same request durable, under the same hold.
+        """Make the intent of a further attempt durable, under the same hold.
 
         Raises:
             UnavailableError: The intent cannot be made durable; nothing ran.
-            SealedError: This incarnation has been recovered by another.
+            SealedError: Another router has recovered this incarnation.
         """
         run = self.runs.get(run_of(permit.attempt))
         if run is None or self.sealed:
             raise SealedError(f"{permit.attempt} is no attempt of {self.me}")
         attempt = next_attempt(permit.attempt)
         intent = evolve(run.intent, attempt=attempt, backend=backend, boot=boot)
-        await self._journal().put(intent, keep=False).wait()
+        await self._journal().enqueue(intent, retry=False).wait()
         return evolve(permit, attempt=attempt)
 
     async def finish(
@@ -256,9 +261,9 @@
 
         Args:
             permit: The last permit of the request.
-            outcome: How it ended.
-            durable_within: How long to wait for the journal, in seconds; the
-                outcome is queued either way.
+            outcome: How the request ended.
+            durable_within: Maximum time to wait until the outcome is in the journal, in
+                seconds. The outcome is queued in any case.
         """
         append = self._end(permit, outcome)
         if append is None or durable_within <= 0:
@@ -266,78 +271,79 @@
         with anyio.move_on_after(durable_within):
             await append.done.wait()
 
-    def _end(self, permit: Permit, outcome: Outcome) -> Append | None:
-        # What a sealed incarnation began is settled by whoever recovered it.
+    def _end(self, permit: Permit, outcome: Outcome) -> PendingAppend | None:
+        # The router that recovers a sealed incarnation settles its requests.
         run = self.runs.pop(run_of(permit.attempt), None)
         if run is None or self.sealed:
             return None
         bill = make_bill(run.intent, outcome)
         urgent = run.intent.kind is RequestKind.BOOKING
-        # What a chat came to can be asked of its engine; that something did not
-        # run, and what a service answered, nobody else may be able to tell.
+        # Recovery can look up a chat at its engine, so its outcome may wait. That a
+        # request did not run, and what a service answered, may be known to this router
+        # only, so these outcomes are written at once.
         chat = run.intent.kind is RequestKind.CHAT
         lazy = chat and outcome.state is not RequestState.NOT_RUN
         entry = evolve(outcome, charge=bill.charge)
-        append = self._journal().put(entry, lazy=lazy)
-        account = self._account(run.intent.workspace)
-        account.release(run.hold, bill.charge)
-        account.file(run_of(permit.attempt), bill, append, urgent=urgent)
+        append = self._journal().enqueue(entry, lazy=lazy)
+        grant = self._grant(run.intent.workspace)
+        grant.release(run.hold, bill.charge)
+        grant.file(run_of(permit.attempt), bill, append, urgent=urgent)
         return append
 
-    def _account(self, workspace: WorkspaceName) -> Account:
-        account = self.accounts.get(workspace)
-        if account is not None:
-            return account
-        account = Account(
+    def _grant(self, workspace: WorkspaceName) -> WorkspaceGrant:
+        grant = self.accounts.get(workspace)
+        if grant is not None:
+            return grant
+        grant = WorkspaceGrant(
             workspace,
             self._journal(),
             self.table,
             self.options,
             self.policy,
-            self._exchange().routers,
+            self._exchange().count_routers,
             self._exchange().ask_peers,
         )
-        account.closing = self.draining
-        self.accounts[workspace] = account
+        grant.closing = self.draining
+        self.accounts[workspace] = grant
         if self.tasks is not None and not self.sealed:
-            self.tasks.start_soon(self._keep, account)
-        return account
+            self.tasks.start_soon(self._run_grant, grant)
+        return grant
 
-    async def _keep(self, account: Account) -> None:
-        await account.run()
-        if self.accounts.get(account.workspace) is account and not self.sealed:
-            del self.accounts[account.workspace]
+    async def _run_grant(self, grant: WorkspaceGrant) -> None:
+        await grant.run()
+        if self.accounts.get(grant.workspace) is grant and not self.sealed:
+            del self.accounts[grant.workspace]
 
     async def drain(self) -> None:
-        """File every bill, return every unspent token and close the incarnation.
+        """File all bills, return all unspent tokens and close the incarnation.
 
-        Call it when no request runs any more.  If it fails or is cancelled,
-        another router recovers the rest.
+        Call it after all requests have ended. If it fails or is cancelled, another
+        router recovers the rest.
 
         Raises:
-            PlatformError: The table could not be reached in the end.
+            PlatformError: The incarnation's row could not be closed in the table.
             SealedError: Another router has recovered this incarnation.
         """
         self.draining = True
         journal = self._journal()
         await journal.flush()
-        for account in list(self.accounts.values()):
-            account.closing = True
-            account.poke(urgent=True)
+        for grant in list(self.accounts.values()):
+            grant.closing = True
+            grant.notify(urgent=True)
         while self.accounts:
             if self.sealed:
                 raise SealedError(f"{self.me} was sealed")
-            await anyio.sleep(self.options.retry_pause)
+            await anyio.sleep(self.options.retry_delay)
         await unregister(self.table, journal)
 
     def status(self) -> MoneyStatus:
-        """Return what operators see."""
+        """Return the status for operators."""
         journal = self._journal()
-        grants = tuple(grant_status(account) for account in self.accounts.values())
+        grants = tuple(grant_status(grant) for grant in self.accounts.values())
         return MoneyStatus(
             router=self.me,
             sealed=self.sealed,
-            place=journal.place,
+            target=journal.target,
             unfiled=sum(len(one.unfiled) for one in self.accounts.values()),
             running=len(self.runs),
             segments=len(journal.pins),
@@ -345,14 +351,14 @@
         )
 
 
-def _replay(look: Look) -> Replay:
-    row = look.request.value
+def _replay(reading: ClaimReading) -> Replay:
+    row = reading.request.value
     assert row is not None
-    assert look.decision.kept is not None
-    return Replay(row, look.decision.kept)
+    assert reading.decision.kept is not None
+    return Replay(row, reading.decision.kept)
 
 
-def _unbilled(look: Look | None) -> bool:
-    if look is None:
+def _unbilled(reading: ClaimReading | None) -> bool:
+    if reading is None:
         return False
-    return look.decision.answer is ClaimAnswer.RUN_UNBILLED
+    return reading.decision.answer is ClaimAnswer.RUN_UNBILLED
--- a/ebonyhold/money/_upkeep.py
+++ b/ebonyhold/money/_upkeep.py
@@ -1,4 +1,4 @@
-"""The task that returns lost transfers and deletes what has expired."""
+"""The task that returns lost transfers and deletes expired rows."""
 
 from __future__ import annotations
 
@@ -18,69 +18,71 @@
 
 logger = logging.getLogger(__name__)
 
-SWEEP_EVERY: Seconds = 300.0
-"""Mean time between looks at transfers that wait for their receiver."""
+SWEEP_INTERVAL: Seconds = 300.0
+"""Mean time between sweeps of pending transfers."""
 
-DELETE_EVERY: Seconds = 6 * 3600.0
-"""Mean time between looks for expired rows, which read every bill."""
+DELETE_INTERVAL: Seconds = 6 * 3600.0
+"""Mean time between deletions of expired rows, each of which reads every bill."""
 
 JOB = "upkeep of the money"
+"""Key for choosing the responsible router; all routers must use the same one."""
 
 
 @define
 class Upkeep:
-    """Does the money's slow work, on one router of the fleet at a time if it can.
+    """Sweeps transfers and deletes expired rows, on one responsible router.
 
-    Two routers that both think it is theirs do it twice, which changes nothing:
-    every write is conditional on what it read.
+    If two routers both consider themselves responsible, the work is done twice without
+    harm, because every write is conditional on the rows that were read.
 
     Attributes:
         table: The table.
         objects: The object store.
-        make: Makes the recovery that sweeps transfers.
-        keep: Says how long bills and claims stay, in seconds.
-        me: Names the present incarnation.
-        alive: Names the other routers believed alive.
-        rng: Spreads the looks of the routers.
-        pending: Transfers that still wait, as of the last sweep.
-        delete_at: When expired rows are looked for next.
+        make_recovery: Creates the recovery that sweeps transfers.
+        retention: Returns how long bills and claims are kept, in seconds.
+        self_id: Returns the current incarnation.
+        alive: Returns the other routers believed alive.
+        rng: Randomises the intervals, so that they differ among routers.
+        pending: Number of transfers that were still pending after the last sweep.
+        delete_at: When expired rows are deleted next.
     """
 
     table: Table
     objects: Objects
-    make: Callable[[], Recovery]
-    keep: Callable[[], Seconds]
-    me: Callable[[], RouterId]
+    make_recovery: Callable[[], Recovery]
+    retention: Callable[[], Seconds]
+    self_id: Callable[[], RouterId]
     alive: Callable[[], tuple[RouterId, ...]]
     rng: random.Random = field(factory=random.Random)
     pending: int = 0
     delete_at: Seconds = 0.0
 
     async def run(self) -> None:
-        """Work until cancelled."""
-        self.delete_at = anyio.current_time() + DELETE_EVERY * self.rng.random()
+        """Sweep and delete at intervals until cancelled."""
+        self.delete_at = anyio.current_time() + DELETE_INTERVAL * self.rng.random()
         while True:
-            await anyio.sleep(SWEEP_EVERY * self.rng.uniform(0.5, 1.5))
-            if responsible(JOB, (self.me(), *self.alive())) != self.me():
+            await anyio.sleep(SWEEP_INTERVAL * self.rng.uniform(0.5, 1.5))
+            if responsible(JOB, (self.self_id(), *self.alive())) != self.self_id():
                 continue
             try:
-                await self.work()
+                await self.run_once()
             except EbonyholdError as error:
                 logger.info("no upkeep now", extra={"cause": str(error)})
 
-    async def work(self) -> None:
-        """Sweep transfers, and delete what has expired when it is time.
+    async def run_once(self) -> None:
+        """Sweep transfers, and delete expired rows if that is due.
 
         Raises:
-            PlatformError: A place could not be reached; it is tried again.
+            PlatformError: The table or the object store could not be reached; `run`
+                tries again.
         """
-        self.pending = await self.make().sweep()
+        self.pending = await self.make_recovery().sweep()
         if anyio.current_time() < self.delete_at:
             return
-        self.delete_at = anyio.current_time() + DELETE_EVERY * self.rng.uniform(
+        self.delete_at = anyio.current_time() + DELETE_INTERVAL * self.rng.uniform(
             0.5, 1.5
         )
-        report = await Retention(self.table, self.objects, self.keep()).sweep(
+        report = await Retention(self.table, self.objects, self.retention()).sweep(
             time.time()
         )
         logger.info(
--- a/ebonyhold/money/_verify.py
+++ b/ebonyhold/money/_verify.py
@@ -1,4 +1,4 @@
-"""Reconciling bills, grants, top-ups, refunds and budgets."""
+"""Checks that bills, grants, top-ups, refunds and budgets add up."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 @frozen
 class Discrepancy:
-    """One row that does not add up.
+    """A row that does not match the other rows.
 
     Attributes:
-        key: The row.
-        finding: What is wrong with it.
-        expected: What the other rows say, in tokens.
-        found: What this row says, in tokens.
+        key: Key of the row.
+        finding: What is wrong with the row.
+        expected: Tokens according to the other rows.
+        found: Tokens according to this row.
     """
 
     key: str
@@ -62,10 +62,10 @@
 
 
 async def verify_bills(table: Table) -> list[Discrepancy]:
-    """Check that every budget equals the rows it is made of.
+    """Check that every budget equals the sum of the rows that it summarises.
 
-    Run it while no router writes, or run it twice: rows are read one page after
-    another, so that what changes meanwhile may seem not to add up.
+    Run it while no router writes, or run it twice: rows are read page by page, so
+    changes in the meantime can appear as discrepancies.
 
     Raises:
         UnavailableError: The table could not be read.
@@ -123,7 +123,7 @@
     async for key, row in _rows(table, GRANT_PREFIX, GrantRow, found):
         _, owner, workspace = key.split("/", 2)
         sums[workspace].held += row.held
-        # A router that lives may have given on what it has not settled yet.
+        # An open router may have given away tokens whose receipt is not settled yet.
         if row.held < 0 and owner in closed:
             found.append(Discrepancy(key, "holds less than nothing", 0, row.held))
 
--- a/ebonyhold/money/_waiters.py
+++ b/ebonyhold/money/_waiters.py
@@ -17,18 +17,18 @@
     """A request that waits for a hold.
 
     Attributes:
-        need: Tokens it wants to hold.
-        since: When it came.
-        joined: How many reads of the budget had begun when it came: only a read
-            that began after that is fresh enough to refuse it.
-        done: Set when it is granted or refused.
-        granted: Whether it has its hold.
-        error: Why it was refused.
+        need: Tokens to hold.
+        since: When the request began to wait.
+        reads_before: Number of reads of the budget started before the request began to
+            wait. Only a later read may be the reason to refuse it.
+        done: Set when the hold is granted or refused.
+        granted: Whether the hold was granted.
+        error: Why the hold was refused.
     """
 
     need: Tokens
     since: float
-    joined: int
+    reads_before: int
     done: anyio.Event = field(factory=anyio.Event)
     granted: bool = False
     error: BudgetError | SealedError | None = None
@@ -36,46 +36,46 @@
 
 @define(eq=False)
 class WaitingRequests:
-    """The waiting requests, in the order in which they came."""
+    """The waiting requests, in order of arrival."""
 
     queue: list[Waiter] = field(factory=list)
 
     def __bool__(self) -> bool:
-        """Tell whether anybody waits."""
+        """Return whether any request waits."""
         return bool(self.queue)
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Iterate over a copy, so that waiters may leave meanwhile."""
+        """Iterate over a copy, so that requests may be removed during iteration."""
         return iter(list(self.queue))
 
     @property
     def need(self) -> Tokens:
-        """Tokens that all of them want to hold."""
+        """The sum of the tokens that the waiting requests need."""
         return sum(waiter.need for waiter in self.queue)
 
-    def join(self, waiter: Waiter) -> None:
+    def add(self, waiter: Waiter) -> None:
         """Add a request."""
         self.queue.append(waiter)
 
-    def leave(self, waiter: Waiter) -> None:
-        """Take a request out, if it still waits."""
+    def remove(self, waiter: Waiter) -> None:
+        """Remove a request if it still waits."""
         if waiter in self.queue:
             self.queue.remove(waiter)
 
-    def serve(self, ledger: GrantLedger) -> None:
-        """Give a hold to everyone whom the ledger can serve, in their order."""
+    def grant_holds(self, ledger: GrantLedger) -> None:
+        """Grant a hold to each request whose need is available, in order of arrival."""
         for waiter in self:
             if ledger.hold(waiter.need):
-                self.leave(waiter)
+                self.remove(waiter)
                 waiter.granted = True
                 waiter.done.set()
 
     def refuse(self, waiter: Waiter, error: BudgetError | SealedError) -> None:
         """Refuse a request."""
-        self.leave(waiter)
+        self.remove(waiter)
         waiter.error = error
         waiter.done.set()
 
-    def judged_by(self, read: int) -> list[Waiter]:
-        """Return who came before a read of the budget began."""
-        return [waiter for waiter in self.queue if waiter.joined < read]
+    def waiting_before(self, read: int) -> list[Waiter]:
+        """Return the requests that waited before a read of the budget started."""
+        return [waiter for waiter in self.queue if waiter.reads_before < read]
--- a/ebonyhold/money/_account.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -1,4 +1,4 @@
-"""The task that owns one workspace's grant: holds, draws, bills, returns."""
+"""The task that manages one workspace's grant: holds, draws, bills and returns."""
 
 from __future__ import annotations
 
@@ -32,42 +32,43 @@
 )
 from ebonyhold.money._demand import DemandEstimate
 from ebonyhold.money._grant_writer import GrantRows, GrantWriter
-from ebonyhold.money._journal import Append, Journal
+from ebonyhold.money._journal import Journal, PendingAppend
 from ebonyhold.money._options import MoneyOptions
-from ebonyhold.money._transfer_book import TransferBook
+from ebonyhold.money._transfer_book import UnsettledTransfers
 from ebonyhold.money._waiters import Waiter, WaitingRequests
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
-SETTLE_ROUNDS = 50
-"""Settlements of one round, before waiting requests are looked at again."""
+MAX_SETTLEMENTS = 50
+"""Maximum settlements in a row before requests that cannot be served are refused."""
 
-SETTLE_TRIES = 8
-"""Tries of one settlement against other writers, before the next round."""
+MAX_SETTLE_TRIES = 8
+"""Maximum tries of one settlement that conflicts with other writers."""
 
 
 @frozen
-class Unfiled:
-    """A bill that is not in the table yet, and the append of its outcome."""
+class UnfiledBill:
+    """A bill that is not in the table yet, and the journal append of its outcome."""
 
     bill: Bill
-    append: Append
+    append: PendingAppend
 
 
 @define(eq=False)
-class Account:
-    """One workspace's grant, as long as it is in use here.
+class WorkspaceGrant:
+    """The grant of one workspace at one router, kept while the workspace is in use.
 
-    Requests take holds from the ledger at once where they can.  All calls to
-    the table are made by the one task in `run`, one after the other, so at most
-    one settlement is ever in doubt.
+    Requests take holds from the ledger at once while it has enough tokens. Only the
+    task in `run` calls the table, one call at a time, so at most one settlement is in
+    doubt.
 
     Attributes:
-        workspace: Whose grant.
-        ledger: The tokens of the grant.
-        unfiled: Bills on their way, by run.
-        transfers: Tokens on their way to and from other routers.
+        workspace: Name of the workspace.
+        ledger: Counters of the grant's tokens.
+        unfiled: Bills that are not in the table yet, by run.
+        transfers: Transfers to and from other routers that are not settled in the
+            table.
         waiters: Requests that wait for a hold.
-        writer: Reads and writes the budget and the grant.
+        writer: Reads and writes the rows of the budget and the grant.
         reachable: Whether the last call to the table succeeded.
     """
 
@@ -76,12 +77,12 @@
     table: Table
     options: MoneyOptions
     policy: Callable[[], Policy]
-    routers: Callable[[], int]
-    ask_peers: Callable[[Account, Tokens], Awaitable[None]]
+    count_routers: Callable[[], int]
+    ask_peers: Callable[[WorkspaceGrant, Tokens], Awaitable[None]]
     ledger: GrantLedger = field(factory=GrantLedger)
     demand: DemandEstimate = field(factory=DemandEstimate)
-    unfiled: dict[str, Unfiled] = field(factory=dict)
-    transfers: TransferBook = field(init=False)
+    unfiled: dict[str, UnfiledBill] = field(factory=dict)
+    transfers: UnsettledTransfers = field(init=False)
     waiters: WaitingRequests = field(factory=WaitingRequests)
     writer: GrantWriter = field(init=False)
     reachable: bool = True
@@ -89,55 +90,56 @@
     closing: bool = False
     wake: anyio.Event = field(factory=anyio.Event)
     used_at: float = field(factory=anyio.current_time)
-    pause: float = 0.0
+    retry_delay: float = 0.0
     drawn: Tokens = 0
 
     def __attrs_post_init__(self) -> None:
-        """Make the parts that share the ledger."""
+        """Create the writer and the transfers of this grant."""
         self.writer = GrantWriter(
-            self.workspace, self.journal, self.table, self._take_effect, self._drop
+            self.workspace, self.journal, self.table, self._apply, self._revert
         )
-        self.transfers = TransferBook(
+        self.transfers = UnsettledTransfers(
             self.workspace, self.ledger, self.journal, self.table, self.options
         )
 
     @property
     def budget(self) -> BudgetRow | None:
-        """Return the budget as last read or written."""
+        """The budget as last read or written."""
         return self.writer.budget
 
     @property
-    def me(self) -> RouterId:
-        """Return the incarnation that this account belongs to."""
-        return self.journal.me
+    def self_id(self) -> RouterId:
+        """The incarnation that this grant belongs to."""
+        return self.journal.self_id
 
     async def acquire(self, need: Tokens) -> None:
-        """Take a hold.
+        """Take a hold, and wait for tokens if too few are available.
 
         Raises:
-            BudgetExhaustedError: The table says that too little is left.
-            BudgetUnreachableError: Tokens may exist elsewhere.
-            SealedError: This incarnation is over.
+            BudgetExhaustedError: The budget in the table has too few tokens left.
+            BudgetUnreachableError: Too few tokens are available now, but the budget may
+                have more.
+            SealedError: This incarnation was sealed.
         """
         now = anyio.current_time()
         self.used_at = now
-        self.demand.note(need, now)
+        self.demand.record(need, now)
         if not self.waiters and self.ledger.hold(need):
-            if self._wants_resize():
-                self.poke()
+            if self._needs_resize():
+                self.notify()
             return
-        waiter = Waiter(need, now, self.writer.reads_begun)
-        self.waiters.join(waiter)
-        self.poke(urgent=True)
+        waiter = Waiter(need, now, self.writer.reads_started)
+        self.waiters.add(waiter)
+        self.notify(urgent=True)
         try:
-            with anyio.move_on_after(self.options.acquire_within):
+            with anyio.move_on_after(self.options.acquire_timeout):
                 await waiter.done.wait()
         except BaseException:
             if waiter.granted:
                 self.release(need, 0)
             raise
         finally:
-            self.waiters.leave(waiter)
+            self.waiters.remove(waiter)
         if waiter.granted:
             return
         if waiter.error is not None:
@@ -145,29 +147,31 @@
         raise BudgetUnreachableError(f"no tokens of {self.workspace} came in time")
 
     def release(self, hold: Tokens, charge: Tokens) -> None:
-        """End a hold."""
+        """End a hold; the tokens beyond the charge become available."""
         self.used_at = anyio.current_time()
         self.ledger.settle(hold, charge)
-        self._serve()
-
-    def file(self, run: str, bill: Bill, append: Append, *, urgent: bool) -> None:
-        """Queue a bill."""
-        self.unfiled[run] = Unfiled(bill, append)
-        self.poke(urgent=urgent)
-
-    def arrive(self, transfer: str, amount: Tokens) -> None:
-        """Add tokens from another router, whose receipt is durable."""
-        self.transfers.arrive(transfer, amount)
-        self._serve()
-        self.poke()
-
-    def poke(self, *, urgent: bool = False) -> None:
-        """Wake the task."""
+        self._grant_holds()
+
+    def file(
+        self, run: str, bill: Bill, append: PendingAppend, *, urgent: bool
+    ) -> None:
+        """Queue a bill to be filed in the table."""
+        self.unfiled[run] = UnfiledBill(bill, append)
+        self.notify(urgent=urgent)
+
+    def receive(self, transfer: str, amount: Tokens) -> None:
+        """Add tokens from another router, once their receipt is in the journal."""
+        self.transfers.receive(transfer, amount)
+        self._grant_holds()
+        self.notify()
+
+    def notify(self, *, urgent: bool = False) -> None:
+        """Wake the task; with `urgent`, end its waits at once."""
         self.urgent = self.urgent or urgent
         self.wake.set()
 
     def view(self) -> GrantView:
-        """Return what a policy may look at."""
+        """Return the state on which a grant policy decides."""
         now = anyio.current_time()
         policy = self.policy()
         return GrantView(
@@ -177,14 +181,14 @@
             typical=self.demand.typical,
             drawn=self.drawn,
             idle=now - self.used_at,
-            routers=self.routers(),
+            routers=self.count_routers(),
             budget=self.budget,
             horizon=policy.grant_horizon,
             reserve_share=policy.reserve_share,
         )
 
     async def run(self) -> None:
-        """Settle with the table until the account has nothing left to keep."""
+        """Settle with the table until this grant can be discarded."""
         while not self.journal.sealed.is_set():
             await self._wait_for_work()
             try:
@@ -194,90 +198,94 @@
                 self.fail(error)
                 return
             except PlatformError as error:
-                await self._out_of_reach(error)
+                await self._handle_platform_error(error)
             else:
-                self.pause = 0.0
-                await self._refuse_the_rest()
-            if self._forgettable():
+                self.retry_delay = 0.0
+                await self._refuse_unservable()
+            if self._can_evict():
                 return
             if self.closing:
-                await anyio.sleep(self.options.retry_pause)
+                await anyio.sleep(self.options.retry_delay)
 
     async def _wait_for_work(self) -> None:
-        # Filing waits for company; a request in need or a booking does not.
-        await self._pause(self.options.resize_interval, until_poked=True)
-        await self._pause(self.options.filing_interval)
+        # Waits for work, then lets bills accumulate for one transaction. Waiting
+        # requests and bookings' bills are urgent and end both waits.
+        await self._wait(self.options.resize_interval, until_notified=True)
+        await self._wait(self.options.filing_interval)
         self.wake = anyio.Event()
         self.urgent = False
 
-    async def _pause(self, longest: Seconds, *, until_poked: bool = False) -> None:
-        """Wait until something urgent comes, or just something, or time is up."""
-        with anyio.move_on_after(longest):
+    async def _wait(self, max_wait: Seconds, *, until_notified: bool = False) -> None:
+        """Wait for urgent work, at most `max_wait`.
+
+        With `until_notified`, any work ends the wait.
+        """
+        with anyio.move_on_after(max_wait):
             while not (self.urgent or self.closing):
                 await self.wake.wait()
-                if until_poked:
+                if until_notified:
                     return
                 self.wake = anyio.Event()
 
-    def _forgettable(self) -> bool:
+    def _can_evict(self) -> bool:
         idle = anyio.current_time() - self.used_at
         if idle < self.options.evict_after and not self.closing:
             return False
-        if self.unfiled or self.waiters or self.writer.doubt is not None:
+        if self.unfiled or self.waiters or self.writer.in_doubt is not None:
             return False
-        if self.transfers.arrivals:
+        if self.transfers.received:
             return False
         if self.closing:
             return self.transfers.announced and not self.ledger.mine
         return not self.transfers.given and self.ledger.empty
 
     async def settle(self) -> None:
-        """File, draw, return: until nothing is wanted of the table now.
+        """File bills, draw and return tokens until the table needs no further change.
 
         Raises:
             PlatformError: The table could not be reached.
-            SealedError: This incarnation is over.
+            SealedError: This incarnation was sealed.
         """
         await self.transfers.settle()
         if self.closing:
             await self.transfers.announce()
-        for _ in range(SETTLE_ROUNDS):
+        for _ in range(MAX_SETTLEMENTS):
             if not await self._settle_once():
                 break
-            self._serve()
+            self._grant_holds()
         self.reachable = True
 
     async def _settle_once(self) -> bool:
-        """Make one settlement; False when the table is not wanted now."""
-        for _ in range(SETTLE_TRIES):
+        """Make one settlement; return False if there is nothing to settle."""
+        for _ in range(MAX_SETTLE_TRIES):
             bills = self._ready_bills()
-            doubt = self.writer.doubt
-            if not (bills or self.waiters or doubt or self._wants_resize()):
+            in_doubt = self.writer.in_doubt
+            if not (bills or self.waiters or in_doubt or self._needs_resize()):
                 return False
             rows = await self.writer.read(bills)
             if self.writer.resolve(rows):
                 return True
-            plan = self.writer.doubt or self._plan(rows, bills)
+            plan = self.writer.in_doubt or self._plan(rows, bills)
             if plan is None:
                 return False
             if await self.writer.commit(plan):
                 return True
             await anyio.sleep(
-                self.journal.random.random() * self.options.conflict_pause
+                self.journal.random.random() * self.options.conflict_delay
             )
-        reason = "did not answer" if self.writer.doubt else "met other writers"
+        reason = "did not answer" if self.writer.in_doubt else "met other writers"
         raise UnavailableError(f"the budget of {self.workspace} {reason}")
 
     def _ready_bills(self) -> tuple[Bill, ...]:
         chosen: dict[str, Bill] = {}
         for unfiled in self.unfiled.values():
-            if len(chosen) >= self.options.bills_at_once:
+            if len(chosen) >= self.options.bills_per_transaction:
                 break
             chosen.setdefault(unfiled.bill.key, unfiled.bill)
         return tuple(chosen.values())
 
     def _plan(self, rows: GrantRows, bills: tuple[Bill, ...]) -> Settlement | None:
-        size = self._size()
+        size = self._wanted_size()
         left = self.budget.remaining if self.budget else 0
         draw = min(size.draw, max(left, 0))
         give_back = min(size.give_back, self.ledger.spare)
@@ -287,76 +295,78 @@
         self.ledger.available -= plan.returned
         return plan
 
-    def _size(self) -> GrantSize:
+    def _wanted_size(self) -> GrantSize:
         view = self.view()
         idle = view.idle >= self.options.evict_after and not view.need
         if self.closing or idle:
             return GrantSize(give_back=self.ledger.spare)
         return find_grant_policy(self.policy().grants).size(view)
 
-    def _take_effect(self, plan: Settlement) -> None:
+    def _apply(self, plan: Settlement) -> None:
         self.ledger.available += plan.drawn
         self.drawn += plan.drawn - plan.returned
         for filed in plan.filed:
-            self._filed(filed)
+            self._apply_filed(filed)
 
-    def _drop(self, plan: Settlement) -> None:
+    def _revert(self, plan: Settlement) -> None:
         self.ledger.available += plan.returned
 
-    def _filed(self, filed: Filed) -> None:
+    def _apply_filed(self, filed: Filed) -> None:
         for run, unfiled in list(self.unfiled.items()):
             if unfiled.bill is filed.bill:
                 del self.unfiled[run]
                 self.ledger.filed(filed.bill.charge, filed.paid)
-                self._forget_run(run, unfiled.append, filed.verdict)
+                self._unpin_run(run, unfiled.append, filed.verdict)
 
-    def _forget_run(self, run: str, append: Append, verdict: Verdict) -> None:
-        """Let the journal drop a run whose bill is decided.
+    def _unpin_run(self, run: str, append: PendingAppend, verdict: Verdict) -> None:
+        """Let the journal delete a run's segments, since its bill is decided.
 
-        Its own row is all that recovery needs to know of it.  Where another
-        run's bill stands in the row, only the outcome tells how this one ended.
+        Recovery then needs only the request's row. If that row keeps another run's bill
+        (`Verdict.LEAVE`), the journalled outcome is the only record of how this run
+        ended, so it is not withdrawn.
         """
         if verdict is not Verdict.LEAVE:
             self.journal.withdraw(append)
-        settle = partial(self.journal.settle, run)
+        unpin = partial(self.journal.unpin, run)
         if append.done.is_set():
-            settle()
+            unpin()
         else:
-            append.then = settle
+            append.on_done = unpin
 
-    def _serve(self) -> None:
-        self.waiters.serve(self.ledger)
+    def _grant_holds(self) -> None:
+        self.waiters.grant_holds(self.ledger)
 
-    def _wants_resize(self) -> bool:
-        size = self._size()
+    def _needs_resize(self) -> bool:
+        size = self._wanted_size()
         return bool(size.draw or size.give_back)
 
-    async def _refuse_the_rest(self) -> None:
-        """Refuse whom the budget, read just now, cannot serve."""
-        self._serve()
-        for waiter in self.waiters.judged_by(self.writer.last_read):
+    async def _refuse_unservable(self) -> None:
+        """Refuse the requests that the budget, as last read, cannot serve."""
+        self._grant_holds()
+        for waiter in self.waiters.waiting_before(self.writer.last_read):
             if self._exhausted(waiter.need):
                 self.waiters.refuse(waiter, self._refusal(waiter.need))
-        judged = self.waiters.judged_by(self.writer.last_read)
-        if not judged:
+        waiting = self.waiters.waiting_before(self.writer.last_read)
+        if not waiting:
             return
-        await self._beg()
+        await self._request_from_peers()
         now = anyio.current_time()
-        patience = find_grant_policy(self.policy().grants).patience
-        for waiter in judged:
-            if not waiter.granted and now >= waiter.since + patience:
+        max_wait = find_grant_policy(self.policy().grants).patience
+        for waiter in waiting:
+            if not waiter.granted and now >= waiter.since + max_wait:
                 self.waiters.refuse(waiter, self._refusal(waiter.need))
         if self.waiters:
             await self._wait_for_returns()
 
     async def _wait_for_returns(self) -> None:
-        """Give other requests a moment to end, here and at other routers."""
-        with anyio.move_on_after(self.options.patience_step):
+        """Wait a short time for requests to end, here and at other routers."""
+        with anyio.move_on_after(self.options.recheck_interval):
             await self.wake.wait()
-        self.poke(urgent=True)
+        self.notify(urgent=True)
 
     def _exhausted(self, need: Tokens) -> bool:
-        # The row of a new workspace comes with its first top-up, maybe seconds later.
+        # A new workspace has no row until its first top-up, which may come seconds
+        # later.
         if self.budget is None:
             return False
         return self.budget.prepaid - self.budget.spent < need
@@ -376,25 +386,25 @@
             f"{self.workspace} has tokens left, but other requests hold them"
         )
 
-    async def _out_of_reach(self, error: PlatformError) -> None:
+    async def _handle_platform_error(self, error: PlatformError) -> None:
         self.reachable = False
-        self._serve()
+        self._grant_holds()
         if self.waiters:
-            await self._beg()
+            await self._request_from_peers()
         reason = f"the budget of {self.workspace} cannot be reached: {error}"
         for waiter in self.waiters:
             self.waiters.refuse(waiter, BudgetUnreachableError(reason))
-        longer = max(self.options.retry_pause, self.pause * 2)
-        self.pause = min(longer, self.options.most_pause)
-        await self._pause(self.pause)
+        longer = max(self.options.retry_delay, self.retry_delay * 2)
+        self.retry_delay = min(longer, self.options.max_retry_delay)
+        await self._wait(self.retry_delay)
 
-    async def _beg(self) -> None:
-        lack = self.waiters.need - self.ledger.available
-        if lack > 0:
-            await self.ask_peers(self, lack)
-        self._serve()
+    async def _request_from_peers(self) -> None:
+        shortage = self.waiters.need - self.ledger.available
+        if shortage > 0:
+            await self.ask_peers(self, shortage)
+        self._grant_holds()
 
     def fail(self, error: SealedError) -> None:
-        """Fail everybody: this incarnation is over."""
+        """Refuse all waiting requests, because this incarnation was sealed."""
         for waiter in self.waiters:
             self.waiters.refuse(waiter, error)
--- a/tests/money/__init__.py
+++ b/tests/money/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the money."""
+"""Tests of grants, the journal, claims and bills."""
--- a/tests/money/chaos.py
+++ b/tests/money/chaos.py
@@ -1,4 +1,4 @@
-"""Random interleavings of work and failures, from a seed."""
+"""Random interleavings of requests and failures, generated from a seed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from ebonyhold.experiments._memory_fleet import MemoryFleet, order
 from ebonyhold.money import Order, Permit, Replay, Treasury, refund, top_up
 from ebonyhold.standins import Faults, MemoryObjects, MemoryTable
-from tests.money.stories import check_books, request
+from tests.money.scenarios import check_bills, request
 
 WORKSPACES = ("w1", "w2")
 FAULTS = ("lose_answers", "lose_requests", "late", "duplicates", "throttled")
@@ -34,17 +34,17 @@
     """One random history of a small fleet.
 
     Attributes:
-        fleet: What it happens to.
-        random: The only source of chance.
+        fleet: The fleet.
+        random: The only source of randomness.
         tables: Each router's own view of the table, for partitions.
-        bookings: Attempts that the booking service ran, by request.
+        bookings: How often the booking service ran each booking, by request.
         stores: Each router's own view of the object store.
         completed: Requests that a caller saw complete.
-        dead: Routers that were killed or stopped.
-        started: Routers started.
-        requests: Chats with a key of their own.
-        topups: Calls for a top-up.
-        refused: Requests refused.
+        stopped: Routers that were killed or stopped.
+        started: Number of routers started.
+        requests: Number of chats with a key of their own.
+        topups: Number of calls for a top-up.
+        refused: Number of requests refused.
     """
 
     fleet: MemoryFleet
@@ -53,14 +53,14 @@
     stores: dict[str, MemoryObjects] = field(factory=dict)
     bookings: dict[str, int] = field(factory=dict)
     completed: set[tuple[str, str]] = field(factory=set)
-    dead: list[str] = field(factory=list)
+    stopped: list[str] = field(factory=list)
     started: int = 0
     requests: int = 0
     topups: int = 0
     refused: int = 0
 
     async def play(self, steps: int) -> None:
-        """Let things happen, then mend everything and check the books."""
+        """Run random actions, then end all faults, settle, and check the result."""
         for workspace in WORKSPACES:
             await self.fleet.top_up(workspace, 3000, "first")
         for _ in range(3):
@@ -71,21 +71,21 @@
                 (action,) = self.random.choices(
                     list(actions), weights=list(actions.values())
                 )
-                callers.start_soon(self.guard, action)
+                callers.start_soon(self.run_action, action)
                 await anyio.sleep(self.random.expovariate(2.0))
-            self.mend()
+            self.clear_faults()
         await self.settle()
         await self.check()
 
     def actions(self) -> dict[Action, float]:
-        """Return what may happen, and how often."""
+        """Return the possible actions and their relative frequencies."""
         return {
             self.chat: 30,
             self.keyed_chat: 10,
             self.booking: 12,
             self.kill: 2,
             self.start: 2,
-            self.recover_somebody: 2,
+            self.recover_some_router: 2,
             self.table_fault: 4,
             self.store_fault: 2,
             self.cut_table: 2,
@@ -95,13 +95,13 @@
             self.flush: 2,
             self.heal: 3,
             self.add_tokens: 1,
-            self.give_back: 1,
+            self.refund_some: 1,
             self.drain: 1,
             self.restart_engine: 0.5,
         }
 
-    async def guard(self, action: Action) -> None:
-        """Run an action that the failures around it may end."""
+    async def run_action(self, action: Action) -> None:
+        """Run an action, which may end early because of an injected failure."""
         try:
             await action()
         except PlatformError:
@@ -115,7 +115,7 @@
         return self.fleet.routers[name].treasury
 
     async def start(self) -> None:
-        """Start a router with a view of its own."""
+        """Start a router with its own view of the table and the store."""
         if len(self.fleet.routers) >= 4:
             return
         self.started += 1
@@ -128,88 +128,88 @@
         await self.fleet.start(name, table, store)
 
     async def chat(self) -> None:
-        """Send a chat whose key nobody repeats."""
+        """Send a chat whose key is used once."""
         self.requests += 1
-        await self.ask(self.a_chat(f"u{self.requests}", keyed=False))
+        await self.send(self.make_chat(f"u{self.requests}", keyed=False))
 
     async def keyed_chat(self) -> None:
-        """Send a chat by one of a few keys, which others may be using."""
-        await self.ask(self.a_chat(f"k{self.random.randrange(12)}", keyed=True))
+        """Send a chat with one of a few keys, so that requests share keys."""
+        await self.send(self.make_chat(f"k{self.random.randrange(12)}", keyed=True))
 
-    def a_chat(self, name: str, *, keyed: bool) -> Order:
-        """Make an order for a chat."""
+    def make_chat(self, name: str, *, keyed: bool) -> Order:
+        """Create an order for a chat."""
         workspace = self.random.choice(WORKSPACES)
         hold = self.random.choice((40, 100, 200))
         boot = self.fleet.engine.boot
         return order(workspace, name, hold, keyed=keyed, boot=boot)
 
     async def booking(self) -> None:
-        """Send a booking by one of a few keys."""
+        """Send a booking with one of a few keys."""
         name = f"b{self.random.randrange(15)}"
         boot = self.fleet.engine.boot
-        wish = order("w1", name, 5, RequestKind.BOOKING, keyed=True, boot=boot)
-        await self.ask(wish)
+        wanted = order("w1", name, 5, RequestKind.BOOKING, keyed=True, boot=boot)
+        await self.send(wanted)
 
-    async def ask(self, wish: Order) -> None:
-        """Carry a request through a router, with pauses where they hurt."""
-        treasury = self.some_router()
-        if treasury is None:
+    async def send(self, wanted: Order) -> None:
+        """Send a request through a random router."""
+        manager = self.some_router()
+        if manager is None:
             return
         try:
-            permit = await treasury.begin(wish)
+            permit = await manager.begin(wanted)
         except OutcomeUnknownError:
             return
         except EbonyholdError:
             self.refused += 1
             return
         if isinstance(permit, Replay):
-            assert permit.answer.body == wish.request
+            assert permit.answer.body == wanted.request
             return
-        await self.run(treasury, permit)
+        await self.run(manager, permit)
 
-    async def run(self, treasury: Treasury, permit: Permit) -> None:
-        """Dispatch an attempt, maybe after a long pause, and settle it."""
+    async def run(self, manager: Treasury, permit: Permit) -> None:
+        """Dispatch an attempt, sometimes after a long pause, and settle it."""
         long = self.random.random() < 0.1
         await anyio.sleep(self.random.uniform(5, 60) if long else 0.01)
-        alive = treasury.me in self.fleet.routers
+        alive = manager.me in self.fleet.routers
         if not alive:
             return
         engine = self.fleet.engine
-        wish = permit.order
-        if not engine.start(permit.attempt, 5, wish.boot):
-            await treasury.finish(permit, _outcome(permit, RequestState.NOT_RUN, 0))
+        wanted = permit.order
+        if not engine.start(permit.attempt, 5, wanted.boot):
+            await manager.finish(permit, _outcome(permit, RequestState.NOT_RUN, 0))
             return
-        if wish.kind is RequestKind.BOOKING:
-            count = self.bookings.get(wish.request, 0)
-            self.bookings[wish.request] = count + 1
+        if wanted.kind is RequestKind.BOOKING:
+            count = self.bookings.get(wanted.request, 0)
+            self.bookings[wanted.request] = count + 1
         await anyio.sleep(self.random.uniform(0.01, 5))
-        tokens = self.random.randrange(1, wish.hold)
+        tokens = self.random.randrange(1, wanted.hold)
         forgotten = permit.attempt not in engine.attempts
         if not forgotten:
             engine.progress(permit.attempt, tokens, last=True)
-        if treasury.me not in self.fleet.routers:
+        if manager.me not in self.fleet.routers:
             return
         if forgotten:
-            # The engine was restarted in between, and the stream broke.
+            # The engine was restarted in the meantime, and the stream broke.
             state = RequestState.UNKNOWN
-            await treasury.finish(permit, _outcome(permit, state, wish.hold))
+            await manager.finish(permit, _outcome(permit, state, wanted.hold))
             return
-        cost = 5 if wish.kind is RequestKind.BOOKING else 5 + tokens
+        cost = 5 if wanted.kind is RequestKind.BOOKING else 5 + tokens
         outcome = _outcome(permit, RequestState.COMPLETE, cost)
-        await treasury.finish(permit, outcome, durable_within=1)
-        self.completed.add((wish.workspace, wish.request))
+        await manager.finish(permit, outcome, durable_within=1)
+        self.completed.add((wanted.workspace, wanted.request))
 
     async def kill(self) -> None:
-        """End a router."""
+        """Kill a router."""
         if len(self.fleet.routers) < 2:
             return
         name = self.random.choice(sorted(self.fleet.routers))
         self.fleet.kill(name)
-        self.dead.append(name)
+        self.stopped.append(name)
 
-    async def recover_somebody(self) -> None:
-        """Recover any router, dead or alive, perhaps by two at once."""
-        names = sorted({*self.dead, *self.fleet.routers})
+    async def recover_some_router(self) -> None:
+        """Recover a random router, running or not, sometimes twice at the same time."""
+        names = sorted({*self.stopped, *self.fleet.routers})
         if not names:
             return
         name = self.random.choice(names)
@@ -223,17 +223,17 @@
             await self.fleet.recover(name, by)
 
     async def table_fault(self) -> None:
-        """Make the next calls of a router to the table go wrong."""
-        self.break_one(self.tables)
+        """Inject a fault into the next calls of a router to the table."""
+        self.inject_fault(self.tables)
 
     async def store_fault(self) -> None:
-        """Make the next calls of a router to the store go wrong."""
-        self.break_one(self.stores)
+        """Inject a fault into the next calls of a router to the object store."""
+        self.inject_fault(self.stores)
 
-    def break_one(
+    def inject_fault(
         self, views: dict[str, MemoryTable] | dict[str, MemoryObjects]
     ) -> None:
-        """Switch on one counted fault."""
+        """Switch on a random fault of one view for its next few calls."""
         name = self.random.choice(sorted(views))
         fault = self.random.choice(FAULTS)
         setattr(views[name].faults, fault, self.random.randrange(1, 4))
@@ -243,40 +243,40 @@
         self.tables[self.random.choice(sorted(self.tables))].faults.down = True
 
     async def cut_store(self) -> None:
-        """Cut a router off from the store."""
+        """Cut a router off from the object store."""
         self.stores[self.random.choice(sorted(self.stores))].faults.down = True
 
     async def cut_link(self) -> None:
-        """Cut the way from one router to another."""
+        """Drop the messages from one router to another."""
         names = sorted(self.fleet.routers)
         if len(names) >= 2:
             one, other = self.random.sample(names, 2)
             self.fleet.network.cut.add((one, other))
 
     async def lose_reply(self) -> None:
-        """Lose the next answer between routers."""
+        """Lose the next reply between routers."""
         self.fleet.network.lose_replies += 1
 
     def faults(self) -> list[Faults]:
-        """Return the faults of every router's view of table and store."""
+        """Return the faults of every router's views of the table and the store."""
         tables = [table.faults for table in self.tables.values()]
         return tables + [store.faults for store in self.stores.values()]
 
     async def flush(self) -> None:
-        """Let late calls arrive."""
+        """Deliver the delayed calls."""
         for faults in self.faults():
             await faults.flush()
 
     async def restart_engine(self) -> None:
-        """Make the backend server forget what ran."""
+        """Restart the backend server, which forgets all attempts."""
         self.fleet.engine.restart()
 
     async def heal(self) -> None:
-        """Mend every partition."""
-        self.mend()
+        """End every partition and fault."""
+        self.clear_faults()
 
-    def mend(self) -> None:
-        """Mend every partition and switch off every fault."""
+    def clear_faults(self) -> None:
+        """End every partition and switch off every fault."""
         self.fleet.network.heal()
         for faults in self.faults():
             faults.down = False
@@ -284,14 +284,14 @@
                 setattr(faults, fault, 0)
 
     async def add_tokens(self) -> None:
-        """Top up a budget, with a key that is used twice."""
+        """Top up a budget; each key is used twice."""
         self.topups += 1
         workspace = self.random.choice(WORKSPACES)
         key = f"t{self.topups // 2}"
         await top_up(self.fleet.table, workspace, key, 500)
 
-    async def give_back(self) -> None:
-        """Refund a part of some bill."""
+    async def refund_some(self) -> None:
+        """Refund a part of a random bill."""
         key = f"u{self.random.randrange(1, self.requests + 2)}"
         try:
             await refund(self.fleet.table, "w1", key, "f", 3)
@@ -299,7 +299,7 @@
             return
 
     async def drain(self) -> None:
-        """Stop a router that has nothing running."""
+        """Drain and stop a router that has no running requests."""
         idle = [
             name
             for name, router in sorted(self.fleet.routers.items())
@@ -307,24 +307,24 @@
         ]
         if len(idle) < 2:
             return
-        treasury = self.fleet.routers[idle[0]].treasury
+        manager = self.fleet.routers[idle[0]].treasury
         with anyio.move_on_after(20):
             with suppress(EbonyholdError):
-                await treasury.drain()
+                await manager.drain()
         if idle[0] in self.fleet.routers:
             self.fleet.kill(idle[0])
-            self.dead.append(idle[0])
+            self.stopped.append(idle[0])
 
     async def settle(self) -> None:
-        """Let the rest arrive and settle every router."""
+        """Deliver delayed calls, drain all routers and recover every router."""
         await anyio.sleep(60)
         await self.flush()
         for name in sorted(self.fleet.routers):
-            treasury = self.fleet.routers[name].treasury
+            manager = self.fleet.routers[name].treasury
             with anyio.move_on_after(60):
                 with suppress(EbonyholdError):
-                    await treasury.drain()
-            self.dead.append(name)
+                    await manager.drain()
+            self.stopped.append(name)
         for name in self.tables:
             report = await self.fleet.recover(name)
             assert report.closed, report
@@ -332,8 +332,8 @@
         assert await self.fleet.recovery("s.1").sweep() == 0
 
     async def check(self) -> None:
-        """Check everything that must hold whatever happened."""
-        await check_books(self.fleet)
+        """Check what must hold after every history."""
+        await check_bills(self.fleet)
         for workspace in WORKSPACES:
             assert self.fleet.budget(workspace).outstanding == 0
         assert all(count == 1 for count in self.bookings.values()), self.bookings
@@ -346,7 +346,7 @@
         self.check_runs()
 
     def check_runs(self) -> None:
-        """Check that what ran is not called "not run" by its own row."""
+        """Check that no row says "not run" about a run that the engine started."""
         for row_key in self.fleet.table.matching("request/", "", 100_000):
             _, workspace, name = row_key.key.split("/")
             row = request(self.fleet, workspace, name)
@@ -357,11 +357,11 @@
 
 
 def _outcome(permit: Permit, state: RequestState, charge: int) -> Outcome:
-    wish = permit.order
-    booked = wish.kind is RequestKind.BOOKING and state is RequestState.COMPLETE
-    answer = KeptAnswer(201, "text/plain", wish.request) if booked else None
+    wanted = permit.order
+    booked = wanted.kind is RequestKind.BOOKING and state is RequestState.COMPLETE
+    answer = KeptAnswer(201, "text/plain", wanted.request) if booked else None
     return Outcome(
-        wish.workspace, wish.request, permit.attempt, state, charge, answer=answer
+        wanted.workspace, wanted.request, permit.attempt, state, charge, answer=answer
     )
 
 
--- a/tests/money/stories.py
+++ b/tests/money/scenarios.py
@@ -1,4 +1,4 @@
-"""Running failure stories in a fleet of their own, under a virtual clock."""
+"""Helpers that run failure scenarios in a fleet in memory, under a virtual clock."""
 
 from __future__ import annotations
 
@@ -20,49 +20,49 @@
 from ebonyhold.money._exchange import TokenExchange
 from ebonyhold.standins import Faults, MemoryObjects, MemoryTable
 
-Story = Callable[[MemoryFleet], Awaitable[None]]
+Scenario = Callable[[MemoryFleet], Awaitable[None]]
 
 POLICY = Policy(grants="adaptive_transfer")
 
 
-def run(story: Story, policy: Policy = POLICY) -> None:
-    """Run a story."""
+def run(scenario: Scenario, policy: Policy = POLICY) -> None:
+    """Run a scenario."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            await story(MemoryFleet(tasks, policy))
+            await scenario(MemoryFleet(tasks, policy))
             tasks.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def begin(treasury: Treasury, order: Order) -> Permit:
+async def begin(manager: Treasury, order: Order) -> Permit:
     """Begin a request that must get its permit."""
-    permit = await treasury.begin(order)
+    permit = await manager.begin(order)
     assert isinstance(permit, Permit)
     return permit
 
 
 def request(fleet: MemoryFleet, workspace: str, name: str) -> RequestRow | None:
-    """Return a request's row, past all faults."""
+    """Return a request's row, read without injected faults."""
     value = fleet.table.value(f"{REQUEST_PREFIX}{workspace}/{name}")
     return None if value is None else from_json(value, RequestRow)
 
 
-async def check_books(fleet: MemoryFleet) -> None:
-    """Check what must hold after every story: no overspend, and all adds up."""
+async def check_bills(fleet: MemoryFleet) -> None:
+    """Check that no budget is overspent and all rows add up."""
     assert await verify_bills(fleet.table) == []
 
 
 async def check_all_returned(fleet: MemoryFleet, workspace: str) -> None:
-    """Check that nothing is stranded."""
-    await check_books(fleet)
+    """Check that all rows add up and no tokens are stranded."""
+    await check_bills(fleet)
     assert fleet.budget(workspace).outstanding == 0
     assert fleet.table.matching(GRANT_PREFIX, "", 10) == []
 
 
-def own_view(fleet: MemoryFleet) -> tuple[MemoryTable, MemoryObjects]:
-    """Give a router faults of its own towards the same table and store."""
+def view_with_own_faults(fleet: MemoryFleet) -> tuple[MemoryTable, MemoryObjects]:
+    """Return views of the shared table and store, with faults for one router."""
     table = MemoryTable(
         Faults(),
         fleet.table.writes,
@@ -74,13 +74,13 @@
     return table, objects
 
 
-def exchange(treasury: Treasury) -> TokenExchange:
-    """Return what a router gives and takes tokens through."""
-    assert treasury.exchange is not None
-    return treasury.exchange
+def exchange(manager: Treasury) -> TokenExchange:
+    """Return the exchange through which a router gives and receives tokens."""
+    assert manager.exchange is not None
+    return manager.exchange
 
 
-async def spend(treasury: Treasury, name: str, hold: int, charge: int) -> None:
+async def spend(manager: Treasury, name: str, hold: int, charge: int) -> None:
     """Run one request to its end."""
-    permit = await begin(treasury, order("w", name, hold))
-    await treasury.finish(permit, ended(permit, charge))
+    permit = await begin(manager, order("w", name, hold))
+    await manager.finish(permit, ended(permit, charge))
--- a/tests/money/test_chaos.py
+++ b/tests/money/test_chaos.py
@@ -1,4 +1,4 @@
-"""Whatever happens in whatever order, the books add up in the end."""
+"""Random histories after which all bills, grants and budgets must add up."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ebonyhold.experiments._memory_fleet import MemoryFleet
 from tests.money.chaos import CHAOS_POLICY, play
-from tests.money.stories import run
+from tests.money.scenarios import run
 
 POLICIES = ("adaptive_transfer", "adaptive", "table_call", "static_split")
 
@@ -16,18 +16,18 @@
     """Play one history under the policy that its seed chooses."""
     policy = evolve(CHAOS_POLICY, grants=POLICIES[seed % len(POLICIES)])
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await play(fleet, seed, steps)
 
-    run(story, policy)
+    run(scenario, policy)
 
 
 @pytest.mark.parametrize("seed", range(24))
 def test_random_interleavings(seed: int) -> None:
-    """Requests, deaths, recoveries, partitions and lost calls in random order.
+    """Requests, crashes, recoveries, partitions and lost calls in random order.
 
-    Nothing is overspent, every request has one bill, every booking ran at most
-    once, and when all is settled no token is missing or left over.
+    Guards against overspend, missing or doubled bills, bookings that run twice, and
+    tokens that are missing or left over once everything is settled.
     """
     check(seed, 120)
 
@@ -35,6 +35,6 @@
 @pytest.mark.soak
 @pytest.mark.parametrize("block", range(20))
 def test_many_random_interleavings(block: int) -> None:
-    """The same for a thousand longer histories."""
+    """The same checks for a thousand longer histories."""
     for seed in range(1000 + 50 * block, 1050 + 50 * block):
         check(seed, 300)
--- a/tests/money/test_operators.py
+++ b/tests/money/test_operators.py
@@ -1,4 +1,4 @@
-"""Top-ups, refunds, rulings, retention, and the check of all bills."""
+"""Top-ups, refunds, rulings, retention, and the verification of all bills."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from ebonyhold.exceptions import BudgetUnreachableError
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
 from ebonyhold.money import Retention, Upkeep, refund, rule, top_up, verify_bills
-from tests.money.stories import begin, check_all_returned, check_books, request, run
+from tests.money.scenarios import begin, check_all_returned, check_bills, request, run
 
 MONTH = 30 * 86_400.0
 
 
 @pytest.mark.parametrize("fault", ["", "lose_answers", "lose_requests", "duplicates"])
 def test_top_up_and_refund_count_once(fault: str) -> None:
-    """An operator's call is lost or doubled, and the operator sends it again."""
+    """An operator's call is lost or doubled, and the operator repeats it."""
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         if fault:
             setattr(fleet.table.faults, fault, 1)
         await top_up(fleet.table, "w", "t", 500)
         assert not await top_up(fleet.table, "w", "t", 500)
-        treasury = await fleet.start("a.1")
-        permit = await begin(treasury, order("w", "r"))
-        await treasury.finish(permit, ended(permit, 60))
+        manager = await fleet.start("a.1")
+        permit = await begin(manager, order("w", "r"))
+        await manager.finish(permit, ended(permit, 60))
         await anyio.sleep(3)
         if fault:
             setattr(fleet.table.faults, fault, 1)
@@ -46,38 +46,40 @@
         assert not await refund(fleet.table, "w", "r", "f", 20)
         budget = fleet.budget("w")
         assert (budget.prepaid, budget.spent) == (500, 40)
-        await check_books(fleet)
+        await check_bills(fleet)
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize("amount", [0, -1, 61])
-def test_refund_that_does_not_fit(amount: int) -> None:
-    async def story(fleet: MemoryFleet) -> None:
+def test_invalid_refund_is_refused(amount: int) -> None:
+    """A refund must be above zero, within the charge, and of an existing bill."""
+
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 500, "t")
-        treasury = await fleet.start("a.1")
-        permit = await begin(treasury, order("w", "r"))
-        await treasury.finish(permit, ended(permit, 60))
+        manager = await fleet.start("a.1")
+        permit = await begin(manager, order("w", "r"))
+        await manager.finish(permit, ended(permit, 60))
         await anyio.sleep(3)
         with pytest.raises(ValueError, match="refund of"):
             await refund(fleet.table, "w", "r", "f", amount)
         with pytest.raises(ValueError, match="no bill"):
             await refund(fleet.table, "w", "other", "f", 1)
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize("ran", [True, False])
 def test_ruling_on_an_unknown_outcome(ran: bool) -> None:
-    """Nobody can tell whether a request ran, until a person looks.
+    """An operator rules on a request whose hold was charged with its outcome unknown.
 
-    Its hold was charged.  The operator's word keeps the charge or frees it.
+    The ruling keeps the charge or cancels it.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 500, "t")
-        treasury = await fleet.start("a.1")
-        await begin(treasury, order("w", "r"))
+        manager = await fleet.start("a.1")
+        await begin(manager, order("w", "r"))
         fleet.kill("a.1")
         fleet.engine.restart()
         await fleet.recover("a.1")
@@ -86,19 +88,19 @@
         assert fleet.budget("w").spent == (100 if ran else 0)
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_ruling_on_a_run_that_waits() -> None:
-    """The document says to wait for evidence, and none will ever come.
+def test_ruling_on_a_run_without_evidence() -> None:
+    """An operator rules on a run for which the policy waits for evidence.
 
-    The hold stays stranded and named, until an operator settles the run.
+    No evidence will come, and the hold stays stranded and is listed until the ruling.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 500, "t")
-        treasury = await fleet.start("a.1")
-        await begin(treasury, order("w", "r"))
+        manager = await fleet.start("a.1")
+        await begin(manager, order("w", "r"))
         fleet.kill("a.1")
         fleet.engine.restart()
         report = await fleet.recover("a.1")
@@ -110,32 +112,32 @@
         assert fleet.budget("w").spent == 30
         await check_all_returned(fleet, "w")
 
-    run(story, Policy(unknown_outcome=UnknownOutcome.WAIT))
+    run(scenario, Policy(unknown_outcome=UnknownOutcome.WAIT))
 
 
 def test_retention_keeps_the_sums() -> None:
-    """Bills and routers older than the document keeps them are deleted.
+    """Bills and routers that are older than the retention period are deleted.
 
-    The budget still adds up, a running claim stays, and a retry after that is
-    a new request.
+    The budget must still add up, a running claim must stay, and a retry of a deleted
+    request counts as a new request.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
-        treasury = await fleet.start("a.1")
+        manager = await fleet.start("a.1")
         for number in range(5):
-            permit = await begin(treasury, order("w", f"r{number}", keyed=True))
-            await treasury.finish(permit, ended(permit, 10))
+            permit = await begin(manager, order("w", f"r{number}", keyed=True))
+            await manager.finish(permit, ended(permit, 10))
         await anyio.sleep(3)
         await refund(fleet.table, "w", "r1", "f", 4)
-        await begin(treasury, order("w", "running", keyed=True))
+        await begin(manager, order("w", "running", keyed=True))
         fleet.kill("a.1")
         keeper = Retention(fleet.table, fleet.objects, MONTH)
         assert (await keeper.sweep(time.time())).bills == 0
         report = await keeper.sweep(time.time() + 2 * MONTH)
         assert (report.bills, report.routers) == (5, 0)
         assert request(fleet, "w", "running") is not None
-        await check_books(fleet)
+        await check_bills(fleet)
         await fleet.recover("a.1")
         report = await keeper.sweep(time.time() + 2 * MONTH)
         assert (report.bills, report.routers) == (1, 1)
@@ -145,7 +147,7 @@
         permit = await begin(other, order("w", "r1", keyed=True))
         assert not permit.unbilled
 
-    run(story)
+    run(scenario)
 
 
 DAMAGE = [
@@ -158,52 +160,55 @@
 
 
 @pytest.mark.parametrize(("key", "value", "finding"), DAMAGE)
-def test_verification_names_what_does_not_add_up(
+def test_verification_reports_rows_that_do_not_add_up(
     key: str, value: object, finding: str
 ) -> None:
-    async def story(fleet: MemoryFleet) -> None:
+    """A row that does not match the others is reported."""
+
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 500, "t")
-        treasury = await fleet.start("a.1")
-        permit = await begin(treasury, order("w", "r"))
-        await treasury.finish(permit, ended(permit, 60))
+        manager = await fleet.start("a.1")
+        permit = await begin(manager, order("w", "r"))
+        await manager.finish(permit, ended(permit, 60))
         await anyio.sleep(3)
         assert await verify_bills(fleet.table) == []
         fleet.table.put(key, to_json(value))
         found = await verify_bills(fleet.table)
         assert any(finding in one.finding for one in found)
 
-    run(story)
+    run(scenario)
+
 
+def test_verification_reports_a_row_that_cannot_be_read() -> None:
+    """A row with an invalid value is reported."""
 
-def test_verification_names_a_row_that_cannot_be_read() -> None:
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         fleet.table.put(request_key("w", "r"), {"state": "no such state"})
         (found,) = await verify_bills(fleet.table)
         assert found.key == request_key("w", "r")
 
-    run(story)
+    run(scenario)
 
 
-def test_upkeep_goes_on_after_an_outage() -> None:
-    """A transfer was lost between two routers, and the table is away for a while.
+def test_upkeep_continues_after_an_outage() -> None:
+    """A transfer was lost between two routers, and the table is down for a while.
 
-    The upkeep finds the platform down, tries again later, and returns the
-    tokens once both routers are closed.  A router that is not responsible does
-    nothing.
+    The upkeep task must survive the outage, and return the tokens once the table is
+    back and both routers are closed.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 10_000, "t")
-        rich = await fleet.start("a.1")
-        poor = await fleet.start("b.1")
-        for treasury, hold in ((rich, 500), (poor, 10)):
-            permit = await begin(treasury, order("w", f"r{hold}", hold))
-            await treasury.finish(permit, ended(permit, 10))
+        giver = await fleet.start("a.1")
+        receiver = await fleet.start("b.1")
+        for manager, hold in ((giver, 500), (receiver, 10)):
+            permit = await begin(manager, order("w", f"r{hold}", hold))
+            await manager.finish(permit, ended(permit, 10))
         await anyio.sleep(3)
         fleet.table.faults.down = True
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
-            await begin(poor, order("w", "r", 5000))
+            await begin(receiver, order("w", "r", 5000))
         for name in ("a.1", "b.1"):
             fleet.kill(name)
         fleet.table.faults.down = False
@@ -225,6 +230,6 @@
         await anyio.sleep(1000)
         assert fleet.budget("w").outstanding == 0
         assert upkeep.pending == 0
-        await check_books(fleet)
+        await check_bills(fleet)
 
-    run(story)
+    run(scenario)
