--- a/tests/money/test_partitions.py
+++ b/tests/money/test_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions, pauses, and top-ups on the other side."""
+"""Partitions, pauses and repeated requests across routers."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 )
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
 from ebonyhold.money import Incarnations, MoneyOptions, Permit, Treasury, top_up
-from tests.money.stories import (
+from tests.money.scenarios import (
     begin,
     check_all_returned,
-    check_books,
-    own_view,
+    check_bills,
     request,
     run,
     spend,
+    view_with_own_faults,
 )
 
 
-def test_top_up_on_the_other_side() -> None:
+def test_top_up_during_a_partition() -> None:
     """A router is cut off from the table while the budget is topped up.
 
-    It spends what it holds, journals in the store, and then refuses without
-    saying that the budget is exhausted.  After the partition it draws again;
-    the sum of all bills fits the two top-ups.
+    It spends its grant, journals in the object store, and then refuses requests without
+    reporting the budget as exhausted. After the partition it draws again, and the sum
+    of all bills does not exceed the two top-ups.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t1")
-        table, objects = own_view(fleet)
+        table, objects = view_with_own_faults(fleet)
         cut = await fleet.start("a.1", table, objects)
         other = await fleet.start("b.1")
         await spend(cut, "r0", 100, 100)
@@ -64,18 +64,18 @@
         await other.drain()
         await check_all_returned(fleet, "w")
 
-    run(story, Policy(grants="adaptive"))
+    run(scenario, Policy(grants="adaptive"))
 
 
-def test_paused_router_wakes_after_recovery() -> None:
-    """A router is paused between its durable intent and the dispatch, for hours.
+def test_paused_router_resumes_after_recovery() -> None:
+    """A router is paused between its durable intent and the dispatch.
 
-    Meanwhile it is recovered, and its caller has retried elsewhere.  On waking
-    it dispatches: the engine refuses the closed attempt.  Its next append finds
-    the seal, whichever place it tries.
+    In the meantime another router recovers it, and its caller retries there. When it
+    resumes and dispatches, the engine refuses the closed attempt, and its next append
+    finds the seal, in the table or in the object store.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         paused = await fleet.start("a.1")
         other = await fleet.start("b.1")
@@ -95,17 +95,17 @@
         await other.drain()
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_paused_router_wakes_after_its_journal_was_deleted() -> None:
-    """A router sleeps through its recovery, and through the deletion of its journal.
+def test_paused_router_resumes_after_its_journal_was_deleted() -> None:
+    """A router is paused until it was recovered and its journal was deleted.
 
-    The chain in the store keeps its seal: had it been deleted too, the router
-    would find its next number free, and spend from a grant that was returned.
+    Its seal in the object store must be kept. Otherwise the router would find its next
+    segment number free and spend from a grant that was returned.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         paused = await fleet.start("a.1")
         await spend(paused, "r0", 50, 10)
@@ -123,16 +123,16 @@
         fleet.table.faults.down = False
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_sealed_router_goes_on_as_a_new_incarnation() -> None:
-    """A living router is sealed by mistake; its callers are served on.
+def test_sealed_router_continues_as_a_new_incarnation() -> None:
+    """A router that still runs is sealed, and continues to serve its callers.
 
-    The next request runs under a new incarnation with grants of its own.
+    The next request runs under a new incarnation with its own grants.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         boots = iter(range(1, 9))
 
@@ -163,37 +163,37 @@
         assert fleet.budget("w").spent == 10
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize("idle", [True, False])
-def test_idle_workspaces_are_forgotten(idle: bool) -> None:
-    """A router that once served many workspaces keeps state for the busy ones only."""
+def test_idle_workspaces_are_discarded(idle: bool) -> None:
+    """Guards against state of idle workspaces that is never discarded."""
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         fleet.options = MoneyOptions(evict_after=60)
-        treasury = await fleet.start("a.1")
+        manager = await fleet.start("a.1")
         for number in range(50):
             name = f"w{number}"
             await fleet.top_up(name, 1000, "t")
-            permit = await begin(treasury, order(name, "r"))
-            await treasury.finish(permit, ended(permit, 10))
+            permit = await begin(manager, order(name, "r"))
+            await manager.finish(permit, ended(permit, 10))
         await anyio.sleep(120 if idle else 5)
-        assert len(treasury.accounts) == (0 if idle else 50)
+        assert len(manager.accounts) == (0 if idle else 50)
         assert fleet.budget("w0").spent == 10
         assert (fleet.budget("w0").outstanding == 0) is idle
 
-    run(story)
+    run(scenario)
 
 
 def test_chat_retried_while_the_first_still_runs() -> None:
-    """A caller loses patience and sends the same chat again through another router.
+    """A caller repeats a running chat through another router.
 
-    Both run to their end and the caller has one whole answer; whoever files
-    first makes the bill and the other's hold is released.
+    Both runs complete. The first one filed makes the bill, and the hold of the other is
+    released.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         one = await fleet.start("a.1")
         two = await fleet.start("b.1")
@@ -215,16 +215,16 @@
         await two.drain()
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
 def test_chat_cut_off_and_retried_is_amended() -> None:
-    """A caller hangs up after a part of the answer, then asks again by its key.
+    """A caller disconnects after a part of the answer, then retries with the same key.
 
-    The bill of the part is replaced by the bill of the whole, not added to it.
+    The bill of the whole answer must replace the bill of the part, not add to it.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         one = await fleet.start("a.1")
         first = await begin(one, order("w", "k", keyed=True))
@@ -239,13 +239,13 @@
         await one.drain()
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_engine_that_runs_past_its_bound() -> None:
-    """An engine generates more than its bound; the workspace pays the hold only."""
+def test_engine_that_exceeds_its_bound() -> None:
+    """An engine generates more than its bound; the workspace pays only the hold."""
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 100, "t")
         one = await fleet.start("a.1")
         permit = await begin(one, order("w", "r", 100))
@@ -255,17 +255,17 @@
         assert row is not None
         assert (row.charge, row.overshoot) == (100, 30)
         assert fleet.budget("w").spent == 100
-        await check_books(fleet)
+        await check_bills(fleet)
 
-    run(story)
+    run(scenario)
 
 
 def test_begin_before_registration_is_refused() -> None:
-    """A router whose row is not in the table could never be recovered."""
+    """Guards against requests of a router that cannot be recovered, lacking its row."""
 
-    async def story(fleet: MemoryFleet) -> None:
-        treasury = Treasury("a.1", fleet.table, fleet.objects, lambda: fleet.policy)
+    async def scenario(fleet: MemoryFleet) -> None:
+        manager = Treasury("a.1", fleet.table, fleet.objects, lambda: fleet.policy)
         with pytest.raises(UnavailableError):
-            await treasury.begin(order("w", "r"))
+            await manager.begin(order("w", "r"))
 
-    run(story)
+    run(scenario)
--- a/tests/money/test_transfers.py
+++ b/tests/money/test_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of tokens between routers, some of which die on the way."""
+"""Transfers of tokens between routers, some of which crash in the meantime."""
 
 from __future__ import annotations
 
@@ -11,66 +11,67 @@
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
 from ebonyhold.money import Treasury
 from ebonyhold.routers import TransferGiven
-from tests.money.stories import (
+from tests.money.scenarios import (
     begin,
     check_all_returned,
-    check_books,
+    check_bills,
     exchange,
     run,
     spend,
 )
 
 
-async def two_with_tokens(fleet: MemoryFleet) -> tuple[Treasury, Treasury]:
-    """Start a router that holds tokens and one that holds few, and cut the table."""
+async def start_giver_and_receiver(fleet: MemoryFleet) -> tuple[Treasury, Treasury]:
+    """Start a router with many tokens and one with few, then take the table down."""
     await fleet.top_up("w", 10_000, "t")
-    rich = await fleet.start("a.1")
-    poor = await fleet.start("b.1")
+    giver = await fleet.start("a.1")
+    receiver = await fleet.start("b.1")
     for number in range(10):
-        await spend(rich, f"a{number}", 500, 100)
-    await spend(poor, "b", 10, 10)
+        await spend(giver, f"a{number}", 500, 100)
+    await spend(receiver, "b", 10, 10)
     await anyio.sleep(3)
     fleet.table.faults.down = True
-    return rich, poor
+    return giver, receiver
 
 
 def test_transfer_while_the_table_is_down() -> None:
-    """A router runs out while the table is down, and another has tokens left.
+    """A router runs out of tokens while the table is down, and a peer has some left.
 
-    It asks and is given some; both journal it in the store.  When the table is
-    back, the transfer is settled and nothing is lost or made.
+    It requests tokens and receives some; both routers journal the transfer in the
+    object store. Once the table is back, the transfer is settled and no token is
+    missing or left over.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, poor = await two_with_tokens(fleet)
-        await spend(poor, "r1", 400, 300)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, receiver = await start_giver_and_receiver(fleet)
+        await spend(receiver, "r1", 400, 300)
         fleet.table.faults.down = False
         await anyio.sleep(30)
-        await check_books(fleet)
-        await poor.drain()
-        await rich.drain()
+        await check_bills(fleet)
+        await receiver.drain()
+        await giver.drain()
         assert fleet.budget("w").spent == 1000 + 10 + 300
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
 @pytest.mark.parametrize("giver_first", [True, False])
 @pytest.mark.parametrize("lost", [True, False])
-def test_transfer_between_routers_that_die(giver_first: bool, lost: bool) -> None:
-    """Tokens are on their way between two routers when both die.
+def test_transfer_between_routers_that_crash(giver_first: bool, lost: bool) -> None:
+    """Both routers crash while tokens are in transfer between them.
 
-    If they were lost, they stay stranded until both journals are sealed, and
-    then return.  If they arrived, they are returned from the receiver's grant.
-    Either way they exist once.
+    If the transfer was lost, its tokens are stranded until both journals are sealed,
+    and are returned then. If it arrived, they are returned from the receiver's grant.
+    In both cases they must be counted once.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
-        await two_with_tokens(fleet)
-        poor = fleet.routers["b.1"].treasury
+    async def scenario(fleet: MemoryFleet) -> None:
+        await start_giver_and_receiver(fleet)
+        receiver = fleet.routers["b.1"].treasury
         fleet.network.lose_replies = 1 if lost else 0
         try:
-            await begin(poor, order("w", "r1", 400))
+            await begin(receiver, order("w", "r1", 400))
         except BudgetUnreachableError:
             assert lost
         fleet.table.faults.down = False
@@ -78,138 +79,139 @@
         fleet.kill("b.1")
         for name in ("a.1", "b.1") if giver_first else ("b.1", "a.1"):
             await fleet.recover(name)
-            await check_books(fleet)
+            await check_bills(fleet)
         assert await fleet.recovery("s.1").sweep() == 0
         budget = fleet.budget("w")
         assert budget.outstanding == 0
         assert budget.spent == 1000 + 10
-        await check_books(fleet)
+        await check_bills(fleet)
 
-    run(story)
+    run(scenario)
 
 
 def test_lost_transfer_is_sent_again() -> None:
-    """The answer that carries tokens is lost; the receiver asks once more.
+    """A reply that carries tokens is lost, and the receiver requests tokens again.
 
     The giver sends the same transfer again, and the receiver counts it once.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, poor = await two_with_tokens(fleet)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, receiver = await start_giver_and_receiver(fleet)
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
-            await begin(poor, order("w", "r1", 400))
-        await spend(poor, "r2", 400, 300)
-        assert exchange(rich).serial == 1
+            await begin(receiver, order("w", "r1", 400))
+        await spend(receiver, "r2", 400, 300)
+        assert exchange(giver).serial == 1
         fleet.table.faults.down = False
         await anyio.sleep(30)
-        await poor.drain()
-        await rich.drain()
+        await receiver.drain()
+        await giver.drain()
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_lost_transfer_to_a_router_that_died() -> None:
-    """A transfer is lost, and its receiver is recovered; the giver lives on.
+def test_lost_transfer_to_a_router_that_crashed() -> None:
+    """A transfer is lost, and its receiver crashes and is recovered.
 
-    The receiver is closed and never settled it, so the giver takes it back.
+    The receiver is closed and never settled the transfer, so the giver, which still
+    runs, gets the tokens back.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, poor = await two_with_tokens(fleet)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, receiver = await start_giver_and_receiver(fleet)
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
-            await begin(poor, order("w", "r1", 400))
-        assert rich.accounts["w"].ledger.given > 0
+            await begin(receiver, order("w", "r1", 400))
+        assert giver.accounts["w"].ledger.given > 0
         fleet.kill("b.1")
         fleet.table.faults.down = False
         await fleet.recover("b.1")
         await anyio.sleep(30)
-        assert rich.accounts["w"].ledger.given == 0
-        await rich.drain()
+        assert giver.accounts["w"].ledger.given == 0
+        await giver.drain()
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_giver_drains_with_a_transfer_on_its_way() -> None:
-    """A router stops while tokens it gave are not settled by their receiver.
+def test_giver_drains_with_an_unsettled_transfer() -> None:
+    """A giver stops while its receiver has not settled a transfer.
 
-    It leaves them in its grant's row, named by the transfer's row.  Once the
-    receiver stops too, a sweep returns them.
+    The tokens stay in the row of the giver's grant, and the transfer has a row. Once
+    the receiver has stopped too, a sweep returns the tokens to the budget.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, poor = await two_with_tokens(fleet)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, receiver = await start_giver_and_receiver(fleet)
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
-            await begin(poor, order("w", "r1", 400))
+            await begin(receiver, order("w", "r1", 400))
         fleet.table.faults.down = False
-        await rich.drain()
-        await check_books(fleet)
+        await giver.drain()
+        await check_bills(fleet)
         assert await fleet.recovery("s.1").sweep() == 1
-        await poor.drain()
+        await receiver.drain()
         assert await fleet.recovery("s.1").sweep() == 0
         assert fleet.budget("w").outstanding == 0
-        await check_books(fleet)
+        await check_bills(fleet)
 
-    run(story)
+    run(scenario)
 
 
 def test_transfer_for_an_earlier_incarnation_is_refused() -> None:
-    """Tokens arrive late, when their receiver has become a new incarnation."""
+    """Tokens arrive after their receiver was replaced by a new incarnation."""
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, poor = await two_with_tokens(fleet)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, receiver = await start_giver_and_receiver(fleet)
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
-            await begin(poor, order("w", "r1", 400))
-        given = next(iter(rich.accounts["w"].transfers.given.values()))
+            await begin(receiver, order("w", "r1", 400))
+        given = next(iter(giver.accounts["w"].transfers.given.values()))
         fleet.table.faults.down = False
         successor = await fleet.start("b.2")
         late = TransferGiven("w", given.transfer, given.amount)
         await exchange(successor).take_given("a.1", late)
         assert "w" not in successor.accounts
 
-    run(story)
+    run(scenario)
 
 
 def test_transfer_that_arrives_twice() -> None:
-    """One transfer is delivered three times, two of them at the same moment."""
+    """A transfer that is delivered three times, twice at once, must count once."""
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, poor = await two_with_tokens(fleet)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, receiver = await start_giver_and_receiver(fleet)
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
-            await begin(poor, order("w", "r1", 400))
-        given = next(iter(rich.accounts["w"].transfers.given.values()))
+            await begin(receiver, order("w", "r1", 400))
+        given = next(iter(giver.accounts["w"].transfers.given.values()))
         message = TransferGiven("w", given.transfer, given.amount)
-        before = poor.accounts["w"].ledger.available
+        before = receiver.accounts["w"].ledger.available
         async with anyio.create_task_group() as deliveries:
-            deliveries.start_soon(exchange(poor).take_given, "a.1", message)
-            deliveries.start_soon(exchange(poor).take_given, "a.1", message)
-        await exchange(poor).take_given("a.1", message)
-        assert poor.accounts["w"].ledger.available == before + given.amount
+            deliveries.start_soon(exchange(receiver).take_given, "a.1", message)
+            deliveries.start_soon(exchange(receiver).take_given, "a.1", message)
+        await exchange(receiver).take_given("a.1", message)
+        assert receiver.accounts["w"].ledger.available == before + given.amount
         fleet.table.faults.down = False
         await anyio.sleep(30)
-        await poor.drain()
-        await rich.drain()
+        await receiver.drain()
+        await giver.drain()
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
 
 
-def test_tokens_given_on_before_they_are_settled() -> None:
+def test_tokens_passed_on_before_they_are_settled() -> None:
     """Tokens pass through three routers while the table is down.
 
-    The one in between has nothing in the table when the last one settles, so
-    its row is below zero for a while.  The sum of all grants is right at every
-    moment, also when the one in between dies.
+    The router in the middle has no tokens in the table when the last one settles, so
+    its row is below zero for a while. The sum of all grants must be right at every
+    moment, also when the router in the middle crashes.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
-        rich, middle = await two_with_tokens(fleet)
+    async def scenario(fleet: MemoryFleet) -> None:
+        giver, middle = await start_giver_and_receiver(fleet)
         fleet.table.faults.down = False
         last = await fleet.start("c.1")
         fleet.table.faults.down = True
@@ -220,12 +222,12 @@
         fleet.kill("b.1")
         fleet.table.faults.down = False
         await anyio.sleep(30)
-        await check_books(fleet)
+        await check_bills(fleet)
         await fleet.recover("b.1")
-        await check_books(fleet)
+        await check_bills(fleet)
         await last.drain()
-        await rich.drain()
+        await giver.drain()
         assert fleet.budget("w").spent == 1000 + 10 + 1 + 150
         await check_all_returned(fleet, "w")
 
-    run(story)
+    run(scenario)
--- a/tests/money/test_treasury.py
+++ b/tests/money/test_treasury.py
@@ -1,4 +1,4 @@
-"""A router's money when nothing fails."""
+"""Grants, claims and bills of a router while nothing fails."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from ebonyhold.money import Permit, Replay, verify_bills
 
 
-def run(story: Callable[[MemoryFleet], Awaitable[None]], policy: Policy) -> None:
-    """Run a story in a fleet of its own under a virtual clock."""
+def run(scenario: Callable[[MemoryFleet], Awaitable[None]], policy: Policy) -> None:
+    """Run a scenario in its own fleet under a virtual clock."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
-            await story(MemoryFleet(tasks, policy))
+            await scenario(MemoryFleet(tasks, policy))
             tasks.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
@@ -39,7 +39,9 @@
 
 @pytest.mark.parametrize("grants", POLICIES)
 def test_bills_once_and_returns_the_rest(grants: str) -> None:
-    async def story(fleet: MemoryFleet) -> None:
+    """Each request is billed once, and draining returns all unspent tokens."""
+
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         one = await fleet.start("a.1")
         for number in range(8):
@@ -54,12 +56,14 @@
         assert not await verify_bills(fleet.table)
         assert not fleet.table.matching("journal/", "", 10)
 
-    run(story, Policy(grants=grants))
+    run(scenario, Policy(grants=grants))
 
 
 @pytest.mark.parametrize("grants", POLICIES)
 def test_refuses_when_exhausted(grants: str) -> None:
-    async def story(fleet: MemoryFleet) -> None:
+    """A request is refused as exhausted once the budget cannot cover its hold."""
+
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 150, "t")
         one = await fleet.start("a.1")
         permit = await one.begin(order("w", "r1"))
@@ -69,11 +73,13 @@
         with pytest.raises(BudgetExhaustedError):
             await one.begin(order("w", "r2"))
 
-    run(story, Policy(grants=grants))
+    run(scenario, Policy(grants=grants))
 
 
 def test_replays_a_booking_and_refuses_a_reused_key() -> None:
-    async def story(fleet: MemoryFleet) -> None:
+    """A repeated booking gets the kept answer; its key with another body is refused."""
+
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
         one = await fleet.start("a.1")
         two = await fleet.start("b.1")
@@ -95,4 +101,4 @@
             )
         assert fleet.budget("w").spent == 5
 
-    run(story, Policy())
+    run(scenario, Policy())
