--- a/ebonyhold/money/_claims.py
+++ b/ebonyhold/money/_claims.py
@@ -44,7 +44,10 @@
 
 @frozen
 class Claims:
-    """Reads and writes claims for one incarnation."""
+    """Reads and writes claims for one incarnation.
+
+    A claim is a request's row that names the attempt that runs the request.
+    """
 
     router: Seen[RouterRow]
     table: Table
@@ -67,7 +70,10 @@
     async def write(
         self, order: Order, reading: ClaimReading, attempt: AttemptId
     ) -> ClaimReading:
-        """Write the claim; the returned decision may differ from the one passed in.
+        """Write the claim, and return the reading on which it is based.
+
+        This is a newer reading if the row changed since `reading`. If the request has
+        completed in the meantime, its answer is to be replayed and no claim is written.
 
         Raises:
             UnavailableError: The table cannot be reached; the claim may still take
--- a/ebonyhold/money/_exchange.py
+++ b/ebonyhold/money/_exchange.py
@@ -29,7 +29,7 @@
     """Transfers of tokens between one incarnation and the other routers.
 
     Attributes:
-        self_id: The incarnation.
+        self_id: Identifier of this incarnation.
         peers: The link to the other routers, or None.
         grants: The grants of the workspaces in use.
         grant_of: Returns a workspace's grant, and creates it if needed.
--- a/ebonyhold/money/_grant_writer.py
+++ b/ebonyhold/money/_grant_writer.py
@@ -128,8 +128,8 @@
             SealedError: This incarnation was sealed.
         """
         if plan.returned:
-            # The returned tokens may come from holds whose outcomes are not durable
-            # yet. Recovery could otherwise charge such a hold again.
+            # The returned tokens may come from holds whose outcomes are not in the
+            # journal yet. If the router crashed, recovery would charge those holds.
             await self.journal.flush()
         try:
             await self.table.commit(plan.transaction)
--- a/ebonyhold/money/_incarnations.py
+++ b/ebonyhold/money/_incarnations.py
@@ -23,12 +23,12 @@
 class Incarnations:
     """Starts a new incarnation of the router whenever one was sealed.
 
-    The router that recovers a sealed incarnation takes over its grants, claims and
-    running attempts. Requests that were refused with `SealedError` may begin again
-    under the next incarnation.
+    The router that recovers a sealed incarnation settles its grants, claims and running
+    attempts. Requests that were refused with `SealedError` may begin again under the
+    next incarnation.
 
     Attributes:
-        current: The incarnation that serves requests.
+        current: Manager of the incarnation that serves requests.
         renewals: How often an incarnation was replaced.
     """
 
--- a/ebonyhold/money/_interface.py
+++ b/ebonyhold/money/_interface.py
@@ -77,9 +77,9 @@
     ) -> AttemptTruth:
         """Cancel an attempt, prevent its later start, and return its status.
 
-        The status is `AttemptState.UNKNOWN` if the server cannot be reached or does not
-        know the attempt. `AttemptState.NEVER_RAN` also means that the attempt can never
-        run later. A server may return it only if it refuses the closed attempt until it
+        The status is `AttemptState.UNKNOWN` if the server cannot be reached or cannot
+        determine it. `AttemptState.NEVER_RAN` also means that the attempt can never run
+        later. A server may return it only if it refuses the closed attempt until it
         restarts, or if the attempt names another boot of the server. Otherwise a router
         that was paused between its intent and its dispatch could run the attempt after
         the server was restarted.
--- a/ebonyhold/money/_journal.py
+++ b/ebonyhold/money/_journal.py
@@ -45,7 +45,7 @@
 
 
 class JournalTarget(Enum):
-    """Where the last append was written."""
+    """Where the last append was written; `NOWHERE` if it failed."""
 
     TABLE = "table"
     OBJECTS = "objects"
@@ -106,7 +106,7 @@
     tokens released by an outcome are held again only by intents that follow it.
 
     Attributes:
-        self_id: The incarnation.
+        self_id: Identifier of this incarnation.
         router: Row of the incarnation; each append to the table checks its version.
         target: Where the last append was written.
         sealed: Set when another router has sealed this journal, or when it is closed.
@@ -244,7 +244,7 @@
             if not append.retry:
                 append.finish(UnavailableError(f"the journal is not writable: {error}"))
         self.queue.extendleft(reversed(kept))
-        longer = max(self.options.retry_delay, self.retry_delay * 2)
+        longer = max(self.options.min_retry_delay, self.retry_delay * 2)
         self.retry_delay = min(longer, self.options.max_retry_delay)
         if kept:
             await self._back_off()
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -35,7 +35,7 @@
 
 
 Rows: TypeAlias = tuple[Row | None, ...]
-"""Rows as read, in the order of their keys."""
+"""Rows as read, in the order of their keys; None for an absent row."""
 
 
 async def commit_once(
--- a/ebonyhold/money/_options.py
+++ b/ebonyhold/money/_options.py
@@ -27,7 +27,8 @@
             append.
         conflict_delay: Maximum random delay after a settlement conflicted with another
             writer.
-        retry_delay: Delay after a first failure; it doubles with each further failure.
+        min_retry_delay: Delay after a first failure; it doubles with each further one.
+            A router that drains also polls its grants at this interval.
         max_retry_delay: Maximum delay between retries.
         acquire_timeout: Maximum time a request waits for tokens.
         peer_timeout: Maximum time to wait for one peer's answer.
@@ -46,7 +47,7 @@
     evict_after: Seconds = 900.0
     table_backoff: Seconds = 2.0
     conflict_delay: Seconds = 0.03
-    retry_delay: Seconds = 0.05
+    min_retry_delay: Seconds = 0.05
     max_retry_delay: Seconds = 10.0
     acquire_timeout: Seconds = 8.0
     peer_timeout: Seconds = 0.5
--- a/ebonyhold/money/_recovery.py
+++ b/ebonyhold/money/_recovery.py
@@ -60,7 +60,7 @@
 from ebonyhold.types import AttemptId, RouterId, Tokens, WorkspaceName
 
 MAX_TRIES = 20
-"""Maximum tries of one step: routers that recover the same incarnation conflict."""
+"""Maximum tries of one write, which may conflict with concurrent recoveries."""
 
 
 @frozen
@@ -280,8 +280,7 @@
     async def _is_settled(self, intent: Intent) -> bool:
         """Return whether the run's final row is filed.
 
-        Its outcome may be missing from the journal, because segments are deleted after
-        that.
+        The journal may then lack its outcome, because settled segments are deleted.
         """
         key = request_key(intent.workspace, intent.request)
         (raw,) = await self.table.read((key,))
--- a/ebonyhold/money/_registration.py
+++ b/ebonyhold/money/_registration.py
@@ -39,7 +39,7 @@
 async def register(
     table: Table, router: RouterId, domain: str, address: str
 ) -> Seen[RouterRow]:
-    """Write an incarnation's row and return it; all its later writes check the version.
+    """Write an incarnation's row and return it; its later writes check the version.
 
     Raises:
         PlatformError: The table could not be written.
--- a/ebonyhold/money/_sealing.py
+++ b/ebonyhold/money/_sealing.py
@@ -34,7 +34,7 @@
 """Maximum tries to seal the router's row when it conflicts with other writers."""
 
 PAGE_SIZE = 500
-"""Keys listed by one call to the object store."""
+"""Maximum number of keys listed by one call to the object store."""
 
 
 @frozen
--- a/ebonyhold/money/_status.py
+++ b/ebonyhold/money/_status.py
@@ -29,7 +29,7 @@
     """Status of the grants, the journal and the bills of one router.
 
     Attributes:
-        router: The incarnation.
+        router: Identifier of the incarnation.
         sealed: Whether another router has recovered it.
         target: Where the journal's last append was written.
         unfiled: Number of bills that are not in the table yet.
--- a/ebonyhold/money/_transfer_book.py
+++ b/ebonyhold/money/_transfer_book.py
@@ -67,7 +67,7 @@
         workspace: Name of the workspace.
         ledger: The ledger that counts the tokens.
         received: Received transfers that are not settled, by name.
-        receipts: The last transfers received, settled or not.
+        receipts: Names of the last transfers received, settled or not.
         given: Given transfers that are not settled, by name.
         announced: Whether the transfers given by this closing router are in the table.
     """
--- a/ebonyhold/money/_treasury.py
+++ b/ebonyhold/money/_treasury.py
@@ -40,7 +40,7 @@
 
 @frozen
 class _Run:
-    """A request that has its permit and has not ended."""
+    """A request that has its hold and has not ended."""
 
     intent: Intent
     hold: Tokens
@@ -51,7 +51,7 @@
     """Manages holds, claims, the journal and bills of one incarnation.
 
     Attributes:
-        me: The incarnation.
+        me: Identifier of the incarnation.
         accounts: The grants of the workspaces in use; idle ones are discarded.
         runs: Requests that have a hold and have not ended, by run.
         journal: The journal; None until `open` has registered the incarnation.
@@ -333,7 +333,7 @@
         while self.accounts:
             if self.sealed:
                 raise SealedError(f"{self.me} was sealed")
-            await anyio.sleep(self.options.retry_delay)
+            await anyio.sleep(self.options.min_retry_delay)
         await unregister(self.table, journal)
 
     def status(self) -> MoneyStatus:
--- a/ebonyhold/money/_upkeep.py
+++ b/ebonyhold/money/_upkeep.py
@@ -40,7 +40,7 @@
         objects: The object store.
         make_recovery: Creates the recovery that sweeps transfers.
         retention: Returns how long bills and claims are kept, in seconds.
-        self_id: Returns the current incarnation.
+        self_id: Returns the identifier of the current incarnation.
         alive: Returns the other routers believed alive.
         rng: Randomises the intervals, so that they differ among routers.
         pending: Number of transfers that were still pending after the last sweep.
@@ -67,7 +67,10 @@
             try:
                 await self.run_once()
             except EbonyholdError as error:
-                logger.info("no upkeep now", extra={"cause": str(error)})
+                logger.info(
+                    "upkeep failed; trying again at the next interval",
+                    extra={"cause": str(error)},
+                )
 
     async def run_once(self) -> None:
         """Sweep transfers, and delete expired rows if that is due.
--- a/ebonyhold/money/_verify.py
+++ b/ebonyhold/money/_verify.py
@@ -53,12 +53,23 @@
 
 @define
 class _Sums:
+    """Sums of the rows of one workspace, in tokens.
+
+    Attributes:
+        prepaid: Top-ups.
+        held: Tokens held by grants.
+        charged: Charges of bills.
+        refunded: Refunds according to the requests' rows.
+        recorded_refunds: Refunds according to each request's row, by key.
+        refund_sums: Sum of the refunds' own rows, by key of the request.
+    """
+
     prepaid: Tokens = 0
     held: Tokens = 0
     charged: Tokens = 0
     refunded: Tokens = 0
-    row_refunds: dict[str, Tokens] = field(factory=dict)
-    refund_rows: dict[str, Tokens] = field(factory=dict)
+    recorded_refunds: dict[str, Tokens] = field(factory=dict)
+    refund_sums: dict[str, Tokens] = field(factory=dict)
 
 
 async def verify_bills(table: Table) -> list[Discrepancy]:
@@ -135,7 +146,7 @@
         total = sums[_workspace(key, REQUEST_PREFIX)]
         total.charged += row.charge
         if row.refunded:
-            total.row_refunds[key] = row.refunded
+            total.recorded_refunds[key] = row.refunded
         if row.state in (RequestState.RUNNING, RequestState.NOT_RUN) and row.charge:
             found.append(
                 Discrepancy(key, f"{row.state.value}, but charged", 0, row.charge)
@@ -156,12 +167,12 @@
     async for key, row in _rows(table, REFUND_PREFIX, RefundRow, found):
         workspace = _workspace(key, REFUND_PREFIX)
         request = f"{REQUEST_PREFIX}{workspace}/{row.request}"
-        rows = sums[workspace].refund_rows
+        rows = sums[workspace].refund_sums
         rows[request] = rows.get(request, 0) + row.amount
     for total in sums.values():
-        total.refunded += sum(total.row_refunds.values())
-        for key, amount in total.row_refunds.items():
-            expected = total.refund_rows.get(key, 0)
+        total.refunded += sum(total.recorded_refunds.values())
+        for key, amount in total.recorded_refunds.items():
+            expected = total.refund_sums.get(key, 0)
             if amount != expected:
                 found.append(
                     Discrepancy(
--- a/ebonyhold/money/_workspace_grant.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -188,7 +188,7 @@
         )
 
     async def run(self) -> None:
-        """Settle with the table until this grant can be discarded."""
+        """Write changes to the table until this grant can be discarded."""
         while not self.journal.sealed.is_set():
             await self._wait_for_work()
             try:
@@ -205,7 +205,7 @@
             if self._can_evict():
                 return
             if self.closing:
-                await anyio.sleep(self.options.retry_delay)
+                await anyio.sleep(self.options.min_retry_delay)
 
     async def _wait_for_work(self) -> None:
         # Waits for work, then lets bills accumulate for one transaction. Waiting
@@ -394,7 +394,7 @@
         reason = f"the budget of {self.workspace} cannot be reached: {error}"
         for waiter in self.waiters:
             self.waiters.refuse(waiter, BudgetUnreachableError(reason))
-        longer = max(self.options.retry_delay, self.retry_delay * 2)
+        longer = max(self.options.min_retry_delay, self.retry_delay * 2)
         self.retry_delay = min(longer, self.options.max_retry_delay)
         await self._wait(self.retry_delay)
 
--- a/tests/money/test_operators.py
+++ b/tests/money/test_operators.py
@@ -71,9 +71,9 @@
 
 @pytest.mark.parametrize("ran", [True, False])
 def test_ruling_on_an_unknown_outcome(ran: bool) -> None:
-    """An operator rules on a request whose hold was charged with its outcome unknown.
+    """The outcome of a request is unknown, and its hold was charged.
 
-    The ruling keeps the charge or cancels it.
+    The ruling of an operator must keep the charge or cancel it.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -92,9 +92,9 @@
 
 
 def test_ruling_on_a_run_without_evidence() -> None:
-    """An operator rules on a run for which the policy waits for evidence.
+    """The policy waits for evidence about a run, but none will come.
 
-    No evidence will come, and the hold stays stranded and is listed until the ruling.
+    The hold stays stranded and is listed until an operator settles the run.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -132,14 +132,14 @@
         await refund(fleet.table, "w", "r1", "f", 4)
         await begin(manager, order("w", "running", keyed=True))
         fleet.kill("a.1")
-        keeper = Retention(fleet.table, fleet.objects, MONTH)
-        assert (await keeper.sweep(time.time())).bills == 0
-        report = await keeper.sweep(time.time() + 2 * MONTH)
+        retention = Retention(fleet.table, fleet.objects, MONTH)
+        assert (await retention.sweep(time.time())).bills == 0
+        report = await retention.sweep(time.time() + 2 * MONTH)
         assert (report.bills, report.routers) == (5, 0)
         assert request(fleet, "w", "running") is not None
         await check_bills(fleet)
         await fleet.recover("a.1")
-        report = await keeper.sweep(time.time() + 2 * MONTH)
+        report = await retention.sweep(time.time() + 2 * MONTH)
         assert (report.bills, report.routers) == (1, 1)
         assert fleet.objects.objects == {}
         await check_all_returned(fleet, "w")
--- a/tests/money/test_partitions.py
+++ b/tests/money/test_partitions.py
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("idle", [True, False])
 def test_idle_workspaces_are_discarded(idle: bool) -> None:
-    """Guards against state of idle workspaces that is never discarded."""
+    """Guards against keeping the state of idle workspaces forever."""
 
     async def scenario(fleet: MemoryFleet) -> None:
         fleet.options = MoneyOptions(evict_after=60)
@@ -261,7 +261,7 @@
 
 
 def test_begin_before_registration_is_refused() -> None:
-    """Guards against requests of a router that cannot be recovered, lacking its row."""
+    """A router without its row must refuse requests, as it could not be recovered."""
 
     async def scenario(fleet: MemoryFleet) -> None:
         manager = Treasury("a.1", fleet.table, fleet.objects, lambda: fleet.policy)
--- a/tests/money/test_platform_faults.py
+++ b/tests/money/test_platform_faults.py
@@ -62,7 +62,10 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_next_ten_calls_fail(fault: str) -> None:
-    """The next ten calls to the table all fail in the same way."""
+    """The next ten calls to the table all fail in the same way.
+
+    Requests that are retried until they are accepted must be billed once.
+    """
 
     async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 1000, "t")
