--- a/ebonyhold/money/_verify.py
+++ b/ebonyhold/money/_verify.py
@@ -1,4 +1,4 @@
-"""Reconciling bills, grants, top-ups, refunds and budgets."""
+"""Checks that bills, grants, top-ups, refunds and budgets add up."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 @frozen
 class Discrepancy:
-    """One row that does not add up.
+    """A row that does not match the other rows.
 
     Attributes:
-        key: The row.
-        finding: What is wrong with it.
-        expected: What the other rows say, in tokens.
-        found: What this row says, in tokens.
+        key: Key of the row.
+        finding: What is wrong with the row.
+        expected: Tokens according to the other rows.
+        found: Tokens according to this row.
     """
 
     key: str
@@ -53,19 +53,30 @@
 
 @define
 class _Sums:
+    """Sums of the rows of one workspace, in tokens.
+
+    Attributes:
+        prepaid: Top-ups.
+        held: Tokens held by grants.
+        charged: Charges of bills.
+        refunded: Refunds according to the requests' rows.
+        recorded_refunds: Refunds according to each request's row, by key.
+        refund_sums: Sum of the refunds' own rows, by key of the request.
+    """
+
     prepaid: Tokens = 0
     held: Tokens = 0
     charged: Tokens = 0
     refunded: Tokens = 0
-    row_refunds: dict[str, Tokens] = field(factory=dict)
-    refund_rows: dict[str, Tokens] = field(factory=dict)
+    recorded_refunds: dict[str, Tokens] = field(factory=dict)
+    refund_sums: dict[str, Tokens] = field(factory=dict)
 
 
 async def verify_bills(table: Table) -> list[Discrepancy]:
-    """Check that every budget equals the rows it is made of.
+    """Check that every budget equals the sum of the rows that it summarises.
 
-    Run it while no router writes, or run it twice: rows are read one page after
-    another, so that what changes meanwhile may seem not to add up.
+    Run it while no router writes, or run it twice: rows are read page by page, so
+    changes in the meantime can appear as discrepancies.
 
     Raises:
         UnavailableError: The table could not be read.
@@ -123,7 +134,7 @@
     async for key, row in _rows(table, GRANT_PREFIX, GrantRow, found):
         _, owner, workspace = key.split("/", 2)
         sums[workspace].held += row.held
-        # A router that lives may have given on what it has not settled yet.
+        # An open router may have given away tokens whose receipt is not settled yet.
         if row.held < 0 and owner in closed:
             found.append(Discrepancy(key, "holds less than nothing", 0, row.held))
 
@@ -135,7 +146,7 @@
         total = sums[_workspace(key, REQUEST_PREFIX)]
         total.charged += row.charge
         if row.refunded:
-            total.row_refunds[key] = row.refunded
+            total.recorded_refunds[key] = row.refunded
         if row.state in (RequestState.RUNNING, RequestState.NOT_RUN) and row.charge:
             found.append(
                 Discrepancy(key, f"{row.state.value}, but charged", 0, row.charge)
@@ -156,12 +167,12 @@
     async for key, row in _rows(table, REFUND_PREFIX, RefundRow, found):
         workspace = _workspace(key, REFUND_PREFIX)
         request = f"{REQUEST_PREFIX}{workspace}/{row.request}"
-        rows = sums[workspace].refund_rows
+        rows = sums[workspace].refund_sums
         rows[request] = rows.get(request, 0) + row.amount
     for total in sums.values():
-        total.refunded += sum(total.row_refunds.values())
-        for key, amount in total.row_refunds.items():
-            expected = total.refund_rows.get(key, 0)
+        total.refunded += sum(total.recorded_refunds.values())
+        for key, amount in total.recorded_refunds.items():
+            expected = total.refund_sums.get(key, 0)
             if amount != expected:
                 found.append(
                     Discrepancy(
