--- a/ebonyhold/coordination/__init__.py
+++ b/ebonyhold/coordination/__init__.py
@@ -1,10 +1,10 @@
-"""Coordination parts: pure decisions, without I/O or a clock of their own.
+"""Decision logic of the routers, without I/O and without a clock of its own.
 
 Every part takes typed messages and returns typed messages or transactions.
 Nothing here imports a web server, a client or another package of ebonyhold.
 
-The parts are listed in ``__init__.pyi`` and imported when they are first asked for: a
-program that uses a few of them does not wait for all.
+The public names are listed in ``__init__.pyi`` and imported on first use, so a program
+that uses a few of them does not load them all.
 """
 
 import lazy_loader
--- a/ebonyhold/coordination/__init__.pyi
+++ b/ebonyhold/coordination/__init__.pyi
@@ -1,4 +1,4 @@
-"""Coordination parts: pure decisions, without I/O or a clock of their own.
+"""Decision logic of the routers, without I/O and without a clock of its own.
 
 Every part takes typed messages and returns typed messages or transactions.
 Nothing here imports a web server, a client or another package of ebonyhold.
--- a/ebonyhold/coordination/_admission.py
+++ b/ebonyhold/coordination/_admission.py
@@ -1,7 +1,7 @@
-"""Admission: who may start now, who waits, who is refused at once.
+"""Admission queue: which requests start now, wait, or are refused immediately.
 
-One value of `AdmissionQueue` belongs to one task.  It has no clock and does no
-I/O; its owner tells it the time and starts what it returns.
+An `AdmissionQueue` belongs to one task.  It has no clock and does no I/O: its owner
+passes in the time and starts the requests that it returns.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from ebonyhold.types import Seconds, WorkspaceName
 
-RATE_MEMORY = 0.2
-"""How much one completion moves the estimate of the rate of completions."""
+RATE_SMOOTHING = 0.2
+"""Weight of the latest completion in the moving average of the completion rate."""
 
-LEAST_RETRY: Seconds = 0.2
-MOST_RETRY: Seconds = 30.0
+MIN_RETRY_AFTER: Seconds = 0.2
+MAX_RETRY_AFTER: Seconds = 30.0
 
 
 @frozen
 class Share:
-    """The bounds of one workspace in one router.
+    """Limits of one workspace at one router.
 
     Attributes:
-        concurrency: Requests that run at once.
+        concurrency: Requests that may run at once.
         queue: Requests that may wait.
-        weight: Its share when several workspaces wait.
+        weight: Weight in the fair queueing between waiting workspaces.
     """
 
     concurrency: int = 64
@@ -37,15 +37,15 @@
 
 @frozen
 class Ticket:
-    """A request that wants to start.
+    """A request that waits for admission.
 
     Attributes:
         number: Unique in the queue.
-        workspace: Whose it is.
-        priority: Larger starts first.
-        deadline: When waiting becomes useless, on the owner's clock.
-        arrived: When it came.
-        shed_after: The longest it waits while the queue is standing, in seconds.
+        workspace: The workspace that it belongs to.
+        priority: Requests with a larger value start first.
+        deadline: When it is too late to start it, on the owner's clock.
+        arrived: When it arrived, on the owner's clock.
+        shed_after: The longest wait while the queue is standing, in seconds.
     """
 
     number: int
@@ -58,13 +58,13 @@
 
 @frozen
 class Refused:
-    """A request that will not start; it did not run.
+    """A request that was refused; it did not run.
 
     Attributes:
         ticket: The request.
-        retry_after: When to try again, in seconds.
-        workspace_bound: Whether the workspace's own bound is the reason.
-        expired: Whether it waited until its deadline.
+        retry_after: Suggested delay before a retry, in seconds.
+        workspace_bound: Whether a limit of its workspace is the reason.
+        expired: Whether its deadline passed while it waited.
     """
 
     ticket: Ticket
@@ -75,7 +75,7 @@
 
 @define
 class WorkspaceQueue:
-    """One workspace's waiting requests, by priority, and what it has running."""
+    """One workspace's waiting requests by priority, and its count of running ones."""
 
     share: Share
     running: int = 0
@@ -84,32 +84,32 @@
 
     @property
     def length(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return sum(len(queue) for queue in self.waiting.values())
 
 
 @define
 class AdmissionQueue:
-    """Weighted fair queues of the workspaces, in the order of priority.
+    """Weighted fair queueing between workspaces, within each priority.
 
-    Among requests of the same priority the workspace with the least virtual
-    finish time starts first, so that one that floods waits behind its own
-    requests and not before those of the others.
+    Among requests of the same priority, the workspace with the least virtual finish
+    time goes first.  A workspace that floods the queue delays its own requests, not
+    those of the others.
 
-    A short burst may wait as long as its deadlines allow.  A queue that has not
-    been empty for a while is no burst but overload: first in, first out would
-    then serve every request, each too late to be of use.  So in a standing
-    queue the newest request of a workspace starts first, a request is given up
-    once it has waited for `shed_after`, and those that are served begin in time.
+    A short burst may wait as long as its deadlines allow.  A queue that has not been
+    empty for longer than `standing_after` is a standing queue, a sign of overload: in
+    order of arrival, every request would start too late to be of use. While the queue
+    is standing, the newest request of a workspace starts first and requests that have
+    waited for `shed_after` are shed.
 
     Attributes:
-        most_waiting: Requests that may wait in all.
-        standing_after: How long the queue is not empty in a burst, in seconds.
-        rate: Completions a second, as estimated; 0 before any is known.
+        max_waiting: The maximum number of waiting requests.
+        standing_after: How long a burst may keep the queue non-empty, in seconds.
+        rate: Estimated completions per second; 0 before the first estimate.
         empty_at: When the queue was last empty.
     """
 
-    most_waiting: int = 512
+    max_waiting: int = 512
     standing_after: Seconds = 1.0
     rate: float = 0.0
     empty_at: Seconds = 0.0
@@ -118,11 +118,11 @@
     workspaces: dict[WorkspaceName, WorkspaceQueue] = field(factory=dict)
 
     def offer(self, ticket: Ticket, share: Share, now: Seconds) -> Refused | None:
-        """Queue a request, or refuse it at once.
+        """Enqueue a request, or refuse it immediately.
 
-        It is refused when a bound is reached, or when the wait that is to be
-        expected is longer than its deadline allows: an early truthful refusal
-        lets the caller go elsewhere, a late one costs it the deadline too.
+        A request is refused if a limit is reached, or if the expected wait is longer
+        than its deadline allows.  With an early refusal the caller can still retry
+        elsewhere before its deadline.
         """
         if not self.waiting:
             self.empty_at = now
@@ -130,9 +130,9 @@
         if entry.length >= share.queue:
             return Refused(ticket, self.retry_after(now), workspace_bound=True)
         ahead = self.ahead_of(ticket)
-        if ahead >= self.most_waiting:
+        if ahead >= self.max_waiting:
             return Refused(ticket, self.retry_after(now))
-        if self.rate > 0 and ahead / self.rate > self.patience(ticket, now):
+        if self.rate > 0 and ahead / self.rate > self.max_wait(ticket, now):
             return Refused(ticket, self.retry_after(now))
         queue = entry.waiting.setdefault(ticket.priority, deque())
         if entry.length == 0 and entry.running == 0:
@@ -141,7 +141,7 @@
         return None
 
     def start(self, free: int, now: Seconds) -> list[Ticket]:
-        """Return the requests that start, given that many free places."""
+        """Remove and return the requests to start, given the number of free slots."""
         started: list[Ticket] = []
         while free > 0:
             ticket = self.next_ticket(now)
@@ -153,7 +153,7 @@
             self.empty_at = now
         return started
 
-    def patience(self, ticket: Ticket, now: Seconds) -> Seconds:
+    def max_wait(self, ticket: Ticket, now: Seconds) -> Seconds:
         """Return how much longer a request may wait."""
         left = ticket.deadline - now
         if not self.is_standing(now):
@@ -161,18 +161,20 @@
         return min(left, ticket.arrived + ticket.shed_after - now)
 
     def finished(self, ticket: Ticket, now: Seconds) -> None:
-        """Note that a started request has ended."""
+        """Record that a started request has ended, and update the completion rate."""
         entry = self.workspaces[ticket.workspace]
         entry.running -= 1
         if self.last_completion is not None:
             gap = max(now - self.last_completion, 1e-3)
-            seen = 1.0 / gap
-            self.rate += RATE_MEMORY * (seen - self.rate) if self.rate else seen
+            observed = 1.0 / gap
+            self.rate += (
+                RATE_SMOOTHING * (observed - self.rate) if self.rate else observed
+            )
         self.last_completion = now
         self.forget(ticket.workspace)
 
     def leave(self, ticket: Ticket) -> bool:
-        """Take out a waiting request whose caller has gone."""
+        """Remove a request whose caller has left; return whether it was waiting."""
         entry = self.workspaces.get(ticket.workspace)
         queue = entry.waiting.get(ticket.priority) if entry else None
         if queue is None or ticket not in queue:
@@ -182,13 +184,13 @@
         return True
 
     def expire(self, now: Seconds) -> list[Refused]:
-        """Give up what can no longer start in time, at once and not later."""
+        """Remove and return the requests that can no longer start in time."""
         late = [
             ticket
             for entry in self.workspaces.values()
             for queue in entry.waiting.values()
             for ticket in queue
-            if self.patience(ticket, now) <= 0
+            if self.max_wait(ticket, now) <= 0
         ]
         wait = self.retry_after(now)
         for ticket in late:
@@ -196,7 +198,7 @@
         return [Refused(item, wait, expired=item.deadline <= now) for item in late]
 
     def clear(self) -> list[Ticket]:
-        """Take out everything that waits."""
+        """Remove and return all waiting requests."""
         waiting = [
             ticket
             for entry in self.workspaces.values()
@@ -208,24 +210,24 @@
         return waiting
 
     def retry_after(self, now: Seconds) -> Seconds:
-        """Return how long the present queue takes to empty."""
+        """Return how long the current queue takes to drain, within the bounds."""
         if self.rate <= 0:
             return 1.0
-        return min(MOST_RETRY, max(LEAST_RETRY, self.waiting / self.rate))
+        return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, self.waiting / self.rate))
 
     @property
     def waiting(self) -> int:
-        """Requests that wait, in all."""
+        """Number of waiting requests in all workspaces."""
         return sum(entry.length for entry in self.workspaces.values())
 
     def entry(self, workspace: WorkspaceName, share: Share) -> WorkspaceQueue:
-        """Return a workspace's queues under its present bounds."""
+        """Return a workspace's queues, with its current limits applied."""
         entry = self.workspaces.setdefault(workspace, WorkspaceQueue(share))
         entry.share = share
         return entry
 
     def ahead_of(self, ticket: Ticket) -> int:
-        """Return how many waiting requests are not less urgent than this one."""
+        """Return how many waiting requests have at least this request's priority."""
         return sum(
             len(queue)
             for entry in self.workspaces.values()
@@ -234,11 +236,11 @@
         )
 
     def is_standing(self, now: Seconds) -> bool:
-        """Return whether requests have waited without a break for too long."""
+        """Return whether the queue has been non-empty for too long for a burst."""
         return now - self.empty_at > self.standing_after
 
     def next_ticket(self, now: Seconds) -> Ticket | None:
-        """Take the request whose turn it is, if any may start."""
+        """Remove and return the next request to start, or None if none may start."""
         best: WorkspaceQueue | None = None
         best_rank = (0.0, 0.0)
         for entry in self.workspaces.values():
@@ -258,7 +260,7 @@
         return ticket
 
     def forget(self, workspace: WorkspaceName) -> None:
-        """Drop a workspace that neither runs nor waits, so that state stays small."""
+        """Forget a workspace without running or waiting requests, to bound memory."""
         entry = self.workspaces.get(workspace)
         if entry is not None and entry.running == 0 and entry.length == 0:
             del self.workspaces[workspace]
--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -1,4 +1,4 @@
-"""Names of attempts, and what a backend server can say about one of them."""
+"""Identifiers of attempts, and their status as backend servers report it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptState(Enum):
-    """What a backend server says about an attempt that was closed."""
+    """State of an attempt, as its backend server reports it after closing it."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -22,13 +22,14 @@
 
 @frozen
 class AttemptTruth:
-    """A backend server's word on one attempt, after it was closed.
+    """Status of one attempt, as its backend server reports it after closing it.
 
     Attributes:
-        state: Whether it ran, and how far.
+        state: Whether it ran, and whether it finished.
         prompt_tokens: Tokens of the prompt.
-        completion_tokens: Tokens of the answer so far.
-        boot: The server's boot identifier: another boot forgot what ran before.
+        completion_tokens: Tokens generated so far.
+        boot: The server's boot identifier.  After a restart the server has another one
+            and has lost its record of earlier attempts.
     """
 
     state: AttemptState
@@ -38,7 +39,7 @@
 
 
 def first_attempt(router: RouterId, serial: int) -> AttemptId:
-    """Name the first attempt of an incarnation's run number `serial`.
+    """Return the identifier of the first attempt of run number `serial`.
 
     >>> first_attempt("r1.7", 3)
     'r1.7~3~1'
@@ -47,7 +48,7 @@
 
 
 def next_attempt(attempt: AttemptId) -> AttemptId:
-    """Name the attempt that follows one under the same hold.
+    """Return the identifier of the next attempt of the same run.
 
     >>> next_attempt("r1.7~3~1")
     'r1.7~3~2'
@@ -57,7 +58,7 @@
 
 
 def run_of(attempt: AttemptId) -> str:
-    """Return the run that an attempt belongs to: all share one hold and one bill.
+    """Return the run of an attempt; all attempts of a run share one hold and one bill.
 
     >>> run_of("r1.7~3~2")
     'r1.7~3'
@@ -66,7 +67,7 @@
 
 
 def router_of(attempt: AttemptId) -> RouterId:
-    """Return the incarnation that named an attempt.
+    """Return the incarnation that started an attempt.
 
     >>> router_of("r1.7~3~2")
     'r1.7'
--- a/ebonyhold/coordination/_bills.py
+++ b/ebonyhold/coordination/_bills.py
@@ -1,4 +1,4 @@
-"""Bills: what a request costs, and how one row can only ever hold one of them."""
+"""Bills of requests, and the rule that a request's row holds at most one."""
 
 from __future__ import annotations
 
@@ -39,11 +39,15 @@
     RequestState.INTERRUPTED: 3,
     RequestState.COMPLETE: 4,
 }
-"""A bill gives way only to one that knows more, so amending comes to an end."""
+"""Rank of a bill by its state.
+
+A filed bill is replaced only by one of higher rank, which has more evidence, so a row
+is amended a bounded number of times.
+"""
 
 
 class Verdict(Enum):
-    """What filing a bill does to the request's row."""
+    """How filing a bill changes the request's row."""
 
     FILE = "file"
     AMEND = "amend"
@@ -52,7 +56,7 @@
 
 @frozen
 class Bill:
-    """What one run of a request came to, ready to be filed."""
+    """The result of one run of a request, ready to be filed."""
 
     workspace: WorkspaceName
     request: RequestId
@@ -69,18 +73,18 @@
 
     @property
     def key(self) -> str:
-        """Return the key of the request's row."""
+        """Key of the request's row."""
         return request_key(self.workspace, self.request)
 
 
 @frozen
 class Filed:
-    """One bill of a settlement and what became of it.
+    """One bill of a settlement, and how it is filed.
 
     Attributes:
         bill: The bill.
-        verdict: Whether the row took it.
-        paid: Tokens that the payer's grant gave for it, from 0 to the charge.
+        verdict: How it changes the request's row.
+        paid: Tokens taken from the payer's grant, from 0 to the charge.
     """
 
     bill: Bill
@@ -90,7 +94,7 @@
 
 @frozen
 class LedgerChange:
-    """What one grant wants of the table in one transaction."""
+    """The changes that a settlement makes to one grant, in one transaction."""
 
     bills: tuple[Bill, ...] = ()
     draw: Tokens = 0
@@ -99,15 +103,15 @@
 
 @frozen
 class Settlement:
-    """A transaction on one grant, and what it means once it has taken effect.
+    """A transaction on one grant, and its results if it takes effect.
 
     Attributes:
         transaction: What to commit.
-        sequence: The grant's sequence number afterwards: reading it back tells
-            whether a transaction whose answer was lost took effect.
-        drawn: Tokens that the grant gains.
-        returned: Tokens that go back to the budget.
-        filed: What became of each bill.
+        sequence: The grant's sequence number afterwards.  If the outcome of the commit
+            is unknown, reading it back shows whether it took effect.
+        drawn: Tokens added to the grant.
+        returned: Tokens returned to the budget.
+        filed: How each bill is filed.
         budget: The budget afterwards.
     """
 
@@ -120,7 +124,7 @@
 
 
 def make_bill(intent: Intent, outcome: Outcome) -> Bill:
-    """Join what was asked with how it ended; the operator pays any overshoot."""
+    """Return the bill of a run: at most the hold is charged, the rest is overshoot."""
     charge = min(outcome.charge, intent.hold)
     beyond = outcome.charge - charge
     return Bill(
@@ -140,18 +144,18 @@
 
 
 def judge(row: RequestRow | None, bill: Bill) -> Verdict:
-    """Decide whether a row takes a bill.
+    """Decide how filing a bill changes the request's row.
 
-    A request has one row for ever.  The first bill fills it; a later one may
-    only replace it by knowing more, and then pays the difference alone.
+    A request has a single row.  The first bill fills it.  A later bill may only replace
+    it with better evidence, and then charges only the difference.
     """
     if row is None:
         return Verdict.FILE
     if row.state is RequestState.RUNNING:
-        # Another run's claim: that run is still to be heard, and a run that
-        # never happened here says nothing about it.
-        theirs = run_of(row.attempt) != run_of(bill.attempt)
-        if theirs and bill.state is RequestState.NOT_RUN:
+        # If the claim is another run's, that run has yet to report, and a bill that
+        # this run did not execute says nothing about it.
+        by_another_run = run_of(row.attempt) != run_of(bill.attempt)
+        if by_another_run and bill.state is RequestState.NOT_RUN:
             return Verdict.LEAVE
         return Verdict.FILE
     if RANK[bill.state] > RANK[row.state]:
@@ -162,7 +166,7 @@
 def filed_row(
     row: RequestRow | None, bill: Bill, charge: Tokens, owner: RouterId, now: float
 ) -> RequestRow:
-    """Return the row that holds a bill."""
+    """Return the request's row with a bill filed in it."""
     return RequestRow(
         state=bill.state,
         kind=bill.kind,
@@ -201,18 +205,18 @@
 ) -> Settlement:
     """Plan one transaction that files bills and draws or returns tokens.
 
-    The budget's inequality holds afterwards whatever the change: a draw takes no
-    more than remains, and a bill no more than the grant holds.
+    The budget stays within its limit whatever the change: a draw takes no more than the
+    budget has left, and a bill no more than the grant holds.
 
     Args:
         owner: The incarnation that the bills name.
-        router: The row of the grant's incarnation.  Its version is checked, so
-            nothing of a sealed incarnation takes effect, however late it comes.
+        router: The row of the grant's incarnation.  Its version is checked, so no late
+            transaction of a sealed incarnation takes effect.
         budget: The workspace's budget.
         grant: The incarnation's grant from it.
         requests: The requests' rows by key, for every bill.
-        change: What is wanted.
-        now: Seconds since the epoch, for the bills.
+        change: The requested changes.
+        now: Seconds since the epoch, recorded in the bills.
     """
     before = budget.value or BudgetRow()
     held = grant.value or GrantRow()
--- a/ebonyhold/coordination/_breaker.py
+++ b/ebonyhold/coordination/_breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker: stop calling what keeps failing, and probe it now and then."""
+"""Circuit breaker: stops calls to a failing service and probes for its recovery."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BreakerState(Enum):
-    """Whether calls go through."""
+    """Whether calls are allowed."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -23,29 +23,29 @@
     """When a breaker opens, and for how long.
 
     Attributes:
-        window: How far back results count, in seconds.
-        least_calls: Fewer results than this never open it.
-        failure_ratio: The part of failures in the window that opens it.
+        window: How long results are counted, in seconds.
+        least_calls: The minimum number of results in the window to open it.
+        failure_ratio: The share of failures in the window that opens it.
         open_for: How long it stays open the first time, in seconds.
-        most_open_for: The bound on that time, which doubles with each failed
-            round of probes, in seconds.
-        probes: Calls let through at once while half open.
-        probe_timeout: After how long a probe without a result counts as failed,
-            in seconds.
+        max_open_for: The maximum of that time, which doubles with each failed round of
+            probes, in seconds.
+        probes: Calls allowed at once while half open.
+        probe_timeout: After how long a probe without a result counts as failed, in
+            seconds.
     """
 
     window: Seconds = 10.0
     least_calls: int = 5
     failure_ratio: float = 0.5
     open_for: Seconds = 0.5
-    most_open_for: Seconds = 10.0
+    max_open_for: Seconds = 10.0
     probes: int = 1
     probe_timeout: Seconds = 5.0
 
 
 @frozen
 class Result:
-    """How one call ended."""
+    """The result of one call."""
 
     at: Seconds
     ok: bool
@@ -53,15 +53,15 @@
 
 @define
 class CircuitBreaker:
-    """Decides whether a call may be made; every method is told the time.
+    """Decides whether a call may be made; its methods take the current time.
 
     Attributes:
         policy: Its thresholds.
-        state: Whether calls go through, as of the last question.
+        state: The state as of the last `allow`, `succeeded` or `failed`.
         results: The results inside the window.
         opened_at: When it opened last.
         open_for: How long it stays open this time, in seconds.
-        probes: When each unanswered probe was let through.
+        probes: When each unanswered probe was allowed.
         openings: How often it has opened.
     """
 
@@ -74,10 +74,10 @@
     openings: int = 0
 
     def allow(self, now: Seconds) -> bool:
-        """Decide whether a call may be made now.
+        """Return whether a call may be made now.
 
-        Each True must be followed by `succeeded` or `failed`, or by `abandoned`
-        when the call was given up before it said anything about the other side.
+        After each True the caller must call `succeeded` or `failed`, or `abandoned` if
+        it gave up the call before the result was known.
         """
         if self.state is BreakerState.CLOSED:
             return True
@@ -93,7 +93,7 @@
         return True
 
     def would_allow(self, now: Seconds) -> bool:
-        """Tell whether `allow` would agree, without taking a probe."""
+        """Return whether `allow` would return True, without starting a probe."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
@@ -115,8 +115,8 @@
             self.reopen(now)
             return
         if self.state is BreakerState.OPEN:
-            # A call from before the opening ends late.  Counting it would
-            # lengthen the outage, since the breaker has drawn its conclusion.
+            # The call began before the breaker opened.  Counting it would lengthen the
+            # outage without new evidence.
             return
         self.record(Result(now, ok=False))
         if self.is_failing():
@@ -124,24 +124,24 @@
             self.open(now)
 
     def abandoned(self) -> None:
-        """Record that a call was given up without learning anything."""
+        """Record that a call was given up before its result was known."""
         if self.probes:
             self.probes.pop()
 
     def retry_after(self, now: Seconds) -> Seconds:
-        """Return how long to wait before the next question, in seconds."""
+        """Return how long to wait before the next call to `allow`, in seconds."""
         if self.state is not BreakerState.OPEN:
             return 0.0
         return max(0.0, self.opened_at + self.open_for - now)
 
     def record(self, result: Result) -> None:
-        """Add a result and forget those that have left the window."""
+        """Add a result and drop those that are older than the window."""
         self.results.append(result)
         while self.results[0].at <= result.at - self.policy.window:
             self.results.popleft()
 
     def is_failing(self) -> bool:
-        """Tell whether the window holds enough failures to open."""
+        """Return whether the window holds enough failures to open the breaker."""
         calls = len(self.results)
         if calls < self.policy.least_calls:
             return False
@@ -149,7 +149,7 @@
         return failures >= calls * self.policy.failure_ratio
 
     def open(self, now: Seconds) -> None:
-        """Stop calls for a while."""
+        """Open the breaker."""
         self.state = BreakerState.OPEN
         self.opened_at = now
         self.openings += 1
@@ -157,22 +157,21 @@
         self.results.clear()
 
     def reopen(self, now: Seconds) -> None:
-        """Stop calls again, for longer than the last time."""
-        self.open_for = min(self.open_for * 2, self.policy.most_open_for)
+        """Open the breaker again, for twice as long as before up to the maximum."""
+        self.open_for = min(self.open_for * 2, self.policy.max_open_for)
         self.open(now)
 
     def close(self) -> None:
-        """Let calls through again."""
+        """Close the breaker."""
         self.state = BreakerState.CLOSED
         self.probes.clear()
         self.results.clear()
 
     def expire_probes(self, now: Seconds) -> None:
-        """Forget probes without a result.
+        """Drop probes that have timed out.
 
-        A probe whose caller is cancelled may never report.  It would show as a
-        breaker that stays half open for ever; forgetting it after a while frees
-        its place.
+        A probe whose caller was cancelled may never report a result.  Without a timeout
+        the breaker would then stay half open forever.
         """
         timeout = self.policy.probe_timeout
         self.probes = [at for at in self.probes if now < at + timeout]
--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -1,4 +1,4 @@
-"""Rate ceilings: a token bucket, and fair turns between those that share one."""
+"""Rate limits: a token bucket, an adaptive rate, and weighted fair scheduling."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 from ebonyhold.types import Seconds
 
-MARGIN = 1e-6
-"""What may be missing from an amount, in units."""
+TOLERANCE = 1e-6
+"""Rounding tolerance when a level is compared with an amount, in units."""
 
 
 @define
 class TokenBucket:
-    """A ceiling on units a second, with a bounded burst.
+    """A limit on units per second, with a bounded burst.
 
     Attributes:
-        rate: Units added a second.
-        burst: The most units it holds.
-        level: Units it holds now; negative after a take larger than the burst.
+        rate: Units added per second.
+        burst: The maximum number of units it holds.
+        level: Units it holds now; negative after taking more than the burst.
         updated_at: When `level` was computed.
     """
 
@@ -31,68 +31,70 @@
 
     @classmethod
     def full(cls, rate: float, burst: float, now: Seconds) -> TokenBucket:
-        """Make a bucket that starts full."""
+        """Return a bucket that starts full."""
         return cls(rate, burst, burst, now)
 
     def refill(self, now: Seconds) -> None:
-        """Add what the time since the last call has earned."""
+        """Add the units that have accrued since the last call."""
         earned = max(0.0, now - self.updated_at) * self.rate
         self.level = min(self.burst, self.level + earned)
         self.updated_at = max(self.updated_at, now)
 
     def take(self, amount: float, now: Seconds) -> bool:
-        """Take units if they are there, and tell whether they were.
+        """Take units if enough are available, and return whether they were.
 
-        An amount above the burst is allowed from a full bucket and leaves a
-        debt, so that one large call cannot wait for ever.
+        An amount above the burst is allowed from a full bucket and makes the level
+        negative.  Otherwise such a call would wait forever.
         """
         self.refill(now)
-        # Without the margin, rounding leaves a level just short of the amount,
-        # with a wait too short to move the clock, and the caller waits for ever.
-        if self.level < min(amount, self.burst) - MARGIN:
+        # Without the tolerance, rounding could leave the level just below the amount.
+        # The computed wait would then be too short to advance the clock, and the caller
+        # would wait forever.
+        if self.level < min(amount, self.burst) - TOLERANCE:
             return False
         self.level -= amount
         return True
 
     def spend(self, amount: float, now: Seconds) -> None:
-        """Take units that are used already, into debt if need be."""
+        """Take units that were already used, even if the level becomes negative."""
         self.refill(now)
         self.level -= amount
 
     def wait(self, amount: float, now: Seconds) -> Seconds:
-        """Return how long until `take` would succeed, in seconds."""
+        """Return the time until `take` would succeed, in seconds."""
         self.refill(now)
         missing = min(amount, self.burst) - self.level
         return max(0.0, missing / self.rate)
 
 
-BACKOFF = 0.7
-"""What a refusal leaves of the rate."""
+BACKOFF_FACTOR = 0.7
+"""Multiplies the rate at each refusal."""
 
-RECOVERY = 0.05
-"""The part of the full rate that comes back each second."""
+RECOVERY_RATE = 0.05
+"""Share of the full rate that is regained each second."""
 
-FLOOR = 0.05
-"""The least part of the full rate."""
+MIN_RATE_SHARE = 0.05
+"""Minimum of the rate, as a share of the full rate."""
 
-HOLD_OFF = 1.0
-"""Refusals closer together than this count once, in seconds.
+REFUSAL_WINDOW = 1.0
+"""Refusals within this time after a counted one are ignored, in seconds.
 
-A burst of refusals is one sign of one overload; counting each would stop this
-client altogether.
+A burst of refusals is caused by one overload; counting each of them would reduce the
+rate to its minimum.
 """
 
 
 @define
 class AdaptiveRate:
-    """The rate a client allows itself of a ceiling that it shares with others.
+    """The rate at which a client calls a service whose rate limit it shares.
 
-    It falls by a factor when the service refuses, and comes back evenly, so
-    that clients that share a ceiling converge to equal shares without talking.
+    The rate is multiplied by a factor when the service refuses a call and recovers
+    linearly, so clients that share a limit converge to equal shares without
+    coordination.
 
     Attributes:
-        limit: The full rate, in units a second.
-        rate: The rate now.
+        limit: The full rate, in units per second.
+        rate: The current rate.
         updated_at: When `rate` was computed.
         lowered_at: When it was last lowered.
     """
@@ -100,21 +102,21 @@
     limit: float
     rate: float
     updated_at: Seconds = 0.0
-    lowered_at: Seconds = -HOLD_OFF
+    lowered_at: Seconds = -REFUSAL_WINDOW
 
     def current(self, now: Seconds) -> float:
-        """Return the rate, with what has come back since the last call."""
-        earned = max(0.0, now - self.updated_at) * self.limit * RECOVERY
+        """Return the current rate, including the recovery since the last call."""
+        earned = max(0.0, now - self.updated_at) * self.limit * RECOVERY_RATE
         self.rate = min(self.limit, self.rate + earned)
         self.updated_at = max(self.updated_at, now)
         return self.rate
 
     def refused(self, now: Seconds) -> None:
-        """Lower the rate, since the service has refused a call."""
-        if now < self.lowered_at + HOLD_OFF:
+        """Lower the rate after the service has refused a call."""
+        if now < self.lowered_at + REFUSAL_WINDOW:
             return
         self.lowered_at = now
-        self.rate = max(self.limit * FLOOR, self.current(now) * BACKOFF)
+        self.rate = max(self.limit * MIN_RATE_SHARE, self.current(now) * BACKOFF_FACTOR)
 
 
 K = TypeVar("K", bound=Hashable)
@@ -122,12 +124,12 @@
 
 @define
 class FairTurns(Generic[K]):
-    """Chooses whose turn it is, in proportion to weights (start-time fair queueing).
+    """Chooses which class goes next, by weight (start-time fair queueing).
 
     Attributes:
-        weights: The share of each class; larger gets more.
+        weights: The weight of each class; a larger one gets more turns.
         finish: For each class, the virtual time at which its last turn ended.
-        virtual: The virtual time, which only grows.
+        virtual: The virtual time, which never decreases.
     """
 
     weights: dict[K, float]
@@ -135,23 +137,23 @@
     virtual: float = 0.0
 
     def choose(self, waiting: Iterable[K]) -> K:
-        """Return the class whose turn is next among those that wait.
+        """Return which of the waiting classes goes next.
 
         Raises:
-            ValueError: Nobody waits.
+            ValueError: No class is waiting.
         """
         return min(waiting, key=self.start)
 
-    def start(self, who: K) -> float:
-        """Return the virtual time at which the next turn of a class begins.
+    def start(self, key: K) -> float:
+        """Return the virtual start time of the next turn of a class.
 
-        A class that was idle starts at the present, not at its old time: it
-        would else catch up for the idle time and starve the others.
+        A class that was idle starts at the current virtual time.  With its old finish
+        time it would catch up for the idle time and starve the others.
         """
-        return max(self.virtual, self.finish.get(who, 0.0))
+        return max(self.virtual, self.finish.get(key, 0.0))
 
-    def charge(self, who: K, amount: float) -> None:
-        """Record that a class has taken its turn."""
-        start = self.start(who)
+    def charge(self, key: K, amount: float) -> None:
+        """Record that a class has used an amount."""
+        start = self.start(key)
         self.virtual = start
-        self.finish[who] = start + amount / self.weights[who]
+        self.finish[key] = start + amount / self.weights[key]
--- a/ebonyhold/coordination/_choice.py
+++ b/ebonyhold/coordination/_choice.py
@@ -1,8 +1,9 @@
-"""Choosing a backend server for a request, by registered policies.
+"""Selection of a backend server for a request, by registered policies.
 
-Several routers choose at once on the same late reports.  No policy asks
-another router anything: the herd is avoided by chance (two random choices) and
-by each router's knowledge of what it sent since the report.
+Several routers choose at the same time from the same outdated load reports, and no
+policy communicates with other routers.  To keep them from all choosing the same server,
+policies sample candidates at random and each router counts the requests that it sent
+since the report.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
     Attributes:
         name: The server.
-        slots: Requests it runs at once before it queues them.
-        reported: Requests it ran and queued at its last load report.
-        own_at_report: Of those, this router's.
-        own: Requests of this router that it runs or queues now.
-        reuse: Tokens of the prompt that its prefix cache is expected to hold.
-        distance: One-way delay to its failure domain.
-        token_rate: Tokens a second it generated at its last report; 0 if unknown.
+        slots: Requests that it runs at once; more are queued.
+        reported: Requests running and queued at its last load report.
+        own_at_report: Of those, the requests of this router.
+        own: Requests of this router running or queued there now.
+        reuse: Prompt tokens that its prefix cache is expected to hold.
+        distance: One-way network delay to its failure domain.
+        token_rate: Tokens generated per second at its last report; 0 if unknown.
     """
 
     name: BackendName
@@ -43,19 +44,19 @@
 
     @property
     def load(self) -> int:
-        """The reported load, corrected by what this router did since."""
+        """The reported load, corrected by this router's requests since the report."""
         others = max(0, self.reported - self.own_at_report)
         return others + self.own
 
 
 @frozen
 class Need:
-    """What the request needs of its backend server.
+    """What a request needs from its backend server.
 
     Attributes:
-        prompt: The length of its prompt, in tokens, as estimated.
-        most: The most tokens it may generate.
-        priority: Larger is served first.
+        prompt: Estimated length of its prompt, in tokens.
+        most: The maximum number of tokens to generate.
+        priority: Requests with a larger value are served first.
     """
 
     prompt: Tokens = 0
@@ -64,23 +65,23 @@
 
 
 class ChoicePolicy(Protocol):
-    """Picks one of several candidates; it may keep state between calls."""
+    """Chooses one of several candidates; may keep state between calls."""
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the candidate that gets the request; there is at least one."""
+        """Return the candidate for the request, from at least one."""
         ...
 
 
 choice_policies: dict[str, Callable[[], ChoicePolicy]] = {}
-"""The registered policies by the name that the document uses."""
+"""The registered policies, by their names in the configuration document."""
 
 
 def choice_policy(
     name: str,
 ) -> Callable[[type[ChoicePolicy]], type[ChoicePolicy]]:
-    """Register the decorated class as a choice policy."""
+    """Return a decorator that registers a choice policy under a name."""
 
     def register(kind: type[ChoicePolicy]) -> type[ChoicePolicy]:
         choice_policies[name] = kind
@@ -100,7 +101,7 @@
 
 @choice_policy("random")
 class RandomChoice:
-    """Any candidate, each as likely as the others."""
+    """Chooses a random candidate; all are equally likely."""
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
@@ -112,29 +113,32 @@
 @choice_policy("round_robin")
 @define
 class RoundRobin:
-    """One candidate after the other, in the order of their names."""
+    """Chooses the candidates in turn, in the order of their names."""
 
-    turn: int = -1
+    position: int = -1
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the next candidate; the first one is random, or routers march."""
-        if self.turn < 0:
-            self.turn = rng.randrange(len(candidates))
-        self.turn += 1
+        """Return the next candidate.
+
+        The first one is random, so that the routers do not choose in lockstep.
+        """
+        if self.position < 0:
+            self.position = rng.randrange(len(candidates))
+        self.position += 1
         ordered = sorted(candidates, key=lambda item: item.name)
-        return ordered[self.turn % len(ordered)]
+        return ordered[self.position % len(ordered)]
 
 
 @choice_policy("least_load")
 class LeastLoad:
-    """The candidate whose last report was the lowest; ties by chance."""
+    """Chooses the candidate with the lowest reported load; ties are broken randomly."""
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the candidate with the least reported load."""
+        """Return the candidate with the lowest reported load."""
         return min(
             candidates, key=lambda item: (item.reported / item.slots, rng.random())
         )
@@ -142,12 +146,12 @@
 
 @choice_policy("two_choices")
 class TwoChoices:
-    """The less loaded of two random candidates, by the corrected load."""
+    """Chooses the less loaded of two random candidates, by the corrected load."""
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the better of two random candidates."""
+        """Return the less loaded of two random candidates."""
         if len(candidates) == 1:
             return candidates[0]
         first, second = rng.sample(candidates, 2)
@@ -159,11 +163,11 @@
 def working_set(
     chooser: str, names: Sequence[BackendName], size: int
 ) -> frozenset[BackendName]:
-    """Return the servers that one router works with, where there are very many.
+    """Return the subset of servers that one router uses in a very large fleet.
 
-    Each router ranks all servers by a hash of both names and keeps the first
-    ones.  So every server has about as many routers, a server that comes or
-    goes changes few sets, and a router's state and polls stay bounded.
+    Each router ranks all servers by a hash of both names and keeps the first ones.  So
+    every server is used by about the same number of routers, adding or removing a
+    server changes few subsets, and the state and polls of a router stay bounded.
 
     >>> names = [f"e{number}" for number in range(100)]
     >>> len(working_set("r1", names, 8)), len(working_set("r1", names[:3], 8))
@@ -179,29 +183,29 @@
 
 
 PREFILL_RATE = 8_000.0
-"""Prompt tokens a second that an engine reads when it is not known."""
+"""Prompt tokens that an engine is assumed to process per second."""
 
-MEAN_ANSWER: Tokens = 128
-"""Tokens of a usual answer, for the time that a slot takes to become free."""
+MEAN_ANSWER_TOKENS: Tokens = 128
+"""Typical length of an answer, to estimate when a slot becomes free."""
 
-SAMPLED = 2
-"""Candidates that are drawn by chance beside the one with the longest prefix."""
+SAMPLE_SIZE = 2
+"""Number of random candidates, besides the one with the longest cached prefix."""
 
 
 @choice_policy("prefix_aware")
 class PrefixAware:
-    """The least expected time to the first token among a few candidates.
+    """Chooses the lowest expected time to first token among a few candidates.
 
-    The candidates are a few random ones and the one that holds most of the
-    prompt's prefix.  Drawing by chance keeps several routers with the same late
+    The candidates are a few random ones and the one whose cache holds most of the
+    prompt's prefix.  Random sampling keeps several routers with the same outdated
     report from choosing the same server.
     """
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the candidate with the least expected cost."""
-        drawn = list(rng.sample(candidates, min(SAMPLED, len(candidates))))
+        """Return the sampled candidate with the lowest expected time to first token."""
+        drawn = list(rng.sample(candidates, min(SAMPLE_SIZE, len(candidates))))
         longest = max(candidates, key=lambda item: (item.reuse, -item.load))
         if longest.reuse > 0 and longest not in drawn:
             drawn.append(longest)
@@ -209,14 +213,19 @@
 
 
 def cost(need: Need, item: Candidate) -> float:
-    """Return the expected time to the first token, in seconds.
+    """Return the expected time to first token, in seconds.
 
-    It is the way there and back, the wait for a slot, and the part of the
-    prompt that the cache does not hold, read while others want the engine too.
+    It is the sum of the round-trip delay, the wait for a free slot, and the time to
+    process the uncached part of the prompt, which grows with the load.
     """
-    fresh = max(0, need.prompt - item.reuse)
-    share = item.load / item.slots
+    uncached = max(0, need.prompt - item.reuse)
+    utilization = item.load / item.slots
     waiting = max(0.0, item.load + 1 - item.slots) / item.slots
-    turnover = MEAN_ANSWER * max(1.0, share) / max(item.token_rate, 1.0) * item.slots
+    turnover = (
+        MEAN_ANSWER_TOKENS
+        * max(1.0, utilization)
+        / max(item.token_rate, 1.0)
+        * item.slots
+    )
     queue = waiting * (turnover if item.token_rate else 1.0)
-    return 2 * item.distance + queue + fresh / PREFILL_RATE * (1.0 + share)
+    return 2 * item.distance + queue + uncached / PREFILL_RATE * (1.0 + utilization)
--- a/ebonyhold/coordination/_claims.py
+++ b/ebonyhold/coordination/_claims.py
@@ -1,4 +1,4 @@
-"""Claims: whether a request may run, given what its row says."""
+"""Claims: whether a request may run, given the state of its row."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from ebonyhold.types import AttemptId, BackendName, RouterId
 
 MOST_REPEATS = 3
-"""How often a request that has its bill may run again, unbilled."""
+"""How often a request that has already been billed may run again, unbilled."""
 
 
 class ClaimAnswer(Enum):
-    """What a caller's request may do."""
+    """How to handle a caller's request."""
 
     RUN = "run"
     RUN_UNBILLED = "run_unbilled"
@@ -34,10 +34,10 @@
 
 @frozen
 class ClaimDecision:
-    """What a claim came to.
+    """The decision on a claim.
 
     Attributes:
-        answer: What the request may do.
+        answer: How to handle the request.
         kept: The answer to replay, for `ClaimAnswer.REPLAY`.
     """
 
@@ -52,18 +52,18 @@
     *,
     deduplicated: bool = False,
 ) -> ClaimDecision:
-    """Decide what a request may do, given its row.
+    """Decide how to handle a request, given its row.
 
-    A booking never runs while its row leaves open whether it ran before; that
-    is what makes it at most once.  A chat may run beside itself: its one row
-    takes one bill.
+    A booking is executed at most once: it never runs while its row leaves open whether
+    it ran before.  A chat may run several times at once, because its single row takes
+    only one bill.
 
     Args:
         row: The request's row, if there is one.
-        kind: What is asked for.
+        kind: The kind of the request.
         digest: SHA-256 of the body, hexadecimal.
-        deduplicated: Whether the backend server itself runs a key once, so that
-            a booking may be sent there again.
+        deduplicated: Whether the backend server itself executes each key only once, so
+            that a booking may be sent to it again.
     """
     if row is None:
         return ClaimDecision(ClaimAnswer.RUN)
@@ -93,10 +93,10 @@
     kind: RequestKind,
     digest: str,
 ) -> Transaction:
-    """Write the claim of a request that `decide_claim` lets run.
+    """Return the transaction that claims a request which `decide_claim` lets run.
 
-    The router's row is checked: a claim of a sealed incarnation that arrives
-    late would otherwise stay as running with nobody left to settle it.
+    It checks the router's row: a late claim of a sealed incarnation would otherwise
+    leave the request marked as running, with no router left to settle it.
     """
     old = request.value
     if old is not None and old.filed_at and old.state is not RequestState.NOT_RUN:
--- a/ebonyhold/coordination/_codec.py
+++ b/ebonyhold/coordination/_codec.py
@@ -1,4 +1,4 @@
-"""Turning typed rows and messages into JSON values and back."""
+"""Conversion of typed rows and messages to JSON values and back."""
 
 from __future__ import annotations
 
@@ -23,35 +23,38 @@
     TypeError,
     AttributeError,
 )
-"""What a value raises that does not have the form of an object; where the whole value
-is of another type, that is not one of the library's own errors."""
+"""Exceptions raised when a value cannot be structured as the requested type.
+
+A value of an entirely different type raises builtin exceptions instead of those of
+cattrs.
+"""
 
 converter = cattrs.Converter(forbid_extra_keys=False, omit_if_default=True)
 configure_tagged_union(JournalEntry, converter, tag_name="entry")
 
 
 def to_json(value: object, as_type: object = None) -> Json:
-    """Turn an attrs object into a value that JSON can carry."""
+    """Convert an attrs object to a JSON value."""
     unstructured: Json = converter.unstructure(value, as_type)
     return unstructured
 
 
 def from_json(value: Json, as_type: type[T]) -> T:
-    """Turn a JSON value back into an attrs object.
+    """Convert a JSON value to an attrs object.
 
     Raises:
-        cattrs.BaseValidationError: The value does not have that form.
+        cattrs.BaseValidationError: The value does not match the type.
     """
     return converter.structure(value, as_type)
 
 
 def read_row(row: Row, as_type: type[T]) -> T:
-    """Turn the value of a row back into an attrs object.
+    """Convert the value of a row to an attrs object.
 
     Raises:
-        DamagedRowError: It does not have that form.
+        DamagedRowError: The value does not match the type.
     """
-    # An empty list would else pass for an object all of whose members are absent, and
+    # cattrs would accept an empty list as an object without attributes, for example as
     # a budget of which nothing was spent yet.
     if not isinstance(row.value, Mapping):
         raise DamagedRowError(f"{row.key}: {str(row.value)[:80]} is no object")
@@ -67,10 +70,10 @@
 
 
 def from_bytes(body: bytes, as_type: type[T]) -> T:
-    """Decode compact JSON into an attrs object.
+    """Decode JSON into an attrs object.
 
     Raises:
         ValueError: The bytes are not JSON.
-        cattrs.BaseValidationError: The value does not have that form.
+        cattrs.BaseValidationError: The value does not match the type.
     """
     return from_json(json.loads(body), as_type)
--- a/ebonyhold/coordination/_configuration.py
+++ b/ebonyhold/coordination/_configuration.py
@@ -1,9 +1,8 @@
-"""Configuration versions: accepting one, adopting one, telling what happened.
+"""Configuration versions: accept and adopt them, and look up a publication's result.
 
-A version is accepted when a transaction has moved the head row on by one; that
-is the only moment that counts.  The same transaction writes a history row with
-the publication's own key, so that an operator whose answer was lost can tell
-its own success from another's.
+A version is accepted once a transaction has increased the head row's version by one.
+The same transaction writes a history row with the publication's own key, so an operator
+whose answer was lost can distinguish its own publication from another's.
 """
 
 from __future__ import annotations
@@ -33,18 +32,18 @@
 from ebonyhold.types import Tokens, WorkspaceName
 
 INITIAL_TOPUP = "initial"
-"""The key of the top-up that a new workspace gets from the document."""
+"""Key of the top-up that a new workspace gets from the configuration document."""
 
 
 @frozen
 class HeadRow:
-    """One accepted version: at ``config/head``, and for ever in its history row.
+    """One accepted version, at ``config/head`` and in its history row.
 
     Attributes:
         version: Counts the accepted versions, from 1.
-        digest: The digest of the whole document's parts.
-        manifest: SHA-256 of the object that says how to get them.
-        based_on: The version that the operator had seen.
+        digest: The digest of all parts of the document.
+        manifest: SHA-256 of the object that lists the parts.
+        based_on: The version that the operator's change is based on.
         author: The operator.
         at: When it was accepted, in seconds since the epoch.
         publication: Unique for each attempt to publish.
@@ -60,7 +59,7 @@
 
 
 class Fate(Enum):
-    """What became of a publication whose answer was lost."""
+    """The result of a publication whose answer was lost."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -69,11 +68,11 @@
 
 @frozen
 class TopUp:
-    """The first top-up of a new workspace, and its budget as read before.
+    """The first top-up of a new workspace, with its budget row as read before.
 
     Attributes:
-        workspace: Who gets it.
-        amount: How much, in tokens.
+        workspace: The workspace that gets it.
+        amount: Its size, in tokens.
         budget: The budget row as read, or None when there is none.
     """
 
@@ -91,19 +90,20 @@
     current: Row | None,
     head: HeadRow,
     topups: tuple[TopUp, ...] = (),
-    forgotten: tuple[int, ...] = (),
+    expired: tuple[int, ...] = (),
 ) -> Transaction | None:
-    """Plan to accept a version.
+    """Plan the transaction that accepts a version.
 
     Args:
         current: The head row as read.
         head: The version to accept; it is based on the one in `current`.
         topups: First top-ups of workspaces that it adds.
-        forgotten: Old versions whose history rows go.
+        expired: Old versions whose history rows are deleted.
 
     Returns:
-        The transaction, or None when the version is based on an older one: then
-        another operator was first and this one must look at what changed.
+        The transaction, or None if the version is not based on the current one.
+        Another operator has then published in between, and the changes must be
+        reviewed.
     """
     before = head_of(current)
     version = before.version if before else 0
@@ -117,7 +117,7 @@
         Put(CONFIG_HEAD, value),
         Put(config_version_key(head.version), value),
     ]
-    writes.extend(Delete(config_version_key(old)) for old in forgotten)
+    writes.extend(Delete(config_version_key(old)) for old in expired)
     filling = plan_initial_topups(topups, head.author, head.at)
     return Transaction((check, *filling.checks), (*writes, *filling.writes))
 
@@ -125,7 +125,7 @@
 def plan_initial_topups(
     topups: tuple[TopUp, ...], author: str, at: float
 ) -> Transaction:
-    """Plan the first top-ups of workspaces; committing them twice counts once."""
+    """Plan the first top-ups of workspaces; each takes effect only once."""
     checks: list[Check] = []
     writes: list[Write] = []
     for topup in topups:
@@ -155,10 +155,10 @@
 
 
 def resolve_publication(history: Row | None, publication: str) -> Fate:
-    """Tell what became of a publication, from its version's history row.
+    """Return the result of a publication, according to its version's history row.
 
-    The head alone would not do: another operator may have published the next
-    version in the meantime, and a success would look like a lost race.
+    The head row alone is not enough: if another operator has already published the next
+    version, a success would look like a lost race.
 
     Args:
         history: The history row of the version that was to be accepted.
@@ -171,10 +171,9 @@
 
 
 def may_adopt(own: int, offered: int) -> bool:
-    """Tell whether a router at one version may adopt another.
+    """Return whether a router at one version may adopt another.
 
-    A configuration never reverts: a router with an old copy, an answer that
-    was long under way, or a peer that was paused can only offer a version that
-    is not larger, and that is refused here.
+    A configuration never reverts: versions from a router with an old copy, a delayed
+    message or a peer that was paused are not larger and are refused.
     """
     return offered > own
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -1,4 +1,4 @@
-"""A grant policy for budgets that are large against requests but soon used up."""
+"""Grant policy that covers the demand during an outage of the table."""
 
 from __future__ import annotations
 
@@ -13,70 +13,70 @@
 from ebonyhold.types import Seconds, Tokens
 
 DEVIATIONS = 1.5
-"""Standard deviations of the demand that a grant covers beside its mean.
+"""Standard deviations of the demand that a grant covers in addition to its mean.
 
-Requests are few and large: a router sees some two of one workspace in an outage, and
-often four.
+Requests are few and large: during an outage a router receives about two of one
+workspace, and often four.
 """
 
 
-STOCK = 4.0
-"""A router holds at least an even share of this fraction, one in so many, of a budget.
+BASE_SHARE_DIVISOR = 4.0
+"""Each router holds at least an even share of a budget, divided by this number.
 
-It serves the first requests of a workspace that a router has not met yet, or seldom
-meets.
+This serves the first requests of a workspace at a router that has had few or none of
+its requests.
 """
 
 
 def outage_cover(view: GrantView) -> float:
-    """Return the tokens that are asked for in one outage, most of the time."""
+    """Return the tokens that cover the demand during most outages."""
     mean = view.rate * view.horizon
-    spread = math.sqrt(mean * view.typical)
+    deviation = math.sqrt(mean * view.typical)
     unspent = view.budget.prepaid - view.budget.spent if view.budget else 0
-    stock = max(0, unspent) / (STOCK * max(1, view.routers))
-    return max(mean + DEVIATIONS * spread + view.typical, stock)
+    base_share = max(0, unspent) / (BASE_SHARE_DIVISOR * max(1, view.routers))
+    return max(mean + DEVIATIONS * deviation + view.typical, base_share)
 
 
 @grant_policy("outage_cover")
 class OutageCover(AloneMixin):
-    """A grant covers the demand of one outage, and less when the budget runs dry.
+    """Sizes a grant to cover the demand of one outage, less as the budget runs out.
 
-    A router that is cut off from the table refuses what it does not hold, so each
-    holds what its own callers will ask for meanwhile.  What lies idle at one
-    router is missing at another; the level of the budget itself tells all of them
-    when that begins to matter, and then each gives back in proportion.
+    A router that cannot reach the table can only serve from the tokens it holds, so
+    each router holds the expected demand of its own callers during an outage.  Tokens
+    idle at one router are missing at another.  All routers read the budget's remaining
+    tokens: when these become scarce, each returns tokens in proportion.
     """
 
     patience: Seconds = 0.25
 
-    ample = 0.4
-    """The part of the unspent tokens that the budget itself holds while ample.
+    ample_share = 0.4
+    """The share of the unspent tokens that stays in the budget while they are ample.
 
-    Below it all grants shrink evenly.  What the budget holds serves requests at
-    routers whose grants are empty, while the table can be reached.
+    Below it, all grants shrink in proportion.  The tokens left in the budget serve
+    routers with empty grants while the table can be reached.
     """
 
-    keep_below = 0.8
-    """A new draw comes before this part of the wanted grant is used up.
+    refill_below = 0.8
+    """A grant is refilled when it falls below this share of the wanted grant.
 
-    Higher means more calls to the table, lower less cover in an outage.
+    A higher value costs more calls to the table, a lower one covers less of an outage.
     """
 
-    least_draw = 2.0
-    """A draw ahead of need brings at least so many requests of the usual size.
+    min_draw_requests = 2.0
+    """A draw ahead of need adds at least this many requests of the typical size.
 
-    A router that meets a workspace once in five seconds would else draw for each of
-    its requests, and a large fleet would spend the table's rate on it.
+    Without it, a router that gets a request of a workspace every five seconds would
+    draw for each one, and a large fleet would use up the table's rate limit.
     """
 
-    draw_always = 0.3
-    """A grant below this part of the wanted one is filled, however little that brings.
+    always_draw_below = 0.3
+    """Below this share of the wanted grant a draw is made even if it adds little.
 
-    A router that wants one request of a workspace would else never hold it.
+    A router whose wanted grant is a single request would otherwise never hold it.
     """
 
     return_above = 1.4
-    """What exceeds this many wanted grants, and one request, goes back."""
+    """Tokens above the wanted grant times this, plus one request, are returned."""
 
     def size(self, view: GrantView) -> GrantSize:
         """Draw up to the wanted grant, or return what exceeds it."""
@@ -84,41 +84,43 @@
         left = max(view.budget.remaining, 0) if view.budget else 0
         if view.need:
             return GrantSize(draw=min(view.need + wanted, left))
-        if view.available < self.low(wanted, view.typical):
+        if view.available < self.refill_level(wanted, view.typical):
             return GrantSize(draw=min(wanted - view.available, left))
-        if view.available > self.high(wanted, left, view.typical):
+        if view.available > self.return_level(wanted, left, view.typical):
             return GrantSize(give_back=view.available - wanted)
         return GrantSize()
 
-    def low(self, wanted: Tokens, typical: Tokens) -> float:
-        """Return the level of a grant below which more is drawn."""
-        worth_a_call = wanted - self.least_draw * typical
+    def refill_level(self, wanted: Tokens, typical: Tokens) -> float:
+        """Return the level of available tokens below which more are drawn."""
+        min_draw_level = wanted - self.min_draw_requests * typical
         return max(
-            self.draw_always * wanted, min(self.keep_below * wanted, worth_a_call)
+            self.always_draw_below * wanted,
+            min(self.refill_below * wanted, min_draw_level),
         )
 
-    def high(self, wanted: Tokens, left: Tokens, typical: Tokens) -> float:
-        """Return the level of a grant above which some goes back.
+    def return_level(self, wanted: Tokens, left: Tokens, typical: Tokens) -> float:
+        """Return the level of available tokens above which some are returned.
 
-        Once the budget itself cannot serve a usual request, what one router keeps
-        another refuses: 12 routers kept 5% of a spent budget, each less than a draw.
+        When the budget itself cannot serve a typical request, tokens kept at one router
+        cause refusals at another.  With the usual level, 12 routers kept 5% of a spent
+        budget, each less than a draw.
         """
         if left < typical:
             return wanted + typical / 2
         return self.return_above * wanted + typical
 
     def wanted(self, view: GrantView) -> Tokens:
-        """Return the tokens that should be available after this."""
+        """Return the tokens that should be available after the change."""
         cover = outage_cover(view)
-        return int(min(cover, self.affordable(cover, view)))
+        return int(min(cover, self.affordable_cover(cover, view)))
 
-    def affordable(self, cover: float, view: GrantView) -> float:
-        """Return the part of its cover that the budget's level allows.
+    def affordable_cover(self, cover: float, view: GrantView) -> float:
+        """Return the share of the cover that the remaining budget allows.
 
-        The level is taken as it will be after this change: cover times level.  With
-        the level before it, a router that holds most of a budget would find it empty
-        and return all, find it full and draw all, and so on, and an outage would
-        meet it with an empty grant half of the time.
+        The budget's level is computed as it will be after this change.  With the level
+        before it, a router that holds most of a budget would alternate between
+        returning all tokens to an empty budget and drawing all from a full one.  In
+        half of the outages it would then have an empty grant.
         """
         if view.budget is None:
             return cover
@@ -126,4 +128,4 @@
         if unspent <= 0:
             return 0.0
         free = max(view.budget.remaining, 0) + view.available
-        return cover * free / (unspent * self.ample + cover)
+        return cover * free / (unspent * self.ample_share + cover)
--- a/ebonyhold/coordination/_grants.py
+++ b/ebonyhold/coordination/_grants.py
@@ -1,4 +1,4 @@
-"""Grants: tokens moved from a budget to a router, and back."""
+"""Grants: changes of budget and grant rows, and a router's ledger of one grant."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Return a budget after tokens were drawn, returned or billed.
 
     Raises:
-        ValueError: More would be out than was prepaid.
+        ValueError: The draw exceeds the remaining tokens.
     """
     after = evolve(
         row,
@@ -22,7 +22,7 @@
         spent=row.spent + paid,
     )
     if drawn and after.remaining < 0:
-        raise ValueError(f"a draw of {drawn} exceeds the {row.remaining} left")
+        raise ValueError(f"a draw of {drawn} exceeds the {row.remaining} remaining")
     return after
 
 
@@ -35,7 +35,7 @@
     transferred_in: Tokens = 0,
     transferred_out: Tokens = 0,
 ) -> GrantRow:
-    """Return a grant after one change that its router asked for."""
+    """Return a grant after one change requested by its router."""
     return evolve(
         row,
         drawn=row.drawn + drawn,
@@ -49,17 +49,17 @@
 
 @define
 class GrantLedger:
-    """One router's own account of one grant, between two writes to its row.
+    """One router's ledger of one grant, between two writes of the grant's row.
 
-    While no change is in flight, the row's held tokens equal
-    ``available + held + unfiled + given - received``.
+    While no change is in flight, the tokens held according to the row equal ``available
+    + held + unfiled + given - received``.
 
     Attributes:
-        available: Tokens that a new request may hold.
-        held: Tokens held by requests that run.
+        available: Tokens that are free for new holds.
+        held: Tokens held by running requests.
         unfiled: Tokens of bills that are not in the table yet.
         given: Tokens given to other routers, not settled in the table yet.
-        received: Tokens received from other routers, not settled yet.
+        received: Tokens received from other routers, not settled in the table yet.
     """
 
     available: Tokens = 0
@@ -70,23 +70,23 @@
 
     @property
     def total(self) -> Tokens:
-        """Tokens that the grant's row should say are held."""
+        """Tokens that the grant's row should show as held."""
         return self.available + self.held + self.unfiled + self.given - self.received
 
     @property
     def empty(self) -> bool:
-        """Whether nothing would be lost by forgetting this ledger."""
+        """Whether all counters are zero, so that the ledger can be dropped."""
         return not (
             self.available or self.held or self.unfiled or self.given or self.received
         )
 
     @property
     def mine(self) -> Tokens:
-        """Tokens that this router must still file or return."""
+        """Tokens that this router must still bill or return."""
         return self.available + self.held + self.unfiled
 
     def hold(self, amount: Tokens) -> bool:
-        """Take a hold, if that much is available."""
+        """Take a hold if enough tokens are available, and return whether they were."""
         if amount > self.available:
             return False
         self.available -= amount
@@ -94,33 +94,33 @@
         return True
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End a hold: the charge waits to be filed, the rest is free again."""
+        """End a hold: the charge becomes unfiled, the rest available again."""
         self.held -= hold
         self.unfiled += charge
         self.available += hold - charge
 
     def filed(self, charge: Tokens, paid: Tokens) -> None:
-        """Note that a bill was filed; what it did not take is free again."""
+        """Record that a bill was filed; what it did not take is available again."""
         self.unfiled -= charge
         self.available += charge - paid
 
     def give(self, amount: Tokens) -> None:
-        """Take tokens out for another router."""
+        """Move available tokens to another router."""
         self.available -= amount
         self.given += amount
 
     def receive(self, amount: Tokens) -> None:
-        """Add tokens that another router gave."""
+        """Add tokens received from another router."""
         self.available += amount
         self.received += amount
 
     @property
     def spare(self) -> Tokens:
-        """Tokens that may go back to the budget.
+        """Tokens that may be returned to the budget.
 
-        Received tokens are in this grant's row only once they are settled.
-        They may be given on before that: the row is below zero then, until
-        this router or whoever recovers it settles the receipt, which both do
-        before they file or return anything.
+        Received tokens are added to this grant's row only when they are settled.  They
+        may be given to another router before that, which leaves the row below zero
+        until this router, or the one that recovers it, settles the receipt. Both do so
+        before they file bills or return tokens.
         """
         return max(self.available - self.received, 0)
--- a/ebonyhold/coordination/_heartbeats.py
+++ b/ebonyhold/coordination/_heartbeats.py
@@ -1,4 +1,4 @@
-"""The messages of the membership protocol, and its times and bounds."""
+"""The messages and parameters of the membership protocol."""
 
 from __future__ import annotations
 
@@ -12,48 +12,49 @@
 
 @frozen
 class MembershipOptions:
-    """Times and bounds of the protocol.
+    """Parameters of the membership protocol.
 
     Attributes:
-        period: From one probe to the next, in seconds.
-        answer_within: How long to wait before others are asked to try.
-        relays: How many others are asked.
-        suspicion: Length of a suspicion, in periods for each doubling of the
+        period: The time from one probe to the next, in seconds.
+        answer_within: How long to wait for an answer before relays are requested, in
+            seconds.
+        relays: How many routers are requested to relay a probe.
+        suspicion_periods: Length of a suspicion, in periods for each doubling of the
             fleet's size.
-        unlisted_factor: Multiplies that length for a router that is missing in
-            the platform's list as well.
-        recover_factor: For how many such lengths a router that is still listed
-            stays gone before others may recover it.
-        shared_part: If more than this part of the listed routers is silent at
-            once, it is taken for a partition rather than for deaths.
-        shared_patience: How long such routers stay gone before others may
-            recover them, in seconds; regions lose each other for minutes.
-        grace: How long an incarnation may be unknown here, while its row in the
-            table is open, before others may recover it, in seconds.
-        updates: The most statements in one message.
-        page: The most statements sent to a router that knows too little.
-        repeats: How often a statement is passed on, for each doubling of the
-            fleet's size.
-        forget_after: How long a gone router is kept, in seconds.
+        unlisted_factor: Multiplies that length for a router that is not in the
+            platform's list.
+        recover_factor: How long a router that is still listed must be gone before it
+            may be recovered, in lengths of a suspicion.
+        partition_share: If more than this share of the listed routers is silent at
+            once, a partition is assumed instead of separate failures.
+        partition_delay: How long a listed router must be gone before it may be
+            recovered when a partition is assumed, in seconds.  Connections between
+            regions can fail for minutes.
+        grace: How long an incarnation with an open row in the table must be unknown
+            here before it may be recovered, in seconds.
+        max_updates: The maximum number of updates in one message.
+        page_size: The maximum number of members sent to a router that lacks some.
+        repeats: How often an update is sent, for each doubling of the fleet's size.
+        forget_after: How long a gone router is kept in the view, in seconds.
     """
 
     period: Seconds = 1.0
     answer_within: Seconds = 0.4
     relays: int = 3
-    suspicion: float = 2.0
+    suspicion_periods: float = 2.0
     unlisted_factor: float = 0.3
     recover_factor: float = 2.0
-    shared_part: float = 0.1
-    shared_patience: Seconds = 300.0
+    partition_share: float = 0.1
+    partition_delay: Seconds = 300.0
     grace: Seconds = 20.0
-    updates: int = 6
-    page: int = 40
+    max_updates: int = 6
+    page_size: int = 40
     repeats: float = 2.0
     forget_after: Seconds = 600.0
 
 
 class BeatKind(Enum):
-    """What a heartbeat asks for."""
+    """The purpose of a heartbeat."""
 
     PROBE = 0
     ACK = 1
@@ -65,15 +66,15 @@
     """One heartbeat.
 
     Attributes:
-        kind: What it asks for.
-        sequence: Chosen by whoever probes; the answer carries it back.
-        updates: Statements passed on; the first is the sender's about itself.
-        target: For a relay: whom to probe.
-        address: For a relay: where it is reached.
-        after: In a probe: the sender lacks members, and wants those whose
-            identifiers follow this one; None when it lacks none.
+        kind: Its purpose.
+        sequence: Chosen by the prober; the acknowledgement returns it.
+        updates: Membership updates; the first is the sender's own.
+        target: In a relay request: the router to probe.
+        address: In a relay request: the address of that router.
+        after: In a probe: if the sender lacks members, the identifier after which the
+            page in the answer starts; otherwise None.
         known: How many present members the sender knows.
-        page_end: In an answer to that: the last identifier of the page.
+        page_end: In an answer with a page: the last identifier of the page.
     """
 
     kind: BeatKind
@@ -92,8 +93,8 @@
 
     Attributes:
         to: The incarnation, or empty when only the address is known.
-        address: Where to, ``ip:port``.
-        beat: What to send.
+        address: The address to send it to, ``ip:port``.
+        beat: The heartbeat.
     """
 
     to: RouterId
--- a/ebonyhold/coordination/_joining.py
+++ b/ebonyhold/coordination/_joining.py
@@ -1,4 +1,4 @@
-"""How a router that lacks members gets to know them, a page at a time."""
+"""How a router that lacks members requests them from its peers, in pages."""
 
 from __future__ import annotations
 
@@ -8,61 +8,61 @@
 from ebonyhold.coordination._members import MemberUpdate, MemberView
 from ebonyhold.types import RouterId, Seconds
 
-JOIN_HURRY = 0.5
-"""Multiplies the period while a router that has started lacks members."""
+JOIN_PERIOD_FACTOR = 0.5
+"""Multiplies the probe period of a newly started router that lacks members."""
 
 JOIN_PERIODS = 60
-"""For how many periods after its start a router is in that hurry."""
+"""How many periods after its start a router may probe at the shorter period."""
 
-COMPLETE = 0.9
-"""The part of the fleet that a router must know to ask for no more pages."""
+SUFFICIENT_SHARE = 0.9
+"""The share of the fleet that a router must know to stop requesting pages."""
 
 
 @define
 class Joining:
-    """The part of the fleet that one router does not know yet.
+    """State of one router's requests for members that it does not know yet.
 
     Attributes:
         view: What it knows of the others.
-        page: The most members in one answer.
-        cursor: The last identifier of the last page; the next follows it.
-        hurry_until: Until when a router that lacks members probes faster.
-        started_lately: Whether it is still in that hurry.
-        known_elsewhere: How many members the last answer said there are.
+        page_size: The maximum number of members in one answer.
+        cursor: The last identifier of the last page; the next page follows it.
+        join_until: Until when a router that lacks members probes faster.
+        is_joining: Whether it currently probes faster.
+        reported_count: The number of members that the last answer reported.
     """
 
     view: MemberView
-    page: int
+    page_size: int
     cursor: RouterId
-    hurry_until: Seconds
-    started_lately: bool = True
-    known_elsewhere: int = 0
+    join_until: Seconds
+    is_joining: bool = True
+    reported_count: int = 0
 
-    def hurry(self, now: Seconds) -> float:
-        """Return what multiplies the period."""
-        self.started_lately = now < self.hurry_until and self.lacks_members()
-        return JOIN_HURRY if self.started_lately else 1.0
+    def period_factor(self, now: Seconds) -> float:
+        """Return the factor for the probe period, and update `is_joining`."""
+        self.is_joining = now < self.join_until and self.lacks_members()
+        return JOIN_PERIOD_FACTOR if self.is_joining else 1.0
 
     def lacks_members(self) -> bool:
-        """Say whether the router knows fewer than it should.
+        """Return whether the router knows fewer members than it should.
 
-        One that has just started wants all of them.  Later a few may be missing:
-        the platform's list lags, and lists those that are gone.
+        A router that has just started needs all of them.  Later a few may be missing,
+        because the platform's list lags and still contains routers that are gone.
         """
-        expected = max(len(self.view.listed or {}), self.known_elsewhere)
-        enough = expected if self.started_lately else COMPLETE * expected
-        return self.view.present_count < enough
+        expected = max(len(self.view.listed or {}), self.reported_count)
+        sufficient = expected if self.is_joining else SUFFICIENT_SHARE * expected
+        return self.view.present_count < sufficient
 
     def page_after(self, after: RouterId) -> tuple[MemberUpdate, ...]:
-        """Return the present members that follow an identifier, round and round."""
+        """Return a page of the present members after an identifier, wrapping around."""
         present = sorted(
             (member.update for member in self.view.present()),
             key=lambda update: (update.router <= after, update.router),
         )
-        return tuple(present[: self.page])
+        return tuple(present[: self.page_size])
 
-    def turn_page(self, beat: Beat) -> None:
-        """Note what an answer says of the members that are lacking here."""
-        self.known_elsewhere = beat.known
+    def receive_page(self, beat: Beat) -> None:
+        """Record the member count and the end of the page from an answer."""
+        self.reported_count = beat.known
         if beat.page_end:
             self.cursor = beat.page_end
--- a/ebonyhold/coordination/_journal.py
+++ b/ebonyhold/coordination/_journal.py
@@ -1,4 +1,4 @@
-"""Reading and writing the journal of one incarnation."""
+"""Append to and read the journal of one incarnation."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
     segment: JournalSegment,
     settled: Sequence[int] = (),
 ) -> Transaction:
-    """Write one segment to the table, and drop those that are settled.
+    """Return the transaction that writes a segment and deletes settled ones.
 
-    The router's row is checked.  Sealing changes that row, so no segment of a
-    sealed incarnation is ever written to the table, wherever its call waited.
+    It checks the router's row.  Sealing changes that row, so no segment of a sealed
+    incarnation is written to the table, however late its call arrives.
     """
     key = segment_key(owner, number)
-    drops = tuple(Delete(segment_key(owner, old)) for old in settled)
+    deletions = tuple(Delete(segment_key(owner, old)) for old in settled)
     return Transaction(
-        (router.check, Absent(key)), (Put(key, to_json(segment)), *drops)
+        (router.check, Absent(key)), (Put(key, to_json(segment)), *deletions)
     )
 
 
 @define
 class JournalReading:
-    """What the segments of one incarnation say, both places taken together.
+    """The merged entries of one incarnation's journal, from table and object store.
 
-    The same entry may stand in both places and in any number of segments: an
-    append whose answer was lost is written again.
+    An append whose answer was lost is repeated, so the same entry may be in both places
+    and in several segments.
 
     Attributes:
         intents: By run, the attempts in the order of their dispatch.
-        outcomes: By run, how it ended.
-        given: By transfer, what left for other routers.
-        received: By transfer, what arrived from other routers.
-        sealed: Whether a seal was among the segments.
+        outcomes: By run, its outcome.
+        given: By transfer, tokens given to other routers.
+        received: By transfer, tokens received from other routers.
+        sealed: Whether there is a seal in the segments.
     """
 
     intents: dict[str, list[Intent]] = field(factory=dict)
@@ -66,12 +66,12 @@
     sealed: bool = False
 
     def add(self, entries: Iterable[JournalEntry]) -> None:
-        """Take in the entries of a segment."""
+        """Add the entries of a segment."""
         for entry in entries:
             self.add_entry(entry)
 
     def add_entry(self, entry: JournalEntry) -> None:
-        """Take in one entry."""
+        """Add one entry."""
         if isinstance(entry, Intent):
             attempts = self.intents.setdefault(run_of(entry.attempt), [])
             if entry not in attempts:
@@ -86,7 +86,7 @@
             self.sealed = True
 
     def bills(self) -> tuple[Bill, ...]:
-        """Return the bills of the runs that are known to have ended."""
+        """Return the bills of the runs that have an outcome."""
         return tuple(
             make_bill(self.intents[run][0], outcome)
             for run, outcome in self.outcomes.items()
@@ -94,7 +94,7 @@
         )
 
     def open_runs(self) -> tuple[tuple[Intent, ...], ...]:
-        """Return the attempts of each run that may have run, and has no outcome."""
+        """Return the attempts of each run that has no outcome and may have run."""
         return tuple(
             tuple(attempts)
             for run, attempts in self.intents.items()
--- a/ebonyhold/coordination/_keys.py
+++ b/ebonyhold/coordination/_keys.py
@@ -1,4 +1,4 @@
-"""The keys of the table's rows and of the objects."""
+"""Keys of the rows in the table and of the objects in the object store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 CONFIG_VERSION_PREFIX = "config/version/"
 
 SEGMENT_DIGITS = 10
-"""Enough for a segment every millisecond for a hundred days."""
+"""Enough for one segment per millisecond for a hundred days."""
 
 VERSION_DIGITS = 10
 
@@ -62,7 +62,7 @@
 
 
 def archive_key(workspace: WorkspaceName) -> str:
-    """Return the key of the sums of a workspace's deleted bills."""
+    """Return the key of the totals of a workspace's deleted bills."""
     return f"{ARCHIVE_PREFIX}{workspace}"
 
 
@@ -72,20 +72,20 @@
 
 
 def journal_prefix(router: RouterId) -> str:
-    """Return the prefix of one incarnation's journal, in either place."""
+    """Return the prefix of one incarnation's journal, in table and object store."""
     return f"journal/{router}/"
 
 
 def order_prefix() -> str:
-    """Return the prefix of all orders that were not answered yet."""
+    """Return the prefix of all unanswered orders."""
     return "order/"
 
 
 def order_key(backend: BackendName, fencing: int) -> str:
-    """Return the key of one holder's order to an engine that was not answered yet.
+    """Return the key of a lease holder's unanswered order to an engine.
 
-    Each holder writes keys of its own, so that one which was replaced cannot
-    overwrite what a later one has written.
+    The key contains the holder's fencing number, so an earlier holder cannot overwrite
+    the order of a later one.
     """
     return f"{order_prefix()}{backend}/{fencing}"
 
--- a/ebonyhold/coordination/_leases.py
+++ b/ebonyhold/coordination/_leases.py
@@ -1,10 +1,11 @@
 """Leases with fencing numbers, as transactions on one row of the table.
 
-No clocks are compared.  A lease lapses for a router when that router has seen the
-same version of the row for the whole length on its own clock, so a holder that
-renews in time keeps it whatever the clocks say.  A holder that is paused after
-its check still believes it holds: only the fencing number, checked where the
-orders arrive, or reading back and repeating where it is not, covers that.
+Clocks of different routers are never compared.  For a router, a lease has expired when
+the router has observed the same version of the row for the whole length of the lease on
+its own clock.  So a holder that renews in time keeps the lease, whatever the other
+clocks show.  A holder that is paused after its check still acts as the holder.  Where
+the receiver checks fencing numbers, it refuses such late orders.  Elsewhere the current
+holder reads back the state and repeats its own orders.
 """
 
 from __future__ import annotations
@@ -24,18 +25,18 @@
 )
 from ebonyhold.types import RouterId, Seconds
 
-MARGIN = 1.25
-"""Multiplies the length for everybody but the holder, for clocks that drift."""
+EXPIRY_FACTOR = 1.25
+"""Multiplies the length of a lease for all but its holder, for clock drift."""
 
 
 @frozen
 class LeaseRow:
-    """One lease, at ``lease/{name}``; the row stays when it is released.
+    """One lease, at ``lease/{name}``; the row is kept after a release.
 
     Attributes:
         holder: The incarnation that holds it; empty when released.
-        fencing: Raised by one with each new holder, never lowered.
-        length: For how long the holder may believe in it, in seconds.
+        fencing: The fencing number; each new holder increases it by one.
+        length: How long the holder may act without renewing it, in seconds.
     """
 
     holder: RouterId
@@ -45,7 +46,7 @@
 
 @frozen
 class LeaseSighting:
-    """A version of the row, and since when this router has seen it."""
+    """A version of the row, and when this router first read it."""
 
     version: int
     since: Seconds
@@ -53,13 +54,13 @@
 
 @frozen
 class HeldLease:
-    """What a holder knows of its lease.
+    """A lease as its holder knows it.
 
     Attributes:
-        name: Which lease.
-        row: What the table holds.
+        name: The lease's name.
+        row: The row in the table.
         version: The version of the row that the next renewal replaces.
-        until: When the holder must stop believing, on its own clock.
+        until: When the holder must stop acting, on its own clock.
     """
 
     name: str
@@ -68,17 +69,17 @@
     until: Seconds
 
     def holds(self, now: Seconds) -> bool:
-        """Say whether the holder may still act; a pause may follow at once."""
+        """Return whether the holder may still act; a pause may follow at any time."""
         return now < self.until
 
 
 @frozen
 class LeasePlan:
-    """A change of a lease that is to be committed.
+    """A planned change of a lease.
 
     Attributes:
-        transaction: What to commit.
-        outcome: What is held if it takes effect; None after a release.
+        transaction: The transaction to commit.
+        outcome: The lease held if it takes effect; None after a release.
     """
 
     transaction: Transaction
@@ -86,84 +87,86 @@
 
 
 def parse_lease(row: Row | None) -> LeaseRow | None:
-    """Return what the table holds, or None when there is no such lease yet.
+    """Return the lease in a row, or None if there is no row yet.
 
     Raises:
-        ValueError: The row has another form.
+        ValueError: The row does not hold a lease.
     """
     if row is None:
         return None
     try:
         return from_json(row.value, LeaseRow)
     except cattrs.BaseValidationError as error:
-        raise ValueError(f"{row.key} is no lease") from error
+        raise ValueError(f"{row.key} does not hold a lease") from error
 
 
 def sight_lease(
     previous: LeaseSighting | None, row: Row, now: Seconds
 ) -> LeaseSighting:
-    """Note that the row was read; the time counts from the first such reading."""
+    """Return the observation of a row, timed from the version's first reading."""
     if previous is not None and previous.version == row.version:
         return previous
     return LeaseSighting(row.version, now)
 
 
-def has_lapsed(row: Row, sighting: LeaseSighting | None, now: Seconds) -> bool:
-    """Say whether others may take the lease: it is released, or not renewed."""
+def has_expired(row: Row, observation: LeaseSighting | None, now: Seconds) -> bool:
+    """Return whether other routers may take the lease: released, or not renewed."""
     lease = parse_lease(row)
     if lease is None or not lease.holder:
         return True
-    if sighting is None or sighting.version != row.version:
+    if observation is None or observation.version != row.version:
         return False
-    return now >= sighting.since + MARGIN * lease.length
+    return now >= observation.since + EXPIRY_FACTOR * lease.length
 
 
 def plan_acquire(
     name: str,
-    me: RouterId,
+    router: RouterId,
     row: Row | None,
-    sighting: LeaseSighting | None,
+    observation: LeaseSighting | None,
     length: Seconds,
     now: Seconds,
 ) -> LeasePlan | None:
-    """Plan to take a lease, or return None while somebody else may hold it.
+    """Plan to take a lease; None while another router may hold it.
 
     Args:
-        name: Which lease.
-        me: Who wants it.
+        name: The lease's name.
+        router: The incarnation that takes it.
         row: The row as just read.
-        sighting: Since when this version of the row has been seen.
-        length: For how long to hold it, in seconds.
+        observation: Since when this version of the row has been observed.
+        length: How long to hold it, in seconds.
         now: The time on this router's clock, from before the commit is sent.
     """
     if row is None:
-        return plan_write(name, LeaseRow(me, 1, length), 0, now)
+        return plan_write(name, LeaseRow(router, 1, length), 0, now)
     lease = parse_lease(row)
-    if lease is None or not has_lapsed(row, sighting, now):
+    if lease is None or not has_expired(row, observation, now):
         return None
-    return plan_write(name, LeaseRow(me, lease.fencing + 1, length), row.version, now)
+    return plan_write(
+        name, LeaseRow(router, lease.fencing + 1, length), row.version, now
+    )
 
 
 def plan_renew(held: HeldLease, now: Seconds) -> LeasePlan:
-    """Plan to go on holding; a conflict means that it has been lost.
+    """Plan to renew a lease; a conflict means that it has been lost.
 
     Args:
-        held: What is held.
-        now: The time from before the commit is sent: counted from the answer,
-            the holder would believe longer than the others wait.
+        held: The lease.
+        now: The time from before the commit is sent.  Counted from the answer, the
+            holder's time would end later than the other routers assume.
     """
     return plan_write(held.name, held.row, held.version, now)
 
 
 def plan_release(held: HeldLease) -> LeasePlan:
-    """Plan to give the lease up, so that the next holder need not wait."""
+    """Plan to release a lease, so that the next holder need not wait."""
     row = evolve(held.row, holder="")
     transaction = plan_write(held.name, row, held.version, 0.0).transaction
     return LeasePlan(transaction, None)
 
 
 def plan_write(name: str, row: LeaseRow, version: int, now: Seconds) -> LeasePlan:
-    """Plan one write of the row, on the version that was read; 0 for none."""
+    """Plan one write of the row at the version that was read; 0 if there is no row."""
     key = lease_key(name)
     check: Check = AtVersion(key, version) if version else Absent(key)
     transaction = Transaction((check,), (Put(key, to_json(row)),))
@@ -171,11 +174,10 @@
 
 
 def resolve_lease(wanted: LeasePlan, row: Row | None) -> HeldLease | None:
-    """Find out by reading back whether a plan took effect whose answer was lost.
+    """Return the lease if the row read back shows that a plan took effect.
 
-    The version and the content must both be those that were planned: another
-    router's write of the same version differs in its holder, and an earlier
-    life of this router had another name.
+    Both the version and the content must match the plan.  A write of the same version
+    by another router, or by an earlier incarnation of this one, names another holder.
     """
     outcome = wanted.outcome
     if outcome is None or row is None or row.version != outcome.version:
--- a/ebonyhold/coordination/_members.py
+++ b/ebonyhold/coordination/_members.py
@@ -1,7 +1,7 @@
-"""The membership view of one router, and the rule that merges two views.
+"""One router's view of the membership, and the rule that merges two views.
 
-The view is a hint.  Nothing that must be safe rests on it: a router that is
-wrongly called gone may be sealed, and then it only takes a new incarnation.
+The view is only a hint and no safety property depends on it: a router that is wrongly
+declared gone may be sealed and then starts a new incarnation.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from ebonyhold.types import RouterId, Seconds
 
 FINAL_REVISION = 2**53
-"""The revision of an incarnation that another one replaced; nothing refutes it."""
+"""The revision of an incarnation that has been replaced; it can't be refuted."""
 
 
 class MemberStatus(Enum):
-    """What is believed of a router; the larger value wins at the same revision."""
+    """The assumed status of a router; at the same revision the larger value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,15 +29,15 @@
 
 @frozen
 class MemberUpdate:
-    """One statement about one incarnation, as routers pass it on.
+    """An update about one incarnation, as routers gossip it.
 
     Attributes:
         router: The incarnation.
-        address: Where its peers reach it, ``ip:port``.
+        address: Its address for its peers, ``ip:port``.
         domain: Its failure domain.
-        status: What is believed.
-        revision: Raised only by the router itself, to refute what is said of it.
-        started: When the incarnation began, in milliseconds since the epoch; it
+        status: Its assumed status.
+        revision: Increased only by the router itself, to refute an update.
+        started: When the incarnation started, in milliseconds since the epoch; it
             orders the incarnations of one name.
     """
 
@@ -50,12 +50,12 @@
 
     @property
     def name(self) -> str:
-        """Return the VM's name, which the next incarnation will have too."""
+        """The VM's name, which the next incarnation also has."""
         return self.router.rpartition(".")[0]
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return what decides which of two statements holds."""
+        """Sort key: of two updates about an incarnation the larger one is valid."""
         return (self.revision, self.status.value)
 
 
@@ -65,7 +65,7 @@
 
     Attributes:
         name: The VM's name.
-        address: Where its peers reach it, ``ip:port``.
+        address: Its address for its peers, ``ip:port``.
         domain: Its failure domain.
         leaving: Whether the platform is about to stop it.
     """
@@ -81,12 +81,13 @@
     """What this router knows of another incarnation.
 
     Attributes:
-        update: The statement that holds.
-        heard_at: When it last spoke to this router itself, or None.
-        silent_at: Since when it is believed silent, or None.
-        gone_at: When it was called gone here, or None.
-        unmet: Whether only its row in the table tells of it.  No router is known to
-            have heard from it, so it is probed but not turned to.
+        update: The update that is currently valid.
+        heard_at: When its last message to this router arrived, or None.
+        silent_at: Since when it has been silent, or None.
+        gone_at: When it was declared gone here, or None.
+        unmet: Whether it is known only from its row in the table.  As far as is known,
+            no router has received a message from it.  It is probed but gets no other
+            messages.
     """
 
     update: MemberUpdate
@@ -97,38 +98,39 @@
 
     @property
     def present(self) -> bool:
-        """Say whether it is believed to run, if perhaps slowly."""
+        """Whether it is assumed to run, even if it is suspect."""
         return self.update.status is not MemberStatus.GONE
 
     @property
     def counted(self) -> bool:
-        """Say whether it is one of the present members that somebody has met.
+        """Whether it is present and at least one router has received a message from it.
 
-        A router that is cut off reads the rows of the whole fleet; if they counted,
-        it would take itself for connected and recover all the others.
+        A router that is cut off reads the rows of the whole fleet.  If those counted,
+        it would consider itself connected and recover all the other routers.
         """
         return self.present and not self.unmet
 
 
 StatusChange = Callable[["Member", MemberStatus | None], None]
-"""Is told of a member and what was believed of it before; None for a new one."""
+"""Callback for a status change: the member and its previous status, None if new."""
 
 
 def ignore_change(member: Member, before: MemberStatus | None) -> None:
-    """Take no note of a change."""
+    """Ignore a change of status."""
 
 
 @define
 class MemberView:
-    """All that is known of the other routers.
+    """What one router knows of all the others.
 
     Attributes:
-        on_change: Is told whenever the status of a member changes.
-        members: By incarnation.
+        on_change: Called when the status of a member changes.
+        members: The members by incarnation.
         by_name: The incarnations of each name.
-        by_address: The newest incarnation at each address.
+        by_address: The latest incarnation at each address.
         listed: The platform's list by name, as last read; None before.
-        present_count: How many members are not gone, the unmet left out.
+        present_count: The number of members that are not gone, without unconfirmed
+            ones.
     """
 
     on_change: StatusChange = ignore_change
@@ -139,20 +141,20 @@
     present_count: int = 0
 
     def present(self) -> list[Member]:
-        """Return the members that are not gone, the unmet left out."""
+        """Return the members that are not gone, without unconfirmed ones."""
         return [member for member in self.members.values() if member.counted]
 
     def is_superseded(self, member: Member) -> bool:
-        """Say whether a later incarnation of the same name is known."""
+        """Return whether a later incarnation of the same name is known."""
         started = member.update.started
         same = self.by_name.get(member.update.name, [])
         return any(other.update.started > started for other in same)
 
     def merge(self, update: MemberUpdate, now: Seconds) -> bool:
-        """Take in one statement; return whether it was news.
+        """Merge one update; return whether it changed the view.
 
-        The rule is commutative, associative and idempotent, so the order in
-        which statements arrive, and how often, does not matter.
+        The rule is commutative, associative and idempotent, so the order in which
+        updates arrive, and how often, does not matter.
         """
         member = self.members.get(update.router)
         if member is not None and update.order <= member.update.order:
@@ -163,24 +165,25 @@
         self.change(member, update, now)
         if before is not update.status:
             self.on_change(member, before)
-        self.replace_older(update, now)
+        self.supersede_older(update, now)
         return True
 
-    def add_unmet(self, update: MemberUpdate, now: Seconds) -> None:
-        """Begin to know an incarnation of which only its row in the table tells.
+    def add_unconfirmed(self, update: MemberUpdate, now: Seconds) -> None:
+        """Add an incarnation that is known only from its row in the table.
 
-        One of a name that is present is left out: its predecessor may still be the
-        one that answers, and a statement of its own will say which is the later.
+        It is ignored if another incarnation of its name is present: that one may still
+        be the one that answers.  An update from the router itself decides which is
+        later.
         """
         same = self.by_name.get(update.name, [])
         if update.router in self.members or any(other.present for other in same):
             return
         member = self.add(Member(update, unmet=True))
         self.on_change(member, None)
-        self.replace_older(update, now)
+        self.supersede_older(update, now)
 
-    def meet(self, member: Member) -> None:
-        """Note that somebody has met a member."""
+    def confirm(self, member: Member) -> None:
+        """Record that some router has received a message from a member."""
         if not member.unmet:
             return
         member.unmet = False
@@ -188,7 +191,7 @@
         self.on_change(member, member.update.status)
 
     def add(self, member: Member) -> Member:
-        """Begin to know an incarnation."""
+        """Add an incarnation."""
         update = member.update
         self.members[update.router] = member
         self.by_name.setdefault(update.name, []).append(member)
@@ -199,7 +202,7 @@
         return member
 
     def change(self, member: Member, update: MemberUpdate, now: Seconds) -> None:
-        """Set what holds of a member, and its times to fit."""
+        """Store the valid update of a member, and adjust its times."""
         self.present_count -= member.counted
         member.update = update
         self.present_count += member.counted
@@ -210,17 +213,17 @@
         gone_at = now if member.gone_at is None else member.gone_at
         member.gone_at = None if member.present else gone_at
 
-    def replace_older(self, update: MemberUpdate, now: Seconds) -> None:
-        """Call the older incarnations of a name gone for ever.
+    def supersede_older(self, update: MemberUpdate, now: Seconds) -> None:
+        """Declare the older incarnations of a name gone permanently.
 
-        A delayed message of the incarnation before must not call its successor
-        gone, which would show as a healthy router being sealed.  The start
-        times order the two whatever the order of arrival.
+        A delayed update about a previous incarnation must not declare its successor
+        gone, or a healthy router would be sealed.  The start times order the
+        incarnations whatever the order of arrival.
         """
         for member in self.by_name[update.name]:
             if self.is_superseded(member):
                 before = member.update.status
-                self.change(member, final(member.update), now)
+                self.change(member, final_update(member.update), now)
                 if before is not MemberStatus.GONE:
                     self.on_change(member, before)
 
@@ -236,8 +239,8 @@
             del self.by_address[update.address]
 
 
-def final(update: MemberUpdate) -> MemberUpdate:
-    """Return the statement that this incarnation is gone and cannot come back."""
+def final_update(update: MemberUpdate) -> MemberUpdate:
+    """Return the update that declares an incarnation gone permanently."""
     return MemberUpdate(
         update.router,
         update.address,
@@ -249,18 +252,18 @@
 
 
 def responsible(job: str, survivors: Iterable[RouterId]) -> RouterId | None:
-    """Choose who does a job, the same choice for all who see the same survivors.
+    """Choose the router that does a job; routers with equal views choose the same one.
 
-    Rendezvous hashing: when a survivor goes, only its own jobs move.
+    It uses rendezvous hashing: when a router leaves, only its own jobs move.
 
     >>> responsible("recover a.1", ["b.1", "c.1", "d.1"])
     'b.1'
     >>> responsible("recover a.1", ["b.1", "c.1"])
     'b.1'
     """
-    return max(survivors, key=lambda router: weight(job, router), default=None)
+    return max(survivors, key=lambda router: hash_rank(job, router), default=None)
 
 
-def weight(job: str, router: RouterId) -> bytes:
-    """Return the rank of a router for a job, as bytes to compare."""
+def hash_rank(job: str, router: RouterId) -> bytes:
+    """Return the hash that ranks a router for a job."""
     return hashlib.blake2b(f"{job}\n{router}".encode(), digest_size=16).digest()
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -1,10 +1,10 @@
-"""Failure detection and dissemination: probes, relays, and gossip on top of them.
+"""Failure detection and dissemination: probes, relays and gossip.
 
-After SWIM (Das et al., 2002): each router probes one other a period, asks a few
-to try for it when there is no answer, then tells of a suspicion that the suspect
-can refute.  What a router sends does not grow with the fleet.  It is a state
-machine without I/O: the clock, the random numbers and the messages come from
-outside.
+The protocol follows SWIM (Das et al., 2002).  In each period a router probes one other
+router.  If there is no answer, it requests a few routers to relay the probe, and then
+spreads a suspicion that the suspect can refute.  What a router sends does not grow with
+the fleet.  This is a state machine without I/O: the clock, the random numbers and the
+messages come from outside.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
     MemberView,
 )
 from ebonyhold.coordination._probes import Probe, RelayedProbe
-from ebonyhold.coordination._recoverable import RecoveryJudge
+from ebonyhold.coordination._recoverable import RecoveryEligibility
 from ebonyhold.coordination._rumours import Rumours
 from ebonyhold.coordination._suspicions import Suspicions
 from ebonyhold.types import RouterId, Seconds
 
 
 class Membership:
-    """One router's part in the membership protocol.
+    """One router's state machine of the membership protocol.
 
     Attributes:
-        me: The router's own statement.
+        me: The router's update about itself.
         view: What it knows of the others.
-        options: Times and bounds.
-        wake_at: When `tick` wants to be called next.
+        options: The protocol's parameters.
+        wake_at: When `tick` must be called next.
         suspected: The suspicions that this router holds.
-        pauses: Counts the pauses of this process that were noticed.
+        pauses: Counts the detected pauses of this process.
     """
 
     def __init__(
@@ -60,29 +60,32 @@
         self.rng = rng
         self.options = options or MembershipOptions()
         self.view = MemberView()
-        self.judge = RecoveryJudge(me, self.view, self.options)
+        self.judge = RecoveryEligibility(me, self.view, self.options)
         self.seeds = set(seeds) - {me.address}
         self.wake_at = now + rng.random() * self.options.period
         self.probe: Probe | None = None
         self.next_probe_at = self.wake_at
         self.sequence = 0
-        self.round: list[str] = []
-        self.rumours = Rumours(self.options.updates, self.options.repeats)
+        self.probe_queue: list[str] = []
+        self.rumours = Rumours(self.options.max_updates, self.options.repeats)
         self.relayed: dict[int, RelayedProbe] = {}
-        hurry_until = now + JOIN_PERIODS * self.options.period
-        self.joining = Joining(self.view, self.options.page, me.router, hurry_until)
+        join_until = now + JOIN_PERIODS * self.options.period
+        self.joining = Joining(self.view, self.options.page_size, me.router, join_until)
         self.suspected = Suspicions(self.view, self.judge, self.options)
         self.pauses = 0
 
-    # What the router asks.
+    # Queries of the router.
 
     @property
     def suspicions(self) -> int:
-        """Return how many suspicions were raised here."""
+        """The number of suspicions raised by this router."""
         return self.suspected.raised
 
     def alive(self) -> tuple[RouterId, ...]:
-        """Return the routers to turn to: met, and not suspect, leaving or gone."""
+        """Return the routers that requests may be sent to.
+
+        They have been in contact with a router and are not suspect, leaving or gone.
+        """
         return tuple(
             member.update.router
             for member in self.view.members.values()
@@ -90,11 +93,11 @@
         )
 
     def status_of(self, member: Member) -> MemberStatus:
-        """Return a member's status, with what the platform says of it.
+        """Return a member's status, combined with its entry in the platform's list.
 
-        Each router reads the list itself, so what it says is not passed on: a
-        lagging entry of the incarnation before would else be refuted and stated
-        again without end.
+        Each router reads the list itself, so the entry is not gossiped: an outdated
+        entry of the previous incarnation would otherwise be refuted and repeated
+        without end.
         """
         entry = (self.view.listed or {}).get(member.update.name)
         status = member.update.status
@@ -103,41 +106,42 @@
         return status
 
     def gone(self, now: Seconds) -> tuple[RouterId, ...]:
-        """Return the incarnations that others may recover."""
-        return self.judge.gone(now)
+        """Return the incarnations that may be recovered."""
+        return self.judge.recoverable(now)
 
     def may_recover(self, router: RouterId, unknown_for: Seconds, now: Seconds) -> bool:
-        """Say whether an incarnation with an open row may be recovered.
+        """Return whether an incarnation with an open row may be recovered.
 
         Args:
             router: The incarnation.
-            unknown_for: For how long its row has been seen while the incarnation
-                was not alive here, in seconds.
+            unknown_for: How long its row has been observed while the incarnation was
+                not alive here, in seconds.
             now: The time, in seconds.
         """
         return self.judge.may_recover(router, unknown_for, now)
 
-    # What the platform says.
+    # Input from the platform.
 
     def read_list(self, listed: Iterable[Listed]) -> None:
-        """Take in the platform's list, which lags."""
+        """Store the platform's membership list, which may be outdated."""
         entries = {entry.name: entry for entry in listed}
         entries.pop(self.me.name, None)
         self.view.listed = entries
 
-    # What the table says.
+    # Input from the table.
 
     def read_row(self, update: MemberUpdate, now: Seconds) -> None:
-        """Take in the open row of an incarnation in the table.
+        """Add an incarnation that has an open row in the table.
 
-        A router may serve and die before any other has heard of it.  From here on
-        it is probed like all members, so that its silence is noticed as theirs is.
+        A router may start, serve and crash before any other has received a message from
+        it.  Once its row is read, it is probed like all members, so its failure is
+        detected in the same way.
         """
         if update.name != self.me.name:
-            self.view.add_unmet(update, now)
+            self.view.add_unconfirmed(update, now)
 
     def introduce(self) -> list[Outgoing]:
-        """Return probes that make this router known to a few of those in the table."""
+        """Return probes that announce this router to a few of those in the table."""
         addresses = {
             member.update.address
             for member in self.view.members.values()
@@ -147,10 +151,10 @@
         chosen = self.rng.sample(sorted(addresses), count)
         return [self.send_probe("", address) for address in chosen]
 
-    # What the router itself does.
+    # Changes of the router itself.
 
     def become(self, router: RouterId, started: int) -> None:
-        """Go on as a new incarnation of the same name."""
+        """Continue as a new incarnation of the same name."""
         self.me = evolve(
             self.me,
             router=router,
@@ -158,11 +162,11 @@
             revision=0,
             status=MemberStatus.ALIVE,
         )
-        self.judge.me = self.me
+        self.judge.own_update = self.me
         self.spread(self.me)
 
     def leave(self) -> list[Outgoing]:
-        """Say that this router is stopping; return what tells a few peers at once."""
+        """Mark this router as leaving; return the probes that notify a few peers."""
         revision = self.me.revision + 1
         self.me = evolve(self.me, status=MemberStatus.LEAVING, revision=revision)
         self.spread(self.me)
@@ -174,31 +178,31 @@
     # Time.
 
     def tick(self, now: Seconds) -> list[Outgoing]:
-        """Do what is due; return what to send."""
+        """Run the steps that are due; return the heartbeats to send."""
         self.notice_pause(now)
         out: list[Outgoing] = []
         if now >= self.next_probe_at:
             self.end_probe(now)
             self.expire(now)
             out += self.start_probe()
-            self.next_probe_at = now + self.wait(now)
+            self.next_probe_at = now + self.probe_interval(now)
             self.wake_at = min(now + self.options.answer_within, self.next_probe_at)
         else:
             out += self.ask_relays(now)
             self.wake_at = self.next_probe_at
         return out
 
-    def wait(self, now: Seconds) -> Seconds:
-        """Return the time to the next probe."""
+    def probe_interval(self, now: Seconds) -> Seconds:
+        """Return the time to the next probe, with random jitter."""
         spread = 0.9 + 0.2 * self.rng.random()
-        return self.options.period * spread * self.joining.hurry(now)
+        return self.options.period * spread * self.joining.period_factor(now)
 
     def notice_pause(self, now: Seconds) -> None:
-        """Trust no silence from a time when this process itself did not run.
+        """Detect a pause of this process, and ignore silence during it.
 
-        After a pause every answer looks late, and a whole fleet would be
-        suspected at once.  The probe in progress is dropped and all suspicions
-        are moved by the time lost, so a pause here convicts nobody.
+        After a pause every answer looks late, and the whole fleet would be suspected at
+        once.  So the current probe is dropped and all suspicions are extended by the
+        length of the pause.
         """
         late = now - self.wake_at
         if late < self.options.period / 2:
@@ -208,17 +212,17 @@
         self.suspected.postpone(late)
 
     def end_probe(self, now: Seconds) -> None:
-        """Suspect the target of the last probe, if nobody got an answer."""
+        """Suspect the target of the last probe if neither it nor a relay answered."""
         probe = self.probe
         self.probe = None
         if probe is None:
             return
-        statement = self.suspected.raise_against(probe.target, now)
-        if statement is not None:
-            self.learn(statement, now)
+        update = self.suspected.suspect(probe.target, now)
+        if update is not None:
+            self.learn(update, now)
 
     def expire(self, now: Seconds) -> None:
-        """End the suspicions, and the probes for others, whose time has run out."""
+        """End expired suspicions and relayed probes."""
         for gone in self.suspected.expire(now):
             self.learn(gone, now)
         for sequence, relayed in list(self.relayed.items()):
@@ -226,7 +230,7 @@
                 del self.relayed[sequence]
 
     def start_probe(self) -> list[Outgoing]:
-        """Probe the next router of a shuffled round."""
+        """Return a probe of the next router in the shuffled round."""
         address = self.next_address()
         if address is None:
             return []
@@ -234,22 +238,23 @@
         router = "" if member is None else member.update.router
         self.sequence += 1
         self.probe = Probe(router, address, self.sequence)
-        # The successor of an unmet router may be what answers at its address.
+        # A successor of an unconfirmed router may answer at the same address, so the
+        # probe is not addressed to one incarnation.
         receiver = "" if member is None or member.unmet else router
         return [self.make_probe(receiver, address, self.sequence)]
 
     def next_address(self) -> str | None:
-        """Return whom to probe next: each once a round, in random order."""
-        if not self.round:
-            self.round = self.addresses()
-            self.rng.shuffle(self.round)
-        return self.round.pop() if self.round else None
+        """Return the address to probe next: each once per round, in random order."""
+        if not self.probe_queue:
+            self.probe_queue = self.addresses()
+            self.rng.shuffle(self.probe_queue)
+        return self.probe_queue.pop() if self.probe_queue else None
 
     def addresses(self) -> list[str]:
-        """Return whom to probe in a round.
+        """Return the addresses to probe in a round.
 
-        Those that are gone are among them: after a partition nobody else would
-        find out that they are back.
+        Routers that are gone are included: otherwise their return would not be detected
+        after a partition.
         """
         found = {entry.address for entry in (self.view.listed or {}).values()}
         known = {
@@ -260,7 +265,7 @@
         return sorted((found | known | self.seeds) - {self.me.address})
 
     def ask_relays(self, now: Seconds) -> list[Outgoing]:
-        """Ask others to try, when the probe has had no answer yet."""
+        """Return relay requests if the current probe is still unanswered."""
         probe = self.probe
         if probe is None or probe.relayed or not probe.target:
             return []
@@ -277,32 +282,32 @@
     def receive(
         self, sender: RouterId, beat: Beat, now: Seconds, *, fresh: bool = True
     ) -> list[Outgoing]:
-        """Take in a heartbeat; return what to send.
+        """Handle a heartbeat; return the heartbeats to send.
 
         Args:
             sender: The incarnation that sent it, as the envelope proves.
-            beat: What it sent.
+            beat: The heartbeat.
             now: The time, in seconds.
-            fresh: Whether it was addressed to this very incarnation.  Only then
-                can it not be a recording from before this one began, and counts
-                as a sign of life.
+            fresh: Whether it was addressed to this incarnation.  Otherwise it may be a
+                replay from before this incarnation started, and is no evidence that the
+                sender is alive.
         """
         for update in beat.updates:
-            self.hear_of(update, now)
+            self.receive_update(update, now)
         member = self.view.members.get(sender)
         if member is None:
             return []
-        self.view.meet(member)
+        self.view.confirm(member)
         if fresh:
             member.heard_at = now
         if beat.kind is BeatKind.PROBE:
             return [self.answer_probe(member.update, beat)]
         if beat.kind is BeatKind.RELAY:
             return [self.start_relay(member.update, beat, now)]
-        return self.take_ack(beat)
+        return self.receive_ack(beat)
 
     def answer_probe(self, prober: MemberUpdate, beat: Beat) -> Outgoing:
-        """Acknowledge a probe, with a page of members for whoever lacks them."""
+        """Acknowledge a probe, with a page of members if the prober lacks some."""
         ack = self.make_beat(BeatKind.ACK, beat.sequence, prober.router)
         if beat.after is not None:
             page = self.joining.page_after(beat.after)
@@ -311,7 +316,7 @@
         return Outgoing(prober.router, prober.address, ack)
 
     def start_relay(self, origin: MemberUpdate, beat: Beat, now: Seconds) -> Outgoing:
-        """Probe somebody for another router."""
+        """Return a probe of another router, on behalf of the origin."""
         self.sequence += 1
         until = now + self.options.period
         self.relayed[self.sequence] = RelayedProbe(
@@ -319,30 +324,30 @@
         )
         return self.make_probe(beat.target, beat.address, self.sequence)
 
-    def take_ack(self, beat: Beat) -> list[Outgoing]:
-        """End the probe that was answered, or pass the answer on."""
+    def receive_ack(self, beat: Beat) -> list[Outgoing]:
+        """End the probe that was answered, or forward the answer of a relayed probe."""
         relayed = self.relayed.pop(beat.sequence, None)
         if relayed is not None:
             ack = self.make_beat(BeatKind.ACK, relayed.origin_sequence, relayed.origin)
             return [Outgoing(relayed.origin, relayed.origin_address, ack)]
         if self.probe is not None and self.probe.sequence == beat.sequence:
             self.probe = None
-        self.joining.turn_page(beat)
+        self.joining.receive_page(beat)
         return []
 
-    # Statements.
+    # Membership updates.
 
-    def hear_of(self, update: MemberUpdate, now: Seconds) -> None:
-        """Take in a statement of another router; refute one about this router."""
+    def receive_update(self, update: MemberUpdate, now: Seconds) -> None:
+        """Handle an update from a peer; refute a false one about this router."""
         if update.router == self.me.router:
             self.refute(update)
             return
         self.learn(update, now)
         if update.status is MemberStatus.ALIVE:
-            self.view.meet(self.view.members[update.router])
+            self.view.confirm(self.view.members[update.router])
 
     def refute(self, update: MemberUpdate) -> None:
-        """Contradict a statement about this router that is not true."""
+        """Refute a false update about this router with a higher revision."""
         if update.revision >= FINAL_REVISION:
             return
         if update.status is self.me.status or update.order <= self.me.order:
@@ -351,12 +356,12 @@
         self.spread(self.me)
 
     def learn(self, update: MemberUpdate, now: Seconds) -> None:
-        """Take in a statement and pass it on, if it is news."""
+        """Merge an update, and gossip it if it changed the view."""
         if self.view.merge(update, now):
             self.spread(update)
 
     def spread(self, update: MemberUpdate) -> None:
-        """Pass a statement on with the next messages."""
+        """Queue an update to be sent with the next messages."""
         self.rumours.add(update)
 
     def make_probe(self, to: RouterId, address: str, sequence: int) -> Outgoing:
@@ -367,26 +372,26 @@
         return Outgoing(to, address, evolve(beat, after=after))
 
     def send_probe(self, to: RouterId, address: str) -> Outgoing:
-        """Return a probe outside the usual round, whose answer is not awaited."""
+        """Return a probe outside the usual round; its answer is not awaited."""
         self.sequence += 1
         return self.make_probe(to, address, self.sequence)
 
     def make_beat(self, kind: BeatKind, sequence: int, to: RouterId) -> Beat:
-        """Return a heartbeat with the statements that are due."""
+        """Return a heartbeat with the updates that are due."""
         known = self.view.present_count
-        rumours = self.rumours.take(to, known)
-        updates = (self.me, *self.about(to), *rumours)
+        rumours = self.rumours.next_updates(to, known)
+        updates = (self.me, *self.update_about(to), *rumours)
         return Beat(kind, sequence, updates, known=known)
 
-    def about(self, to: RouterId) -> tuple[MemberUpdate, ...]:
-        """Return what is said of the receiver, if it should refute it."""
+    def update_about(self, to: RouterId) -> tuple[MemberUpdate, ...]:
+        """Return the update about a receiver that is not alive, for it to refute."""
         member = self.view.members.get(to)
         if member is None or member.update.status is MemberStatus.ALIVE:
             return ()
         return (member.update,)
 
     def sample(self, count: int, without: RouterId) -> list[Member]:
-        """Return a few random members that are believed alive."""
+        """Return a few random members with status alive."""
         alive = [
             member
             for member in self.view.present()
--- a/ebonyhold/coordination/_operations.py
+++ b/ebonyhold/coordination/_operations.py
@@ -1,4 +1,4 @@
-"""What operators do with budgets: top-ups and refunds, each by its own key."""
+"""Operators' changes: top-ups, refunds, decisions on unknown outcomes, archiving."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 
 def plan_topup(
-    topup: Seen[TopUpRow], budget: Seen[BudgetRow], wish: TopUpRow
+    topup: Seen[TopUpRow], budget: Seen[BudgetRow], requested: TopUpRow
 ) -> Transaction | None:
-    """Add prepaid tokens; None when this key has done so before.
+    """Plan the addition of prepaid tokens; None if this key has already added them.
 
     Raises:
-        ValueError: The amount is not above zero, or the key was used for another.
+        ValueError: The amount is not above zero, or the key was used for another one.
     """
-    if wish.amount <= 0:
-        raise ValueError(f"a top-up of {wish.amount} tokens")
+    if requested.amount <= 0:
+        raise ValueError(f"a top-up of {requested.amount} tokens")
     if topup.value is not None:
-        if topup.value.amount != wish.amount:
+        if topup.value.amount != requested.amount:
             raise ValueError(f"{topup.key} was for {topup.value.amount} tokens")
         return None
     row = budget.value or BudgetRow()
-    after = evolve(row, prepaid=row.prepaid + wish.amount)
+    after = evolve(row, prepaid=row.prepaid + requested.amount)
     return Transaction(
-        (topup.check, budget.check), (topup.put(wish), budget.put(after))
+        (topup.check, budget.check), (topup.put(requested), budget.put(after))
     )
 
 
@@ -43,40 +43,40 @@
     refund: Seen[RefundRow],
     budget: Seen[BudgetRow],
     request: Seen[RequestRow],
-    wish: RefundRow,
+    requested: RefundRow,
 ) -> Transaction | None:
-    """Give back a part of one bill; None when this key has done so before.
+    """Plan the refund of a part of one bill; None if this key has already refunded it.
 
     Raises:
-        ValueError: There is no such bill, the amount exceeds what is left of it,
-            or the key was used for another refund.
+        ValueError: There is no such bill, the amount exceeds what is left of it, or the
+            key was used for another refund.
     """
     if refund.value is not None:
-        same = evolve(refund.value, operator=wish.operator, at=wish.at)
-        if same != wish:
+        same = evolve(refund.value, operator=requested.operator, at=requested.at)
+        if same != requested:
             raise ValueError(f"{refund.key} was for another refund")
         return None
     bill = request.value
     if bill is None or budget.value is None or not bill.filed_at:
         raise ValueError(f"{request.key} is no bill")
     left = bill.charge - bill.refunded
-    if not 0 < wish.amount <= left:
-        raise ValueError(f"a refund of {wish.amount} of the {left} tokens left")
-    after = evolve(budget.value, spent=budget.value.spent - wish.amount)
-    reduced = evolve(bill, refunded=bill.refunded + wish.amount)
+    if not 0 < requested.amount <= left:
+        raise ValueError(f"a refund of {requested.amount} of the {left} tokens left")
+    after = evolve(budget.value, spent=budget.value.spent - requested.amount)
+    reduced = evolve(bill, refunded=bill.refunded + requested.amount)
     return Transaction(
         (refund.check, budget.check, request.check),
-        (refund.put(wish), budget.put(after), request.put(reduced)),
+        (refund.put(requested), budget.put(after), request.put(reduced)),
     )
 
 
 def plan_ruling(
     request: Seen[RequestRow], budget: Seen[BudgetRow], *, ran: bool
 ) -> Transaction | None:
-    """Settle a request whose outcome is unknown, on an operator's word.
+    """Plan to settle a request of unknown outcome, as an operator decided.
 
-    A request that did not run is charged nothing, and may run again by its key;
-    one that did keeps its charge.  None when it has been settled.
+    A request that did not run is not charged and may run again under its key; one that
+    ran keeps its charge.  None if it has already been settled like this.
 
     Raises:
         ValueError: There is no such request, or its outcome is not unknown.
@@ -84,29 +84,29 @@
     row = request.value
     if row is None or budget.value is None:
         raise ValueError(f"{request.key} is no request")
-    ruled = RequestState.COMPLETE if ran else RequestState.NOT_RUN
-    if row.state is ruled:
+    decided = RequestState.COMPLETE if ran else RequestState.NOT_RUN
+    if row.state is decided:
         return None
     if row.state is not RequestState.UNKNOWN:
         raise ValueError(f"{request.key} is {row.state.value}, not unknown")
     if ran:
-        return Transaction((request.check,), (request.put(evolve(row, state=ruled)),))
+        return Transaction((request.check,), (request.put(evolve(row, state=decided)),))
     if row.refunded:
         raise ValueError(f"{request.key} was refunded")
-    freed = evolve(budget.value, spent=budget.value.spent - row.charge)
-    after = evolve(row, state=ruled, charge=0)
+    reduced_budget = evolve(budget.value, spent=budget.value.spent - row.charge)
+    after = evolve(row, state=decided, charge=0)
     return Transaction(
-        (request.check, budget.check), (request.put(after), budget.put(freed))
+        (request.check, budget.check), (request.put(after), budget.put(reduced_budget))
     )
 
 
 def plan_archive(
     archive: Seen[ArchiveRow], requests: Sequence[Seen[RequestRow]], before: float
 ) -> Transaction | None:
-    """Delete old bills of one workspace and keep their sums.
+    """Plan to delete old bills of one workspace and keep their totals.
 
-    The sums are what lets the budget be reconciled afterwards.  A claim that
-    still runs is never deleted.  None when no row is old enough.
+    The budget is reconciled with these totals afterwards.  The row of a running request
+    is never deleted.  None if no row is old enough.
     """
     old = [one for one in requests if _expired(one.value, before)]
     if not old:
--- a/ebonyhold/coordination/_orders.py
+++ b/ebonyhold/coordination/_orders.py
@@ -1,19 +1,19 @@
-"""Which engine is ordered to load or drop which model, without flapping.
-
-One router at a time decides, under a lease with a fencing number.  Engines that
-check the number refuse an order of an earlier holder.  Others obey whoever
-speaks last, so a holder that was paused between its check and its send may be
-obeyed much later.  Nothing can stop that order; what is done instead:
-
-- Loading is harmless when it comes late.  Dropping is what may hurt, so it is
-  written down in the table before it is sent, and struck out once answered.
-- A drop that was written down and not answered may still happen at any time.
-  Whoever holds the lease later does not count on that engine for that model.
-  Where the engine checks numbers, a load with the later number ends the doubt:
-  from then on the engine refuses the drop.  Elsewhere it ends after `doubt_for`;
-  a drop that comes later still is no worse than an engine that restarts empty.
-- Orders follow from what engines report, over and over; a late order that took
-  effect shows in the next report and is made good by the next order.
+"""Placement of models: which engine loads or unloads which model, without flapping.
+
+One router at a time decides, under a lease with a fencing number.  Engines that check
+the number refuse an order of an earlier holder.  Other engines execute every order.  A
+holder that was paused between its check of the lease and its send may therefore have an
+order executed much later.  This can't be prevented, so its effects are limited:
+
+- A late load does no harm, but a late unload may.  So an unload is written to the table
+  before it is sent, and deleted from it once answered.
+- An unload in the table that was not answered may still be executed at any time. Later
+  holders do not count that engine as serving the model.  If the engine checks fencing
+  numbers, a load with the later number ends this: the engine then refuses the unload.
+  Otherwise it ends after `doubt_for`; an unload executed even later has the same effect
+  as an engine that restarts without models.
+- Orders are derived repeatedly from the engines' reports.  The effect of a late order
+  appears in the next report and is corrected by the next order.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Action(Enum):
-    """What an engine is told to do with a model."""
+    """What an engine is ordered to do with a model."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -41,7 +41,7 @@
     Attributes:
         backend: The engine.
         action: What to do.
-        model: With which model.
+        model: The model to load or unload.
     """
 
     backend: BackendName
@@ -51,11 +51,11 @@
 
 @frozen
 class OrderRow:
-    """A drop that was decided, at ``order/{backend}/{fencing}``, until answered.
+    """An unanswered order to unload, at ``order/{backend}/{fencing}``.
 
     Attributes:
-        order: The drop.
-        fencing: The number that goes with it.
+        order: The order.
+        fencing: The fencing number sent with it.
         at: When it was decided, in seconds since the epoch.
     """
 
@@ -66,15 +66,15 @@
 
 @frozen
 class EngineView:
-    """What is known of one engine.
+    """The reported state of one engine.
 
     Attributes:
         name: The engine.
         domain: Its failure domain.
-        slots: Requests it runs at once.
-        load: Requests it runs and queues.
-        loaded: Models it reports.
-        allowed: Models it may hold.
+        slots: Requests that it runs at once.
+        load: Requests running and queued.
+        loaded: Models that it reports as loaded.
+        allowed: Models that it may load.
         usable: Whether it may get new work.
         checks_fencing: Whether it refuses orders with an old fencing number.
     """
@@ -91,39 +91,40 @@
 
 @frozen
 class PlacementPolicy:
-    """When models are loaded and dropped.
+    """When models are loaded and unloaded.
 
     Attributes:
-        least: Engines that each model should have, in several failure domains.
-        full: The part of the slots in use above which one more engine loads.
-        idle: The part of the slots in use below which one engine drops.
-        up_after: How long `full` must last, in seconds.
-        down_after: How long `idle` must last, in seconds.
-        load_time: How long a load may take before it is ordered again, seconds.
-        most_loading: Loads at once; the weight store's rate is shared by them.
-        most_models: Models that one engine holds.
-        doubt_for: How long a drop without an answer is expected, in seconds.
+        least: The minimum number of engines for each model, in several failure domains.
+        load_above: The share of slots in use above which one more engine loads a model.
+        unload_below: The share of slots in use below which one engine unloads it.
+        up_after: How long use must stay above `load_above`, in seconds.
+        down_after: How long use must stay below `unload_below`, in seconds.
+        load_time: How long a load may take before it is ordered again, in seconds.
+        max_loading: The maximum number of concurrent loads, which share the bandwidth
+            of the weight store.
+        max_models: The maximum number of models on one engine.
+        doubt_for: How long an unanswered unload may still be executed, in seconds.
     """
 
     least: int = 2
-    full: float = 0.8
-    idle: float = 0.25
+    load_above: float = 0.8
+    unload_below: float = 0.25
     up_after: Seconds = 10.0
     down_after: Seconds = 600.0
     load_time: Seconds = 120.0
-    most_loading: int = 1
-    most_models: int = 2
+    max_loading: int = 1
+    max_models: int = 2
     doubt_for: Seconds = 3600.0
 
 
 @define
 class Placement:
-    """Decides about orders; it belongs to the task that holds the lease.
+    """Decides on orders; owned by the task that holds the lease.
 
     Attributes:
         policy: Its thresholds.
-        loading: Loads that were ordered and are not reported yet, and when.
-        since: Since when a model has wanted more engines, or fewer.
+        loading: Loads that were ordered and are not reported yet, with their times.
+        since: For a model and an action, since when its condition has held.
     """
 
     policy: PlacementPolicy = field(factory=PlacementPolicy)
@@ -137,22 +138,24 @@
         unanswered: Sequence[OrderRow],
         now: Seconds,
     ) -> EngineOrder | None:
-        """Return the next order, or None when all is as it should be.
+        """Return the next order, or None if none is needed.
 
         Args:
-            models: The models of the document.
+            models: The models of the configuration document.
             engines: All engines, as reported.
-            unanswered: Drops that may still happen.
+            unanswered: Unloads that may still be executed.
             now: The time.
         """
         self.forget_loading(engines, now)
-        doubted = {(row.order.backend, row.order.model) for row in unanswered}
+        in_doubt = {(row.order.backend, row.order.model) for row in unanswered}
         for model in models:
             holders = [
                 engine for engine in engines if model in engine.loaded and engine.usable
             ]
-            sure = [engine for engine in holders if (engine.name, model) not in doubted]
-            order = self.decide_model(model, engines, holders, sure, now)
+            confirmed = [
+                engine for engine in holders if (engine.name, model) not in in_doubt
+            ]
+            order = self.decide_model(model, engines, holders, confirmed, now)
             if order is not None:
                 return order
         return None
@@ -162,34 +165,42 @@
         model: str,
         engines: Sequence[EngineView],
         holders: Sequence[EngineView],
-        sure: Sequence[EngineView],
+        confirmed: Sequence[EngineView],
         now: Seconds,
     ) -> EngineOrder | None:
-        """Return the next order about one model."""
-        underway = sum(order.model == model for order in self.loading)
-        use = share_in_use(holders)
-        more = self.lasting(
-            model, Action.LOAD, use > self.policy.full, self.policy.up_after, now
+        """Return the next order for one model."""
+        loading = sum(order.model == model for order in self.loading)
+        usage = share_in_use(holders)
+        scale_up = self.has_lasted(
+            model,
+            Action.LOAD,
+            usage > self.policy.load_above,
+            self.policy.up_after,
+            now,
         )
-        fewer = self.lasting(
-            model, Action.UNLOAD, use < self.policy.idle, self.policy.down_after, now
+        scale_down = self.has_lasted(
+            model,
+            Action.UNLOAD,
+            usage < self.policy.unload_below,
+            self.policy.down_after,
+            now,
         )
-        if len(sure) + underway < self.policy.least or (more and not underway):
-            return self.load(model, engines, sure, now)
-        if fewer and len(sure) > self.policy.least:
-            return self.drop(model, sure)
+        if len(confirmed) + loading < self.policy.least or (scale_up and not loading):
+            return self.load(model, engines, confirmed, now)
+        if scale_down and len(confirmed) > self.policy.least:
+            return self.unload(model, confirmed)
         return None
 
-    def lasting(
-        self, model: str, action: Action, true: bool, after: Seconds, now: Seconds
+    def has_lasted(
+        self, model: str, action: Action, condition: bool, after: Seconds, now: Seconds
     ) -> bool:
-        """Return whether a condition has held for long enough.
+        """Return whether a condition has held for the required time.
 
-        Demand that swings around a threshold would otherwise load and drop the
-        same model again and again, each time through the weight store.
+        Demand that fluctuates around a threshold would otherwise load and unload the
+        same model repeatedly, with a transfer from the weight store each time.
         """
         key = (model, action)
-        if not true:
+        if not condition:
             self.since.pop(key, None)
             return False
         return now - self.since.setdefault(key, now) >= after
@@ -201,23 +212,27 @@
         holders: Sequence[EngineView],
         now: Seconds,
     ) -> EngineOrder | None:
-        """Return the order to load a model where it does most good."""
-        if len(self.loading) >= self.policy.most_loading:
+        """Return the order to load a model on the best candidate.
+
+        It prefers failure domains that have the model least, then engines with few
+        models, then engines with little load.
+        """
+        if len(self.loading) >= self.policy.max_loading:
             return None
-        able = [
+        candidates = [
             engine
             for engine in engines
             if engine.usable
             and model in engine.allowed - engine.loaded
-            and len(engine.loaded) < self.policy.most_models
+            and len(engine.loaded) < self.policy.max_models
         ]
-        if not able:
+        if not candidates:
             return None
-        taken = [engine.domain for engine in holders]
+        used_domains = [engine.domain for engine in holders]
         chosen = min(
-            able,
+            candidates,
             key=lambda item: (
-                taken.count(item.domain),
+                used_domains.count(item.domain),
                 len(item.loaded),
                 item.load / item.slots,
                 item.name,
@@ -228,20 +243,26 @@
         self.since.pop((model, Action.LOAD), None)
         return order
 
-    def drop(self, model: str, holders: Sequence[EngineView]) -> EngineOrder | None:
-        """Return the order to drop a model where it is missed least."""
-        several = [engine for engine in holders if len(engine.loaded) > 1]
-        if not several:
+    def unload(self, model: str, holders: Sequence[EngineView]) -> EngineOrder | None:
+        """Return the order to unload a model from the best candidate.
+
+        It prefers the failure domain that has the model most, then the engine with the
+        least load.  An engine is never left without a model.
+        """
+        candidates = [engine for engine in holders if len(engine.loaded) > 1]
+        if not candidates:
             return None
         domains = [engine.domain for engine in holders]
-        chosen = max(several, key=lambda item: (domains.count(item.domain), -item.load))
+        chosen = max(
+            candidates, key=lambda item: (domains.count(item.domain), -item.load)
+        )
         self.since.pop((model, Action.UNLOAD), None)
         return EngineOrder(chosen.name, Action.UNLOAD, model)
 
     def fence(
         self, engines: Sequence[EngineView], unanswered: Sequence[OrderRow]
     ) -> EngineOrder | None:
-        """Return a load that makes an engine refuse an earlier holder's drop."""
+        """Return a load that makes an engine refuse an earlier holder's unload."""
         checking = {item.name for item in engines if item.checks_fencing}
         for row in unanswered:
             if row.order.backend in checking:
@@ -249,7 +270,7 @@
         return None
 
     def forget_loading(self, engines: Sequence[EngineView], now: Seconds) -> None:
-        """Forget loads that have ended, or that take too long to be believed."""
+        """Drop loads that have finished or have taken longer than `load_time`."""
         loaded = {engine.name: engine.loaded for engine in engines}
         self.loading = {
             order: at
@@ -260,6 +281,6 @@
 
 
 def share_in_use(engines: Sequence[EngineView]) -> float:
-    """Return the part of some engines' slots that is in use; inf without any."""
+    """Return the share of the engines' slots that is in use; inf without engines."""
     slots = sum(engine.slots for engine in engines)
     return sum(engine.load for engine in engines) / slots if slots else math.inf
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -1,7 +1,8 @@
-"""Registered policies that size grants: how much to draw, return and give away.
+"""Registered grant policies: how much to draw, return, and transfer to peers.
 
-A policy only chooses amounts.  Whatever it answers, `plan_settlement` keeps the
-budget's inequality, so a poor policy costs refusals or writes, never overspend.
+A policy only chooses amounts.  `plan_settlement` enforces the budget's limit whatever
+the policy returns, so a bad policy can cause refusals or extra writes but no
+overspending.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 
 @frozen
 class GrantView:
-    """What a policy may look at.
+    """The input of a grant policy.
 
     Attributes:
-        need: Tokens that waiting requests lack, the available ones counted in.
-        available: Tokens of the own grant that nobody holds.
-        rate: Expected demand, in tokens a second.
-        typical: An expected hold, in tokens.
-        drawn: Tokens drawn from the budget so far, less what was returned.
+        need: Tokens that waiting requests lack beyond the available ones.
+        available: Tokens of this router's grant that are not held.
+        rate: Expected demand, in tokens per second.
+        typical: Expected size of a hold, in tokens.
+        drawn: Tokens drawn from the budget so far, minus the returned ones.
         idle: Seconds since the last request of this workspace.
-        routers: Routers believed alive, this one counted.
-        budget: The budget as last read, or None when it could not be read.
+        routers: Number of routers assumed alive, including this one.
+        budget: The budget as last read, or None if it could not be read.
         horizon: How much expected demand a grant covers, in seconds.
-        reserve_share: The largest part of an even share of what remains that a
+        reserve_share: The largest share of an even split of the remaining tokens that a
             grant keeps ahead of need.
     """
 
@@ -47,7 +48,7 @@
 
 @frozen
 class GrantSize:
-    """What a policy wants: at most one of the two is above zero."""
+    """The change that a policy requests: at most one of the amounts is above zero."""
 
     draw: Tokens = 0
     give_back: Tokens = 0
@@ -57,8 +58,8 @@
     """Sizes the grants of one router.
 
     Attributes:
-        asks_peers: Whether routers that lack tokens ask each other.
-        patience: How long a request waits for tokens that others may return,
+        asks_peers: Whether routers that lack tokens request them from peers.
+        patience: How long a request waits for tokens that other routers may return,
             while the table can be read, in seconds.
     """
 
@@ -66,11 +67,11 @@
     patience: Seconds
 
     def size(self, view: GrantView) -> GrantSize:
-        """Say how much to draw from the budget or to return to it."""
+        """Return how much to draw from the budget or to return to it."""
         ...
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Say how much of the available tokens another router may have."""
+        """Return how many of the available tokens to give to another router."""
         ...
 
 
@@ -81,7 +82,7 @@
 
 
 def grant_policy(name: str) -> Callable[[type[P]], type[P]]:
-    """Register a class of `GrantPolicy` under a name."""
+    """Return a decorator that registers an instance of a `GrantPolicy` class."""
 
     def register(policy: type[P]) -> type[P]:
         grant_policies[name] = policy()  # type: ignore[assignment]
@@ -100,7 +101,7 @@
 
 
 class AloneMixin:
-    """For policies whose routers do not ask each other."""
+    """Base for policies without transfers between routers."""
 
     asks_peers = False
     patience: Seconds = 0.0
@@ -113,10 +114,10 @@
 
 @grant_policy("table_call")
 class TableCall(AloneMixin):
-    """Every request draws from the table what it holds, and nothing is kept."""
+    """Draws tokens for each request from the table and keeps none ahead of need."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw what is needed; return all that is free."""
+        """Draw the tokens that are needed, or return all available ones."""
         if view.need:
             return GrantSize(draw=view.need)
         return GrantSize(give_back=view.available)
@@ -124,10 +125,10 @@
 
 @grant_policy("static_split")
 class StaticSplit(AloneMixin):
-    """Every router takes an equal share of the budget, once, and keeps it."""
+    """Draws an equal share of the budget for each router once, and keeps it."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw what is missing from an equal share of all that was prepaid."""
+        """Draw the rest of an equal share of all prepaid tokens."""
         if not view.need or view.budget is None:
             return GrantSize()
         share = view.budget.prepaid // max(view.routers, 1)
@@ -135,15 +136,15 @@
 
 
 FIXED_GRANT = 20_000
-"""Tokens of one grant of the fixed policy."""
+"""Tokens drawn at once by the fixed policy."""
 
 
 @grant_policy("fixed_grant")
 class FixedGrant(AloneMixin):
-    """Every draw takes the same amount; surplus returns when idle."""
+    """Draws multiples of a fixed amount."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw whole grants."""
+        """Draw the smallest multiple of the fixed amount that covers the need."""
         if not view.need:
             return GrantSize()
         count = -(-view.need // FIXED_GRANT)
@@ -152,72 +153,73 @@
 
 @grant_policy("adaptive")
 class Adaptive(AloneMixin):
-    """A grant covers the expected demand of a while, less as the budget empties.
+    """Sizes a grant to cover the expected demand, less as the budget runs out.
 
-    With plenty left, tokens lying in grants hurt nobody, and they are what
-    serves callers through an outage of the table.  Near the end of a budget
-    every token that lies idle here is a refusal elsewhere, so the grant
-    shrinks to what the requests themselves need.
+    While the budget is ample, idle tokens in grants have no cost, and they serve
+    callers during an outage of the table.  When the budget is nearly used up, each idle
+    token here causes refusals elsewhere, so the grant shrinks to the need of the
+    waiting requests.
     """
 
     patience: Seconds = 2.0
 
-    keep_below = 0.8
-    """A new draw comes before this part of the wanted grant is used up."""
+    refill_below = 0.8
+    """A grant is refilled when it falls below this share of the wanted grant."""
 
     return_above = 1.5
-    """What exceeds this many wanted grants goes back."""
+    """Tokens above the wanted grant times this are returned."""
 
-    scarce: Seconds = 120.0
-    """A budget that would last no longer than this is kept in the table."""
+    scarce_below: Seconds = 120.0
+    """If the budget lasts no longer than this, no tokens are kept ahead of need."""
 
-    ample: Seconds = 450.0
-    """A budget that would last this long is spread over the routers in full."""
+    ample_above: Seconds = 450.0
+    """If the budget lasts at least this long, the full share of it is kept in grants.
+    """
 
     def size(self, view: GrantView) -> GrantSize:
         """Draw up to the wanted grant, or return what exceeds it."""
         wanted = self.wanted(view)
         if view.need:
             return GrantSize(draw=view.need + wanted)
-        if view.available < self.keep_below * wanted:
+        if view.available < self.refill_below * wanted:
             return GrantSize(draw=wanted - view.available)
         if view.available > self.return_above * wanted:
             return GrantSize(give_back=view.available - wanted)
         return GrantSize()
 
     def wanted(self, view: GrantView) -> Tokens:
-        """Return the tokens that should be available after this."""
+        """Return the tokens that should be available after the change."""
         demand = view.rate * view.horizon
         if view.budget is None:
             return int(demand)
-        # The own free tokens count as remaining: otherwise two reads of one
-        # state would disagree about what the share is a part of.
+        # This router's available tokens count as remaining.  Otherwise the result would
+        # depend on how the same tokens are divided between budget and grant.
         left = max(view.budget.remaining, 0) + view.available
         even = left / max(view.routers, 1)
-        lasts = even / view.rate if view.rate else self.ample
-        spread = (lasts - self.scarce) / (self.ample - self.scarce)
-        share = view.reserve_share * min(max(spread, 0.0), 1.0)
+        lasts = even / view.rate if view.rate else self.ample_above
+        fraction = (lasts - self.scarce_below) / (self.ample_above - self.scarce_below)
+        share = view.reserve_share * min(max(fraction, 0.0), 1.0)
         return int(min(demand, share * even))
 
 
 @grant_policy("adaptive_transfer")
 class AdaptiveTransfer(Adaptive):
-    """Adaptive grants; routers that lack tokens ask each other."""
+    """Adaptive grants, with transfers between routers."""
 
     asks_peers = True
 
     give_share = 0.5
-    """The part of the free tokens that a peer may take beyond what it lacks."""
+    """The share of the available tokens that a peer may get beyond what it lacks."""
 
-    ahead = 4
-    """A peer gets this many times what it lacks, while that is no more than its part.
+    give_multiple = 4
+    """A peer gets this many times what it lacks, within `give_share`.
 
-    Asking again for every request would cost each of them a round trip.
+    A further request for each later hold would cost a round trip each.
     """
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Give what is lacking, and some more if there is plenty."""
+        """Give what the peer lacks, and more if enough is available."""
         if view.need:
             return 0
-        ample = min(self.ahead * wanted, int(view.available * self.give_share))
-        return max(ample, min(wanted, view.available))
+        extra = min(self.give_multiple * wanted, int(view.available * self.give_share))
+        return max(extra, min(wanted, view.available))
--- a/ebonyhold/coordination/_prefix.py
+++ b/ebonyhold/coordination/_prefix.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes: their hashes, and what engines are believed to hold."""
+"""Hashes of prompt prefixes, and an index of the prefixes an engine has cached."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from ebonyhold.types import Tokens
 
 BLOCK_WORDS = 16
-"""Words of one block, the unit in which a prefix is kept."""
+"""Words per block, the unit in which prefixes are cached."""
 
-MOST_BLOCKS = 256
-"""Blocks of a prompt that are hashed; a longer prefix saves little more."""
+MAX_BLOCKS = 256
+"""Maximum number of hashed blocks per prompt; a longer prefix saves little more."""
 
 HASH_DIGITS = 16
 
@@ -22,8 +22,8 @@
 def prefix_hashes(words: Sequence[str]) -> tuple[str, ...]:
     """Return the chained hash of each whole block of a prompt.
 
-    Equal hashes at a position mean equal prompts up to there.  It is the hash
-    that engines name in their cache events.
+    Equal hashes at a position mean equal prompts up to there.  Engines use the same
+    hashes in their cache events.
 
     >>> first = prefix_hashes(["w"] * 40)
     >>> second = prefix_hashes(["w"] * 20 + ["v"] * 20)
@@ -32,7 +32,7 @@
     """
     hashes: list[str] = []
     previous = ""
-    for block in range(min(len(words) // BLOCK_WORDS, MOST_BLOCKS)):
+    for block in range(min(len(words) // BLOCK_WORDS, MAX_BLOCKS)):
         start = block * BLOCK_WORDS
         text = f"{previous}\0{' '.join(words[start : start + BLOCK_WORDS])}"
         digest = hashlib.sha256(text.encode("utf-8", "surrogatepass"))
@@ -43,43 +43,44 @@
 
 @define
 class PrefixIndex:
-    """The prefix blocks that one engine is believed to hold.
+    """The prefix blocks that one engine is expected to have cached.
 
-    It learns from the engine's cache events, which come late and with gaps, and
-    from what this router sent there; the least recently used are forgotten.
+    The index is built from the engine's cache events, which arrive late and with gaps,
+    and from the prompts that this router sent to it.  The least recently used blocks
+    are dropped.
 
     Attributes:
-        most: Blocks that are remembered.
-        sequence: The last cache event that was seen.
+        max_blocks: The maximum number of blocks in the index.
+        sequence: Number of the last processed cache event.
     """
 
-    most: int = 20_000
+    max_blocks: int = 20_000
     sequence: int = 0
     held: OrderedDict[str, None] = field(factory=OrderedDict)
 
     def sent(self, hashes: Iterable[str]) -> None:
-        """Note that a prompt goes to the engine, which will hold its blocks."""
+        """Add the blocks of a prompt that is sent to the engine."""
         for item in hashes:
             self.held[item] = None
             self.held.move_to_end(item)
-        while len(self.held) > self.most:
+        while len(self.held) > self.max_blocks:
             self.held.popitem(last=False)
 
     def stored(self, item: str) -> None:
-        """Note the engine's word that it holds a block."""
+        """Add a block that the engine reports as stored."""
         self.sent((item,))
 
     def removed(self, item: str) -> None:
-        """Note the engine's word that it evicted a block."""
+        """Remove a block that the engine reports as evicted."""
         self.held.pop(item, None)
 
     def clear(self) -> None:
-        """Forget all: the engine restarted with an empty cache."""
+        """Clear the index after the engine restarted with an empty cache."""
         self.held.clear()
         self.sequence = 0
 
     def reuse(self, hashes: Sequence[str]) -> Tokens:
-        """Return the words of a prompt's prefix that the engine should hold."""
+        """Return the length of the prompt's prefix expected to be cached, in words."""
         blocks = 0
         for item in hashes:
             if item not in self.held:
--- a/ebonyhold/coordination/_probes.py
+++ b/ebonyhold/coordination/_probes.py
@@ -1,4 +1,4 @@
-"""The probes that a router has under way."""
+"""A router's probes in progress."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """The probe in progress.
 
     Attributes:
-        target: Who is probed, or empty when only its address is known.
-        address: Where it is reached.
-        sequence: The number that its answer must carry.
-        relayed: Whether others were asked to try.
+        target: The probed router, or empty when only its address is known.
+        address: The probed address.
+        sequence: The sequence number that the answer must carry.
+        relayed: Whether relays have been requested.
     """
 
     target: RouterId
@@ -26,7 +26,7 @@
 
 @define
 class RelayedProbe:
-    """A probe made for another router."""
+    """A probe on behalf of another router."""
 
     origin: RouterId
     origin_address: str
--- a/ebonyhold/coordination/_recovery.py
+++ b/ebonyhold/coordination/_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of an incarnation's work by any other router."""
+"""Recovery of an incarnation's runs and grants by another router."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 @frozen
 class Witness:
-    """One attempt of a run, and what its backend server says about it."""
+    """One attempt of a run, and its status as its backend server reports it."""
 
     intent: Intent
     truth: AttemptTruth
 
 
 def seal_transaction(router: Seen[RouterRow], by: RouterId) -> Transaction | None:
-    """Mark an incarnation as sealed; None when that has been done.
+    """Return the transaction that seals an incarnation; None if it is not open.
 
-    Every transaction of an incarnation checks its router row at the version it
+    Every transaction of an incarnation checks its router row at the version it was
     opened with, so after this none of them can take effect in the table.
     """
     row = router.value
@@ -45,46 +45,46 @@
     return Transaction((router.check,), (router.put(sealed),))
 
 
-def proves_not_run(witness: Witness) -> bool:
-    """Tell whether a backend server's word proves that an attempt never ran.
+def proves_not_run(evidence: Witness) -> bool:
+    """Return whether the reported status proves that an attempt never ran.
 
-    A server that was restarted since has forgotten what ran before, so its
-    word counts only under the boot that the intent named.
+    A restarted server has lost its record of earlier attempts, so its report counts
+    only if its boot identifier is the one in the intent.
     """
-    if witness.truth.state is not AttemptState.NEVER_RAN:
+    if evidence.truth.state is not AttemptState.NEVER_RAN:
         return False
-    return bool(witness.intent.boot) and witness.intent.boot == witness.truth.boot
+    return bool(evidence.intent.boot) and evidence.intent.boot == evidence.truth.boot
 
 
-def settle_run(witnesses: Sequence[Witness], *, charge_unknown: bool) -> Bill | None:
-    """Decide the bill of a run that has no outcome; None to wait for evidence.
+def settle_run(evidence: Sequence[Witness], *, charge_unknown: bool) -> Bill | None:
+    """Decide the bill of a run without an outcome; None to wait for more evidence.
 
-    The caller had one answer, so the attempt that got furthest is billed and
-    the others are the operator's.
+    The caller received one answer, so the attempt that got furthest is billed and the
+    operator pays for the others.
     """
-    intent = witnesses[0].intent
-    ran = [one for one in witnesses if _ran(one)]
+    intent = evidence[0].intent
+    ran = [one for one in evidence if _ran(one)]
     if ran:
         return make_bill(intent, _outcome(max(ran, key=_progress)))
-    if all(proves_not_run(one) for one in witnesses):
+    if all(proves_not_run(one) for one in evidence):
         return make_bill(intent, _ended(intent, RequestState.NOT_RUN, 0))
     if not charge_unknown:
         return None
     return make_bill(intent, _ended(intent, RequestState.UNKNOWN, intent.hold))
 
 
-def _ran(witness: Witness) -> bool:
-    return witness.truth.state in (AttemptState.FINISHED, AttemptState.CANCELLED)
+def _ran(evidence: Witness) -> bool:
+    return evidence.truth.state in (AttemptState.FINISHED, AttemptState.CANCELLED)
 
 
-def _progress(witness: Witness) -> tuple[bool, Tokens]:
-    finished = witness.truth.state is AttemptState.FINISHED
-    return finished, witness.truth.completion_tokens
+def _progress(evidence: Witness) -> tuple[bool, Tokens]:
+    finished = evidence.truth.state is AttemptState.FINISHED
+    return finished, evidence.truth.completion_tokens
 
 
-def _outcome(witness: Witness) -> Outcome:
-    truth = witness.truth
-    intent = witness.intent
+def _outcome(evidence: Witness) -> Outcome:
+    truth = evidence.truth
+    intent = evidence.intent
     finished = truth.state is AttemptState.FINISHED
     charge = truth.prompt_tokens + truth.completion_tokens
     if intent.kind is not RequestKind.CHAT:
@@ -110,15 +110,15 @@
     grant: Seen[GrantRow],
     stranded: Tokens,
 ) -> Transaction | None:
-    """Return the rest of a settled grant; None when there is nothing to do.
+    """Plan to return the rest of a settled grant; None if there is nothing to do.
 
     Args:
         router: The sealed incarnation's row.
         budget: The budget.
-        grant: The grant, read before its requests were found settled: a bill
-            filed since has changed it, and the check fails.
-        stranded: Tokens that must stay: holds of runs that wait for evidence,
-            and transfers that may still arrive elsewhere.
+        grant: The grant, read before its requests were found to be settled.  A bill
+            filed since then has changed its version, and the check fails.
+        stranded: Tokens that must stay: holds of runs that wait for evidence, and
+            transfers that other routers may still receive.
     """
     if grant.value is None or budget.value is None:
         return None
@@ -144,7 +144,7 @@
 
 
 def close_transaction(router: Seen[RouterRow], now: float = 0.0) -> Transaction | None:
-    """Mark an incarnation as closed: everything of its journal is settled."""
+    """Return the transaction that closes an incarnation whose journal is settled."""
     row = router.value
     if row is None or row.state is RouterState.CLOSED:
         return None
--- a/ebonyhold/coordination/_retry.py
+++ b/ebonyhold/coordination/_retry.py
@@ -1,4 +1,4 @@
-"""Retry budgets and jittered backoff."""
+"""Retry budgets, and exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 @define
 class RetryBudget:
-    """Bounds retries to a part of the first attempts.
+    """Limits retries to a share of the first attempts.
 
-    When everything fails, retries multiply the load by at most ``1 + ratio``
-    instead of by the number of tries, so they cannot keep an outage alive.
+    If all calls fail, retries multiply the load by at most ``1 + ratio`` instead of by
+    the number of tries, so they cannot prolong an outage.
 
     Attributes:
-        ratio: Retries allowed for each first attempt, on average.
-        most: The most retries that can be saved up.
+        ratio: Retries allowed per first attempt, on average.
+        max_level: The maximum number of unused retries that accumulate.
         level: Retries allowed now.
-        refused: Retries that were refused.
+        refused: Counts the refused retries.
     """
 
     ratio: float = 0.1
-    most: float = 10.0
+    max_level: float = 10.0
     level: float = 1.0
     refused: int = 0
 
     def first_attempt(self) -> None:
-        """Record a first attempt, which earns a part of a retry."""
-        self.level = min(self.most, self.level + self.ratio)
+        """Record a first attempt, which adds `ratio` to the allowed retries."""
+        self.level = min(self.max_level, self.level + self.ratio)
 
     def take(self) -> bool:
-        """Take one retry if it is allowed, and tell whether it was."""
+        """Use one retry if it is allowed, and return whether it was."""
         if self.level < 1.0:
             self.refused += 1
             return False
@@ -41,12 +41,12 @@
 
 @frozen
 class Backoff:
-    """Waits between tries, doubling, with full jitter.
+    """Exponential backoff between tries, with full jitter.
 
     Attributes:
-        first: The bound on the first wait, in seconds.
-        most: The bound on any wait, in seconds.
-        factor: How much the bound grows from one wait to the next.
+        first: The maximum of the first wait, in seconds.
+        most: The maximum of any wait, in seconds.
+        factor: Growth of the maximum from one wait to the next.
     """
 
     first: Seconds = 0.05
@@ -54,7 +54,7 @@
     factor: float = 2.0
 
     def bound(self, retry: int) -> Seconds:
-        """Return the bound on the wait before a retry, counted from 1."""
+        """Return the maximum wait before a retry, in seconds; retries count from 1."""
         doublings = min(retry - 1, 64)
         return min(self.most, self.first * self.factor**doublings)
 
--- a/ebonyhold/coordination/_rows.py
+++ b/ebonyhold/coordination/_rows.py
@@ -1,4 +1,4 @@
-"""The rows that routers keep in the platform's table, one class for each kind."""
+"""The rows that routers store in the platform's table, one class for each kind."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RouterState(Enum):
-    """Whether an incarnation may still append to its journal."""
+    """Whether an incarnation may still write, and whether it has been settled."""
 
     OPEN = "open"
     SEALED = "sealed"
@@ -25,7 +25,7 @@
 
 
 class RequestState(Enum):
-    """How far a request is known to have come."""
+    """How far a request is known to have been executed."""
 
     RUNNING = "running"
     COMPLETE = "complete"
@@ -35,7 +35,7 @@
 
 
 class RequestKind(Enum):
-    """What a request asks for, which decides what may be repeated."""
+    """The kind of a request, which decides whether it may be repeated."""
 
     CHAT = "chat"
     REPEATABLE = "repeatable"
@@ -46,8 +46,8 @@
 class BudgetRow:
     """One workspace's prepaid budget, at ``budget/{workspace}``.
 
-    The table never lets ``spent + outstanding`` exceed ``prepaid``; that one
-    inequality is why no failure of a router can overspend.
+    In the table ``spent + outstanding`` never exceeds ``prepaid``.  This invariant
+    prevents overspending whatever routers fail.
 
     Attributes:
         prepaid: Tokens bought: the sum of all top-ups.
@@ -61,7 +61,7 @@
 
     @property
     def remaining(self) -> Tokens:
-        """Tokens that nobody holds and nobody spent."""
+        """Tokens that are neither spent nor in a grant."""
         return self.prepaid - self.outstanding - self.spent
 
 
@@ -91,10 +91,10 @@
     Attributes:
         state: Whether it may still write.
         domain: Its failure domain.
-        address: Where other routers reach it.
+        address: Its address for other routers.
         started_at: When it registered, in seconds since the epoch.
-        sealed_by: Who sealed it, if anybody did.
-        closed_at: When everything of it was settled; 0 before.
+        sealed_by: The router that sealed it, or empty.
+        closed_at: When all its work was settled, in seconds since the epoch; 0 before.
     """
 
     state: RouterState
@@ -107,14 +107,14 @@
 
 @frozen
 class GrantRow:
-    """What one incarnation holds of one budget, at ``grant/{router}/{workspace}``.
+    """One incarnation's grant from one budget, at ``grant/{router}/{workspace}``.
 
     Attributes:
-        drawn: All tokens drawn from the budget, ever.
-        returned: Tokens given back to the budget.
+        drawn: Total tokens drawn from the budget.
+        returned: Tokens returned to the budget.
         billed: Tokens that became bills.
-        sequence: Counts the changes to this row that its router asked for, so
-            that a change whose answer was lost is recognised.
+        sequence: Counts the changes to this row that its router requested, to detect
+            whether a change whose answer was lost took effect.
         transferred_in: Tokens settled as received from other routers.
         transferred_out: Tokens settled as given to other routers.
     """
@@ -128,7 +128,7 @@
 
     @property
     def held(self) -> Tokens:
-        """Tokens that are still out with the router, by the table's word."""
+        """Tokens that the router holds according to the table."""
         return (
             self.drawn
             + self.transferred_in
@@ -142,23 +142,25 @@
 class RequestRow:
     """One request's claim, then its bill, at ``request/{workspace}/{request}``.
 
-    There is one row for each request for ever, which is why there is one bill.
+    A request has a single row until it is archived, so it has a single bill.
 
     Attributes:
-        state: How far the request is known to have come.
-        kind: What it asked for.
-        owner: The incarnation that runs it, or that filed it.
-        attempt: The attempt that the bill is for.
+        state: How far the request is known to have been executed.
+        kind: The kind of the request.
+        owner: The incarnation that runs it, or that filed its bill.
+        attempt: The attempt that is billed.
         backend: The backend server of that attempt.
-        digest: SHA-256 of the body, hexadecimal: tells a retry from a reused key.
+        digest: SHA-256 of the body, hexadecimal; distinguishes a retry from a reused
+            key.
         charge: Tokens billed to the workspace.
-        prompt_tokens: Of those, the prompt's.
-        completion_tokens: Of those, the answer's.
-        overshoot: Tokens the engine ran beyond the hold; the operator pays them.
+        prompt_tokens: The prompt's tokens.
+        completion_tokens: The answer's tokens.
+        overshoot: Tokens the engine generated beyond the hold; the operator pays for
+            them.
         filed_at: When it was billed, in seconds since the epoch; 0 before.
         answer: For keyed calls to plain services, the answer kept for a retry.
-        refunded: Tokens of the charge that operators gave back.
-        repeats: How often it ran again after it had its bill.
+        refunded: Tokens of the charge that operators refunded.
+        repeats: How often it ran again after it was billed.
     """
 
     state: RequestState
@@ -179,7 +181,7 @@
 
 @frozen
 class KeptAnswer:
-    """A whole answer of a plain service, kept so that a retry hears the same."""
+    """A whole answer of a plain service, kept so that a retry gets the same one."""
 
     status: int
     content_type: str
@@ -187,7 +189,7 @@
 
 
 class TransferState(Enum):
-    """What the table knows of a transfer that its receiver did not settle first."""
+    """State of a transfer in the table."""
 
     PENDING = "pending"
     SETTLED = "settled"
@@ -199,11 +201,11 @@
     """One transfer between two grants, at ``transfer/{transfer}``.
 
     Attributes:
-        workspace: Whose tokens.
+        workspace: The workspace whose tokens are transferred.
         source: The incarnation that gave them.
         to: The only incarnation that may receive them.
-        amount: How many.
-        state: Pending until the receiver's journal decides.
+        amount: Number of tokens.
+        state: Pending until settled or known not to have arrived.
     """
 
     workspace: WorkspaceName
@@ -215,12 +217,12 @@
 
 @frozen
 class ArchiveRow:
-    """Sums of bills whose rows were deleted, at ``archive/{workspace}``.
+    """Totals of bills whose rows were deleted, at ``archive/{workspace}``.
 
     Attributes:
-        bills: How many.
-        charged: Their charges.
-        refunded: What of those was refunded.
+        bills: Number of bills.
+        charged: Tokens charged by them.
+        refunded: Tokens refunded of those.
     """
 
     bills: int = 0
@@ -230,10 +232,10 @@
 
 @frozen
 class Intent:
-    """Journal entry: this request is about to be dispatched.
+    """Journal entry: an attempt is about to be dispatched.
 
-    It is durable before the dispatch, so that whoever seals the journal knows
-    of every request that may have run.
+    It is durable before the dispatch, so whoever seals the journal knows every request
+    that may have run.
     """
 
     workspace: WorkspaceName
@@ -249,7 +251,7 @@
 
 @frozen
 class Outcome:
-    """Journal entry: this attempt has ended, and this is what it costs."""
+    """Journal entry: an attempt has ended, with its charge."""
 
     workspace: WorkspaceName
     request: RequestId
@@ -264,7 +266,7 @@
 
 @frozen
 class TransferOut:
-    """Journal entry: tokens leave this incarnation's grant for another's."""
+    """Journal entry: this incarnation gave tokens of its grant to another."""
 
     workspace: WorkspaceName
     transfer: str
@@ -274,7 +276,7 @@
 
 @frozen
 class TransferIn:
-    """Journal entry: tokens of another incarnation's grant arrived here."""
+    """Journal entry: this incarnation received tokens from another's grant."""
 
     workspace: WorkspaceName
     transfer: str
@@ -284,7 +286,7 @@
 
 @frozen
 class Seal:
-    """Journal entry: no segment may follow; written by whoever recovers."""
+    """Journal entry: no segment may follow; written by the recovering router."""
 
     by: RouterId
 
@@ -296,9 +298,10 @@
 class JournalSegment:
     """One append to a journal.
 
-    It is the row ``journal/{router}/{number:010d}``, or the object of that key.
-    Each place has a chain of its own, numbered densely from 1 and written only
-    if absent: that is what a seal relies on.
+    It is the row ``journal/{router}/{number:010d}`` in the table, or the object of that
+    key.  The table and the object store each have their own chain of segments. A chain
+    is numbered without gaps from 1 and segments are written only if absent; sealing
+    relies on both.
     """
 
     entries: tuple[JournalEntry, ...] = field(factory=tuple)
--- a/ebonyhold/coordination/_rumours.py
+++ b/ebonyhold/coordination/_rumours.py
@@ -1,4 +1,4 @@
-"""Which statements a router passes on with its heartbeats, and how often."""
+"""Selection of the membership updates that a router gossips with its heartbeats."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @define
 class Rumour:
-    """A statement that is still being passed on, and how often it was."""
+    """An update that is still being gossiped, and how often it was sent."""
 
     update: MemberUpdate
     sent: int = 0
 
 
-def urgency(rumour: Rumour) -> tuple[bool, int]:
-    """Return the rank of a statement; the least goes first.
+def send_priority(rumour: Rumour) -> tuple[bool, int]:
+    """Return the rank of an update; the lowest rank is sent first.
 
-    When a whole fleet starts at once there are as many new members to tell of as
-    routers.  A suspicion or its refutation must not wait behind them, which would
-    show as healthy routers called gone; pages carry the new members anyway.
+    When a whole fleet starts at once, there are as many updates about new members as
+    routers.  Suspicions and their refutations must not queue behind them, or healthy
+    routers would be declared gone.  New members are also sent in pages.
     """
     update = rumour.update
     joins = update.status is MemberStatus.ALIVE and update.revision == 0
@@ -33,34 +33,34 @@
 
 @define
 class Rumours:
-    """The statements that are still being passed on.
+    """The updates that are still being gossiped.
 
     Attributes:
-        limit: The most statements in one message.
-        repeats: How often each is passed on, for each doubling of the fleet's size.
-        waiting: The latest statement about each router.
+        limit: The maximum number of updates in one message.
+        repeats: How often each is sent, for each doubling of the fleet's size.
+        pending: The latest update about each router.
     """
 
     limit: int
     repeats: float
-    waiting: dict[RouterId, Rumour] = field(factory=dict)
+    pending: dict[RouterId, Rumour] = field(factory=dict)
 
     def add(self, update: MemberUpdate) -> None:
-        """Pass a statement on; it takes the place of an earlier one."""
-        self.waiting[update.router] = Rumour(update)
+        """Gossip an update; it replaces an earlier one about the same router."""
+        self.pending[update.router] = Rumour(update)
 
-    def take(self, to: RouterId, size: int) -> tuple[MemberUpdate, ...]:
-        """Choose the statements for one message, the least repeated first.
+    def next_updates(self, to: RouterId, size: int) -> tuple[MemberUpdate, ...]:
+        """Return the updates for one message, the least often sent first.
 
         Args:
-            to: Who receives them; nothing is said of the receiver itself here.
+            to: The receiver; updates about itself are left out.
             size: How many routers the fleet has.
         """
-        enough = math.ceil(self.repeats * math.log2(size + 2))
-        others = [one for one in self.waiting.values() if one.update.router != to]
-        chosen = heapq.nsmallest(self.limit, others, key=urgency)
+        max_sends = math.ceil(self.repeats * math.log2(size + 2))
+        others = [one for one in self.pending.values() if one.update.router != to]
+        chosen = heapq.nsmallest(self.limit, others, key=send_priority)
         for rumour in chosen:
             rumour.sent += 1
-            if rumour.sent >= enough:
-                del self.waiting[rumour.update.router]
+            if rumour.sent >= max_sends:
+                del self.pending[rumour.update.router]
         return tuple(rumour.update for rumour in chosen)
--- a/ebonyhold/coordination/_seen.py
+++ b/ebonyhold/coordination/_seen.py
@@ -1,4 +1,4 @@
-"""A row as last read, with the check that proves it has not changed since."""
+"""A row as last read, with the check that it has not changed since."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @frozen
 class Seen(Generic[T]):
-    """One key of the table, as one reader saw it.
+    """One key of the table as last read, with its typed value.
 
     Attributes:
         key: The row's key.
-        version: The version read; 0 when there was no row.
-        value: What the row held; None when there was no row.
+        version: The version read; 0 if there was no row.
+        value: The row's value; None if there was no row.
     """
 
     key: str
@@ -28,21 +28,21 @@
 
     @property
     def check(self) -> Check:
-        """Return the check that holds while nobody has changed the row."""
+        """The check that holds while the row is unchanged."""
         if self.version == 0:
             return Absent(self.key)
         return AtVersion(self.key, self.version)
 
     def put(self, value: T) -> Put:
-        """Return the write that replaces the row."""
+        """Return the write that replaces the row's value."""
         return Put(self.key, to_json(value))
 
 
 def seen(key: str, row: Row | None, as_type: type[T]) -> Seen[T]:
-    """Type a row as read.
+    """Return a row as read, with its value converted to a type.
 
     Raises:
-        cattrs.BaseValidationError: The row does not have that form.
+        cattrs.BaseValidationError: The value does not match the type.
     """
     if row is None:
         return Seen(key)
--- a/ebonyhold/coordination/_startup.py
+++ b/ebonyhold/coordination/_startup.py
@@ -1,10 +1,10 @@
-"""How long a router that starts waits before it turns to the platform.
+"""How long a starting router waits before it calls the platform.
 
-After a power cut all routers start within a second, and each reads the whole
-configuration.  Together that is many times what the platform serves in a second;
-refused calls that are repeated in step keep it so.  A router that finds the fleet
-running starts at once; one that finds nobody waits its random part of the time
-that the whole fleet needs.
+After a power failure all routers start within a second, and each reads the whole
+configuration.  Together these reads are many times what the platform serves per second,
+and synchronized retries would keep it overloaded.  A router that finds the fleet
+running starts immediately.  One that finds few routers waits for a random share of the
+time that the whole fleet needs.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
 @frozen
 class StartupPolicy:
-    """How starts are spread.
+    """How starts of routers are spread over time.
 
     Attributes:
-        rate: Starts a second that the platform carries beside its other work.
-        quorum: The part of the listed routers that must be alive for this start
-            to be one among few.
-        assumed: How many routers start when no list could be read.
-        most: The longest wait, in seconds.
-        backoff: The waits after refused calls.  They are not widened to the
-            fleet's size: once the first calls are spread, that only delays.
+        rate: Starts per second that the platform can serve besides its other work.
+        quorum: The share of the listed routers that must be alive to treat this as a
+            single start.
+        assumed_size: The assumed number of routers if no list could be read.
+        max_spread: The longest wait, in seconds.
+        backoff: The waits after refused calls.  They are not scaled with the fleet's
+            size: once the first calls are spread, that would only add delay.
     """
 
     rate: float = 30.0
     quorum: float = 0.5
-    assumed: int = 9
-    most: Seconds = 20.0
+    assumed_size: int = 9
+    max_spread: Seconds = 20.0
     backoff: Backoff = field(factory=lambda: Backoff(first=0.25, most=10.0))
 
     def spread(self, listed: int | None) -> Seconds:
-        """Return the time over which a fleet of that size starts."""
-        size = self.assumed if listed is None else listed
-        return min(self.most, size / self.rate)
+        """Return the time over which the starts of a fleet are spread."""
+        size = self.assumed_size if listed is None else listed
+        return min(self.max_spread, size / self.rate)
 
     def first_wait(self, listed: int | None, alive: int, chance: float) -> Seconds:
         """Return the wait before the first call.
 
         Args:
-            listed: Routers in the platform's list, or None when it is away.
+            listed: Routers in the platform's list, or None if it could not be read.
             alive: Routers that have answered this one.
             chance: A random number from 0 to 1, drawn by the caller.
 
@@ -53,7 +53,7 @@
         >>> StartupPolicy().first_wait(listed=330, alive=2, chance=0.5)
         5.5
         """
-        size = self.assumed if listed is None else listed
+        size = self.assumed_size if listed is None else listed
         if alive >= self.quorum * size:
             return 0.0
         return self.spread(listed) * chance
--- a/ebonyhold/coordination/_stops.py
+++ b/ebonyhold/coordination/_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: who may get new work at a given time."""
+"""Planned stops: which backend servers get no new work at a given time."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from ebonyhold.types import BackendName, RequestId, Seconds
 
 CLOCK_MARGIN: Seconds = 1.0
-"""Clocks of VMs differ; new work ends this much before a stop starts."""
+"""New work ends this long before a planned stop, because clocks of VMs differ."""
 
 
 @frozen
 class PlannedStop:
-    """A time in which a backend server or a failure domain gets no new work.
+    """A period in which a backend server or a failure domain gets no new work.
 
     Attributes:
-        name: Unique in the document.
+        name: Unique in the configuration document.
         starts: Seconds since the epoch.
         ends: Seconds since the epoch.
         backend: The backend server, or empty.
@@ -31,20 +31,20 @@
     domain: str = ""
 
     def covers(self, backend: BackendName, domain: str) -> bool:
-        """Return whether this stop is about a backend server."""
+        """Return whether this stop applies to a backend server."""
         if self.backend:
             return self.backend == backend
         return bool(self.domain) and self.domain == domain
 
     def active(self, now: Seconds) -> bool:
-        """Return whether new work is kept away at a time."""
+        """Return whether new work is withheld at a time."""
         return self.starts - CLOCK_MARGIN <= now < self.ends
 
 
 def is_stopped(
     stops: Iterable[PlannedStop], backend: BackendName, domain: str, now: Seconds
 ) -> bool:
-    """Return whether any planned stop keeps new work from a backend server.
+    """Return whether any planned stop withholds new work from a backend server.
 
     >>> night = PlannedStop("night", 100.0, 200.0, domain="north")
     >>> [is_stopped([night], "e1", "north", at) for at in (98.0, 99.5, 200.0)]
@@ -55,12 +55,12 @@
 
 @frozen
 class InProgress:
-    """A request that a backend server still runs.
+    """A request that a backend server is running.
 
     Attributes:
         request: The request.
-        backend: Where it runs.
-        since: When it began, seconds since the epoch.
+        backend: The backend server.
+        since: When it started, in seconds since the epoch.
     """
 
     request: RequestId
@@ -70,11 +70,11 @@
 
 @frozen
 class Holding:
-    """What still holds one leaving backend server.
+    """A leaving backend server and the requests that it must still finish.
 
     Attributes:
-        backend: The server that leaves.
-        requests: What it still runs, oldest first; empty when it is free to go.
+        backend: The leaving server.
+        requests: The requests that it still runs, oldest first; empty when it can stop.
     """
 
     backend: BackendName
@@ -84,7 +84,7 @@
 def holdings(
     leaving: Sequence[BackendName], running: Iterable[InProgress]
 ) -> tuple[Holding, ...]:
-    """Return what still holds each leaving backend server."""
+    """Return the requests that each leaving backend server must still finish."""
     by_backend: dict[BackendName, list[InProgress]] = {name: [] for name in leaving}
     for request in running:
         if request.backend in by_backend:
--- a/ebonyhold/coordination/_suspicions.py
+++ b/ebonyhold/coordination/_suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions of silent members, until a sign of life or a verdict ends them."""
+"""Suspicions of silent members, until a message refutes or a timeout confirms them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     MemberUpdate,
     MemberView,
 )
-from ebonyhold.coordination._recoverable import RecoveryJudge
+from ebonyhold.coordination._recoverable import RecoveryEligibility
 from ebonyhold.types import RouterId, Seconds
 
 
@@ -23,24 +23,24 @@
 
     Attributes:
         view: What the router knows of the others.
-        judge: Says how long a suspicion lasts.
-        options: Times and bounds.
+        eligibility: Determines how long a suspicion lasts.
+        options: The protocol's parameters.
         raised: Counts the suspicions raised here.
     """
 
     view: MemberView
-    judge: RecoveryJudge
+    eligibility: RecoveryEligibility
     options: MembershipOptions
     raised: int = 0
 
     def postpone(self, late: Seconds) -> None:
-        """Move all suspicions by a time in which this process did not run."""
+        """Extend all suspicions by the length of a pause of this process."""
         for member in self.view.members.values():
             if member.silent_at is not None:
                 member.silent_at += late
 
-    def raise_against(self, router: RouterId, now: Seconds) -> MemberUpdate | None:
-        """Suspect a member that did not answer; return the statement if it is new."""
+    def suspect(self, router: RouterId, now: Seconds) -> MemberUpdate | None:
+        """Suspect a member that did not answer; return the update if it is new."""
         member = self.view.members.get(router)
         if member is None or not member.present:
             return None
@@ -52,25 +52,25 @@
         return evolve(member.update, status=MemberStatus.SUSPECT)
 
     def expire(self, now: Seconds) -> Iterator[MemberUpdate]:
-        """Yield whom to call gone, as their time has run out; forget the long gone."""
+        """Yield updates that declare members gone; remove long-gone members."""
         for member in list(self.view.members.values()):
             if member.gone_at is not None:
                 self.forget(member, member.gone_at, now)
-            elif member.silent_at is not None and self.is_over(member, now):
+            elif member.silent_at is not None and self.has_expired(member, now):
                 yield evolve(member.update, status=MemberStatus.GONE)
 
     def forget(self, member: Member, gone_at: Seconds, now: Seconds) -> None:
-        """Drop a member that has been gone for long and will not come back."""
+        """Remove a member that has been gone for long and will not return."""
         listed = self.view.listed
-        finished = listed is not None and member.update.name not in listed
-        old = now > gone_at + self.options.forget_after
-        if old and (finished or self.judge.is_superseded(member)):
+        unlisted = listed is not None and member.update.name not in listed
+        long_gone = now > gone_at + self.options.forget_after
+        if long_gone and (unlisted or self.eligibility.is_superseded(member)):
             self.view.forget(member)
 
-    def is_over(self, member: Member, now: Seconds) -> bool:
-        """Say whether a suspicion has run out; a sign of life since ends it."""
+    def has_expired(self, member: Member, now: Seconds) -> bool:
+        """Return whether a suspicion has timed out; a newer message ends it."""
         assert member.silent_at is not None
-        if now < member.silent_at + self.judge.suspicion_length(member):
+        if now < member.silent_at + self.eligibility.suspicion_length(member):
             return False
         if member.heard_at is not None and member.heard_at > member.silent_at:
             member.silent_at = None
