--- a/ebonyhold/coordination/_transactions.py
+++ b/ebonyhold/coordination/_transactions.py
@@ -1,7 +1,7 @@
-"""Conditional multi-row transactions, as the platform's table service takes them.
+"""Conditional multi-row transactions, as the platform's table service accepts them.
 
-The decisions of this library return these; whoever embeds it carries them to a
-table of their own.
+The functions of this library return transactions; a program that embeds it commits them
+to its own table.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
     Attributes:
         key: The row's key.
-        version: Counts the row's writes, from 1.
-        value: What the row holds.
+        version: Counts the writes of the row, from 1.
+        value: The row's value.
     """
 
     key: str
@@ -30,14 +30,14 @@
 
 @frozen
 class Absent:
-    """Holds while no row has this key."""
+    """Check that no row has this key."""
 
     key: str
 
 
 @frozen
 class AtVersion:
-    """Holds while the row is exactly at this version."""
+    """Check that the row is at exactly this version."""
 
     key: str
     version: int
@@ -48,7 +48,7 @@
 
 @frozen
 class Put:
-    """Writes a whole row."""
+    """Write that sets the value of a row."""
 
     key: str
     value: Json
@@ -56,7 +56,7 @@
 
 @frozen
 class Delete:
-    """Removes a row, if it is there."""
+    """Write that deletes a row, if it exists."""
 
     key: str
 
@@ -66,14 +66,14 @@
 
 @frozen
 class Transaction:
-    """Writes that take effect together, if every check holds, or not at all."""
+    """Writes that take effect together if all checks hold, and otherwise not at all."""
 
     checks: tuple[Check, ...]
     writes: tuple[Write, ...]
 
 
 class Table(Protocol):
-    """The transactional table service, as this library needs it."""
+    """The interface that this library needs of a transactional table service."""
 
     async def read(self, keys: tuple[str, ...]) -> tuple[Row | None, ...]:
         """Read rows, in the order of the keys.
@@ -96,14 +96,14 @@
 
         Raises:
             ConflictError: A check failed; nothing was written.
-            UnavailableError: It certainly had no effect.
+            UnavailableError: It had no effect.
             UnknownOutcomeError: It may have taken effect.
         """
         ...
 
 
 class Objects(Protocol):
-    """The object store, as this library needs it."""
+    """The interface that this library needs of an object store."""
 
     async def get(self, key: str) -> bytes | None:
         """Read an object, or None when there is none.
@@ -117,14 +117,14 @@
         """Write an object.
 
         Raises:
-            ConflictError: There is one already, and `if_absent` was asked.
-            UnavailableError: It certainly had no effect.
+            ConflictError: The object exists and `if_absent` is set.
+            UnavailableError: It had no effect.
             UnknownOutcomeError: It may have taken effect.
         """
         ...
 
     async def delete(self, key: str) -> None:
-        """Remove an object, if it is there.
+        """Delete an object, if it exists.
 
         Raises:
             UnavailableError: The store cannot be reached.
--- a/ebonyhold/coordination/_transfers.py
+++ b/ebonyhold/coordination/_transfers.py
@@ -1,8 +1,8 @@
-"""Transfers of tokens between two routers' grants, without the table.
+"""Transfers of tokens between two routers' grants, made without the table.
 
-A transfer's name holds both ends, so that a receiver can tell that it is meant.
-It is settled in the table by one transaction on both grants, which keeps the
-sum of all grants equal to the budget's outstanding tokens at every moment.
+A transfer's name contains giver and receiver, so a receiver can check that it is meant
+for it.  The table is updated later, by one transaction on both grants: at any time the
+sum of all grants equals the budget's outstanding tokens.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def transfer_name(source: RouterId, to: RouterId, serial: int) -> str:
-    """Name a transfer.
+    """Return the name of a transfer.
 
     >>> transfer_name("a.1", "b.2", 3)
     'a.1~b.2~3'
@@ -35,7 +35,7 @@
 
 
 def transfer_ends(transfer: str) -> tuple[RouterId, RouterId]:
-    """Return the source and the receiver that a transfer's name holds.
+    """Return the giver and the receiver in a transfer's name.
 
     >>> transfer_ends("a.1~b.2~3")
     ('a.1', 'b.2')
@@ -52,19 +52,19 @@
     workspace: WorkspaceName,
     amount: Tokens,
 ) -> Transaction | None:
-    """Move tokens from the source's grant to the receiver's; None when done before.
+    """Plan to move tokens from the giver's grant to the receiver's; None if done.
 
-    Only who reads the receipt in the receiver's journal may ask for this: the
-    receiver itself, or whoever sealed it.
+    Only the receiver itself or the router that sealed it may call this, because it
+    requires the receipt in the receiver's journal.
 
     Args:
         transfer: The transfer's row.
-        router: The receiver's row, checked so that a sealed receiver's own
-            settlement cannot arrive behind its recovery.
+        router: The receiver's row; it is checked, so a sealed receiver's own settlement
+            cannot take effect after its recovery.
         source: The giver's grant.
         receiver: The receiver's grant.
-        workspace: Whose tokens.
-        amount: How many.
+        workspace: The workspace whose tokens are transferred.
+        amount: Number of tokens.
     """
     old = transfer.value
     if old is not None and old.state is not TransferState.PENDING:
@@ -72,14 +72,16 @@
     name = transfer.key.removeprefix(transfer_key(""))
     giver, to = transfer_ends(name)
     settled = TransferRow(workspace, giver, to, amount, TransferState.SETTLED)
-    gave = source.value or GrantRow()
-    got = receiver.value or GrantRow()
+    out_row = source.value or GrantRow()
+    in_row = receiver.value or GrantRow()
     return Transaction(
         (transfer.check, router.check, source.check, receiver.check),
         (
             transfer.put(settled),
-            source.put(evolve(gave, transferred_out=gave.transferred_out + amount)),
-            receiver.put(evolve(got, transferred_in=got.transferred_in + amount)),
+            source.put(
+                evolve(out_row, transferred_out=out_row.transferred_out + amount)
+            ),
+            receiver.put(evolve(in_row, transferred_in=in_row.transferred_in + amount)),
         ),
     )
 
@@ -87,7 +89,7 @@
 def announce_transfer(
     transfer: Seen[TransferRow], workspace: WorkspaceName, amount: Tokens
 ) -> Transaction | None:
-    """Write a closing giver's transfer into the table; None when it stands there."""
+    """Plan to write a closing giver's transfer to the table; None if it is there."""
     if transfer.value is not None:
         return None
     source, to = transfer_ends(transfer.key.removeprefix(transfer_key("")))
@@ -101,11 +103,11 @@
     source: Seen[GrantRow],
     budget: Seen[BudgetRow],
 ) -> Transaction | None:
-    """Return a transfer that never arrived to the budget; None when it may arrive.
+    """Plan to return a lost transfer to the budget; None while it may still arrive.
 
-    A closed receiver has settled every receipt of its journal and can write no
-    more, so a transfer still pending then was lost on its way.  Until that is
-    known its tokens stay stranded: they might have been spent over there.
+    A closed receiver has settled every receipt in its journal and cannot write any
+    more, so a transfer that is still pending never arrived.  Until the receiver is
+    closed the tokens stay stranded, because it may have spent them.
     """
     row = transfer.value
     if row is None or row.state is not TransferState.PENDING:
@@ -113,13 +115,13 @@
     closed = receiver.value is not None and receiver.value.state is RouterState.CLOSED
     if not closed or source.value is None or budget.value is None:
         return None
-    gave = source.value
+    out_row = source.value
     before = budget.value
     return Transaction(
         (transfer.check, receiver.check, source.check, budget.check),
         (
             transfer.put(evolve(row, state=TransferState.LAPSED)),
-            source.put(evolve(gave, returned=gave.returned + row.amount)),
+            source.put(evolve(out_row, returned=out_row.returned + row.amount)),
             budget.put(evolve(before, outstanding=before.outstanding - row.amount)),
         ),
     )
@@ -132,9 +134,10 @@
     workspace: WorkspaceName,
     amount: Tokens,
 ) -> Transaction | None:
-    """Let a living giver take back what a closed receiver never settled.
+    """Plan for a running giver to take back a transfer that never arrived.
 
-    No grant changes: by the table's word the tokens never left the giver.
+    The receiver must be closed without having settled it.  No grant row changes,
+    because in the table the tokens never left the giver.
     """
     row = receiver.value
     if row is None or row.state is not RouterState.CLOSED:
@@ -149,6 +152,6 @@
 
 
 def grant_keys(transfer: str, workspace: WorkspaceName) -> tuple[str, str]:
-    """Return the keys of the two grants that a transfer touches."""
+    """Return the keys of the two grants of a transfer."""
     source, to = transfer_ends(transfer)
     return grant_key(source, workspace), grant_key(to, workspace)
--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the coordination parts."""
+"""Tests of the coordination package."""
--- a/tests/coordination/test_admission.py
+++ b/tests/coordination/test_admission.py
@@ -1,4 +1,4 @@
-"""Who starts, who waits and who is refused."""
+"""Admission: order of starts, waiting, refusal and shedding."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         pytest.param([("a", 0)], {}, 0, [], id="nothing free"),
     ],
 )
-def test_order(
+def test_order_of_starts(
     offers: list[tuple[str, int]],
     shares: dict[str, Share],
     free: int,
@@ -62,11 +62,10 @@
     assert numbers(queue.start(free, 0.0)) == started
 
 
-def test_a_workspace_that_floods_is_refused_alone() -> None:
+def test_only_the_flooding_workspace_is_refused() -> None:
     """One workspace sends a thousand requests at once, another sends one.
 
-    The flood fills its own bound and is refused there; the other one starts
-    next.
+    The flood fills its own limit and is refused there; the other request starts next.
     """
     queue = AdmissionQueue()
     flood = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
@@ -76,11 +75,11 @@
     assert numbers(queue.start(2, 0.0)) == [0, 1000]
 
 
-def test_a_request_that_cannot_begin_in_time_is_refused_at_once() -> None:
-    """Completions come one a second and five requests wait.
+def test_a_request_that_cannot_start_in_time_is_refused_immediately() -> None:
+    """Requests complete at one per second and five are waiting.
 
-    A sixth that allows two seconds is refused when it comes, not two seconds
-    later, and is told how long the queue takes.
+    A sixth one with a deadline in two seconds is refused immediately, and is given the
+    time that the queue takes to drain.
     """
     queue = AdmissionQueue()
     for number in range(3):
@@ -95,9 +94,9 @@
 
 
 def test_a_burst_waits_and_a_standing_queue_sheds() -> None:
-    """Two requests wait half a second in a burst: both stay.
+    """In a burst, two requests may wait for half a second.
 
-    In a queue that has stood for longer than a second, the old one is given up
+    When the queue has not been empty for more than a second, the old requests are shed
     and the newest starts first.
     """
     queue = AdmissionQueue()
@@ -110,7 +109,7 @@
     assert numbers(queue.start(1, 1.2)) == [3]
 
 
-def test_deadlines_and_departures() -> None:
+def test_deadlines_and_cancelled_requests() -> None:
     queue = AdmissionQueue()
     tickets = [ticket(n, deadline=float(n)) for n in range(1, 4)]
     for item in tickets:
--- a/tests/coordination/test_bills.py
+++ b/tests/coordination/test_bills.py
@@ -1,4 +1,4 @@
-"""What one row takes: the first bill, a better one, and nothing else."""
+"""Filing bills: the first bill, replacement by better evidence, and claims."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         (S.NOT_RUN, "b.1~9~1", S.NOT_RUN, Verdict.LEAVE),
     ],
 )
-def test_verdict(
+def test_how_a_bill_is_filed(
     row: RequestState | None, attempt: str, bill: RequestState, verdict: Verdict
 ) -> None:
     old = evolve(ROW, state=row, attempt=attempt) if row else None
@@ -66,10 +66,10 @@
         (evolve(ROW, state=S.COMPLETE, charge=15), 100, 15, 0, 500),
     ],
 )
-def test_settlement_keeps_the_sums(
+def test_settlement_keeps_the_totals(
     old: RequestRow | None, held: int, charge: int, paid: int, spent: int
 ) -> None:
-    """The budget moves by exactly what the row and the grant move."""
+    """The budget changes by exactly as much as the request's row and the grant."""
     budget = Seen("budget/w", 3, BudgetRow(1000, held, 500))
     grant = Seen("grant/a.1/w", 2, GrantRow(drawn=held, sequence=4))
     request = Seen(BILL.key, 1 if old else 0, old)
@@ -94,13 +94,13 @@
         (-5, -5, 0, 0),
     ],
 )
-def test_draws_and_returns_stay_in_bounds(
+def test_draws_and_returns_stay_within_bounds(
     draw: int, give_back: int, drawn: int, returned: int
 ) -> None:
     budget = Seen("budget/w", 3, BudgetRow(1000, 100, 500))
     grant = Seen("grant/a.1/w", 2, GrantRow(drawn=100))
-    wish = LedgerChange(draw=draw, give_back=give_back)
-    plan = plan_settlement("a.1", ROUTER, budget, grant, {}, wish, 9.0)
+    change = LedgerChange(draw=draw, give_back=give_back)
+    plan = plan_settlement("a.1", ROUTER, budget, grant, {}, change, 9.0)
     assert (plan.drawn, plan.returned) == (drawn, returned)
     assert plan.budget.remaining >= 0
 
@@ -155,10 +155,10 @@
         (S.COMPLETE, ClaimAnswer.RUN_UNBILLED),
     ],
 )
-def test_claim_where_the_service_runs_a_key_once(
+def test_claim_if_the_service_executes_a_key_once(
     state: RequestState, answer: ClaimAnswer
 ) -> None:
-    """A booking may be sent again to a service that honours its key."""
+    """A booking may be sent again to a service that executes each key only once."""
     row = evolve(BOOKED, state=state)
     decision = decide_claim(row, RequestKind.BOOKING, "d", deduplicated=True)
     assert decision.answer is answer
--- a/tests/coordination/test_codec.py
+++ b/tests/coordination/test_codec.py
@@ -1,4 +1,4 @@
-"""Rows survive the way through JSON."""
+"""Rows are unchanged after encoding and decoding."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_cover.py
+++ b/tests/coordination/test_cover.py
@@ -1,4 +1,4 @@
-"""Grants that cover an outage settle at a size, and shrink as a budget empties."""
+"""The outage cover policy: stable grants, which shrink as a budget runs out."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ebonyhold.coordination import BudgetRow, GrantView, OutageCover, change_budget
 
 
-def play(routers: list[float], prepaid: int, rounds: int) -> tuple[list[int], int]:
-    """Let routers with these demands size their grants in turn.
+def simulate(routers: list[float], prepaid: int, rounds: int) -> tuple[list[int], int]:
+    """Let routers with the given demands size their grants in turn.
 
     Returns:
-        What each holds, and how many changes the last rounds made.
+        The tokens that each router holds, and the number of changes in the last rounds.
     """
     policy = OutageCover()
     budget = BudgetRow(prepaid=prepaid)
@@ -36,29 +36,30 @@
 
 
 @pytest.mark.parametrize("rate", [1_000.0, 20_000.0, 50_000.0, 200_000.0])
-def test_a_router_that_holds_most_of_a_budget_does_not_swing(rate: float) -> None:
-    """One router serves all of a workspace's callers.
+def test_a_router_that_holds_most_of_a_budget_does_not_oscillate(rate: float) -> None:
+    """Guards against a router that alternately draws and returns the whole budget.
 
-    It drew all, saw the budget empty, returned all, and so on at each look.  A cut
-    then met it with 2,056 tokens while 396,071 lay in the budget.
+    One router serves all callers of a workspace.  It drew the whole budget, then read
+    an empty budget and returned all, and so on.  In an outage it had 2,056 tokens while
+    396,071 remained in the budget.
     """
-    held, changes = play([rate], 500_000, 12)
+    held, changes = simulate([rate], 500_000, 12)
     assert changes == 0
     assert held[0] >= min(9 * rate, 500_000) * 0.5
 
 
 def test_grants_follow_the_demand() -> None:
-    held, changes = play([1_000.0, 4_000.0, 16_000.0], 300_000, 12)
+    held, changes = simulate([1_000.0, 4_000.0, 16_000.0], 300_000, 12)
     assert held[0] < held[1] < held[2]
     assert sum(held) < 300_000
     assert changes == 0
 
 
 def test_an_ample_budget_covers_every_router() -> None:
-    held, _ = play([1_000.0] * 9, 50_000_000, 6)
+    held, _ = simulate([1_000.0] * 9, 50_000_000, 6)
     assert all(amount >= 9_000 * 0.8 for amount in held)
 
 
-def test_nothing_is_wanted_of_an_empty_budget() -> None:
+def test_no_tokens_are_wanted_from_an_empty_budget() -> None:
     view = GrantView(rate=1000.0, typical=100, budget=BudgetRow(prepaid=0))
     assert OutageCover().wanted(view) == 0
--- a/tests/coordination/test_imports.py
+++ b/tests/coordination/test_imports.py
@@ -1,4 +1,4 @@
-"""The library of coordination parts stays embeddable."""
+"""The coordination package stays embeddable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
 def test_no_module_imports_another_package(path: Path) -> None:
-    """Whoever embeds one part would else carry a web server along."""
+    """Embedding the package must not require other packages, such as the web server."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     names = [
         node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)
@@ -27,7 +27,7 @@
     assert [name for name in ours if not name.startswith(ALLOWED)] == []
 
 
-def test_importing_it_loads_nothing_heavy() -> None:
+def test_importing_it_loads_no_network_library() -> None:
     code = "import sys, ebonyhold.coordination; print(*sys.modules)"
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: who may take one, who loses one, and lost answers."""
+"""Leases: acquisition, renewal, release, and lost answers."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 def acquire(current: Row | None, since: float | None, now: float) -> LeasePlan | None:
-    sighting = None
+    observation = None
     if current is not None and since is not None:
-        sighting = LeaseSighting(current.version, since)
-    return plan_acquire("orders", "b.1", current, sighting, LENGTH, now)
+        observation = LeaseSighting(current.version, since)
+    return plan_acquire("orders", "b.1", current, observation, LENGTH, now)
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
         (row("b.1", 4, 9), 100.0, 105.0, None),
     ],
 )
-def test_who_may_take_it(
+def test_who_may_acquire_it(
     current: Row | None, since: float | None, now: float, fencing: int | None
 ) -> None:
     plan = acquire(current, since, now)
@@ -57,17 +57,17 @@
     assert taken == fencing
 
 
-def test_a_renewal_that_was_seen_starts_the_wait_again() -> None:
+def test_an_observed_renewal_restarts_the_wait() -> None:
     first = sight_lease(None, row("a.1", 1, 1), 0.0)
     assert sight_lease(first, row("a.1", 1, 1), 9.0) == first
     assert sight_lease(first, row("a.1", 1, 2), 9.0) == LeaseSighting(2, 9.0)
 
 
-def test_the_holder_stops_believing_before_others_may_take_it() -> None:
-    """The holder renews, and the answer takes seven seconds to come.
+def test_the_holder_stops_acting_before_others_may_take_it() -> None:
+    """Guards against a lease whose time counts from the answer to a renewal.
 
-    If it counted its lease from the answer, it would still send orders when
-    another router had waited out the length and taken over.
+    If the answer is late, the holder would still send orders after another router has
+    waited for the full length and taken the lease.
     """
     held = HeldLease("orders", LeaseRow("a.1", 1, LENGTH), 1, 10.0)
     sent_at = 5.0
@@ -79,12 +79,12 @@
 
 
 def test_checks_of_the_plans() -> None:
-    fresh = acquire(None, None, 0.0)
-    assert fresh is not None and fresh.outcome is not None
-    assert fresh.transaction.checks == (Absent(KEY),)
-    renewal = plan_renew(fresh.outcome, 1.0)
+    first = acquire(None, None, 0.0)
+    assert first is not None and first.outcome is not None
+    assert first.transaction.checks == (Absent(KEY),)
+    renewal = plan_renew(first.outcome, 1.0)
     assert renewal.transaction.checks == (AtVersion(KEY, 1),)
-    release = plan_release(fresh.outcome)
+    release = plan_release(first.outcome)
     assert release.outcome is None
     assert release.transaction.writes == (Put(KEY, to_json(LeaseRow("", 1, LENGTH))),)
 
@@ -102,12 +102,12 @@
 def test_a_lost_answer_is_resolved_by_reading_back(
     found: Row | None, mine: bool
 ) -> None:
-    """The commit took effect, or another router's did; the answer never came."""
+    """The answer to a commit was lost; either it or another router's took effect."""
     plan = acquire(row("a.1", 4, 9), 0.0, 100.0)
     assert plan is not None
     assert (resolve_lease(plan, found) is not None) == mine
 
 
 def test_a_row_of_another_form_is_an_error() -> None:
-    with pytest.raises(ValueError, match="no lease"):
+    with pytest.raises(ValueError, match="does not hold a lease"):
         parse_lease(Row(KEY, 1, {"holder": "a.1"}))
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership view and protocol, on a virtual clock."""
+"""The membership view and protocol, with a virtual clock."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return f"10.0.0.{number}:7300"
 
 
-def settled(
+def converged(
     size: int = SIZE, network: Network | None = None, seed: int = 1
 ) -> BeatFleet:
     fleet = start_fleet(size, network or Network(), MembershipOptions(), seed)
@@ -41,7 +41,7 @@
     return [node for node in fleet.running() if node.membership.me.router != VICTIM]
 
 
-def verdicts(fleet: BeatFleet, router: str = VICTIM) -> set[MemberStatus]:
+def statuses_of(fleet: BeatFleet, router: str = VICTIM) -> set[MemberStatus]:
     views = [node.membership.view.members for node in others(fleet)]
     return {view[router].update.status for view in views if router in view}
 
@@ -62,13 +62,13 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.lists(updates, max_size=8), st.randoms(use_true_random=False))
-def test_the_order_of_statements_does_not_matter(
-    said: list[MemberUpdate], rng: random.Random
+def test_the_order_of_updates_does_not_matter(
+    received: list[MemberUpdate], rng: random.Random
 ) -> None:
-    shuffled = said + said[:3]
+    shuffled = received + received[:3]
     rng.shuffle(shuffled)
     one, other = MemberView(), MemberView()
-    for update in said:
+    for update in received:
         one.merge(update, 0.0)
     for update in shuffled:
         other.merge(update, 0.0)
@@ -96,9 +96,10 @@
 def test_no_message_of_a_peer_breaks_the_protocol(
     received: list[tuple[str, Beat]],
 ) -> None:
-    """A peer of another release, or with a fault, sends what makes no sense.
+    """Guards against a failure caused by meaningless messages from a faulty peer.
 
-    The router stays alive in its own view, counts right, and goes on.
+    The router must stay alive in its own view, count its members correctly, and keep
+    probing.
     """
     own = MemberUpdate("me.1", "10.0.0.9:1", "d", MemberStatus.ALIVE)
     part = Membership(own, random.Random(1), 0.0)
@@ -115,22 +116,22 @@
 
 
 @pytest.mark.parametrize("size", [2, 3, 9, 30])
-def test_a_fleet_finds_itself(size: int) -> None:
-    fleet = settled(size)
+def test_all_routers_of_a_fleet_find_each_other(size: int) -> None:
+    fleet = converged(size)
     assert all(len(n.membership.alive()) == size - 1 for n in fleet.running())
     assert sum(n.membership.suspicions for n in fleet.running()) == 0
 
 
-def test_a_dead_router_is_called_gone_everywhere() -> None:
+def test_a_crashed_router_is_declared_gone_everywhere() -> None:
     """A VM loses power.
 
-    Every other router stops turning to it within seconds, calls it gone within
-    half a minute, and one of them recovers it; all agree on which.
+    Every other router declares it gone within half a minute, and all agree on the one
+    that recovers it.
     """
-    fleet = settled()
+    fleet = converged()
     fleet.nodes[address(1)].up = False
     fleet.run(fleet.now + 25.0)
-    assert verdicts(fleet) == {MemberStatus.GONE}
+    assert statuses_of(fleet) == {MemberStatus.GONE}
     fleet.run(fleet.now + 60.0)
     assert {n.membership.gone(fleet.now) for n in others(fleet)} == {(VICTIM,)}
     chosen = {
@@ -140,22 +141,22 @@
     assert len(chosen) == 1
 
 
-def test_a_router_missing_in_the_list_is_gone_sooner() -> None:
-    """The platform has already taken the VM off its list when it falls silent.
+def test_a_router_missing_in_the_list_is_declared_gone_sooner() -> None:
+    """A VM that falls silent has already been removed from the platform's list.
 
-    Two sources agree, so the verdict need not wait as long, and recovery may
-    begin at once.
+    Two sources agree, so it is declared gone sooner, and recovery may begin
+    immediately.
     """
     times = []
     for unlisted in (False, True):
-        fleet = settled()
+        fleet = converged()
         fleet.nodes[address(1)].up = False
         if unlisted:
             entries = [Listed(str(n), address(n)) for n in range(SIZE) if n != 1]
             for node in others(fleet):
                 node.membership.read_list(entries)
         start = fleet.now
-        while verdicts(fleet) != {MemberStatus.GONE}:
+        while statuses_of(fleet) != {MemberStatus.GONE}:
             fleet.run(fleet.now + 0.5)
         times.append(fleet.now - start)
         recovered = {n.membership.gone(fleet.now) for n in others(fleet)}
@@ -166,31 +167,31 @@
 @pytest.mark.parametrize(
     ("pause", "convicted"), [(1.0, False), (3.0, False), (30.0, True)]
 )
-def test_a_paused_router_comes_back(pause: float, convicted: bool) -> None:
-    """A VM is frozen for a while, and goes on as if nothing had happened.
+def test_a_paused_router_becomes_alive_again(pause: float, convicted: bool) -> None:
+    """A VM is paused and then continues.
 
-    A short pause is at most a suspicion.  After a long one the others call it
-    gone; it hears of that, refutes it, and is alive again for everybody.  It
-    itself must not take the time it slept for the others' silence.
+    A short pause causes at most a suspicion.  After a long one the other routers
+    declare it gone; it refutes this, and all consider it alive again.  It must not take
+    its own pause for silence of the others.
     """
-    fleet = settled()
+    fleet = converged()
     victim = fleet.nodes[address(1)]
     victim.paused_until = fleet.now + pause
     fleet.run(fleet.now + pause - 0.01)
-    assert (MemberStatus.GONE in verdicts(fleet)) == convicted
+    assert (MemberStatus.GONE in statuses_of(fleet)) == convicted
     fleet.run(fleet.now + 30.0)
-    assert verdicts(fleet) == {MemberStatus.ALIVE}
+    assert statuses_of(fleet) == {MemberStatus.ALIVE}
     assert victim.membership.suspicions == 0
     assert len(victim.membership.alive()) == SIZE - 1
 
 
 def test_a_partition_heals() -> None:
-    """Two domains lose the other two for two minutes.
+    """Four of the nine routers are cut off from the others for two minutes.
 
-    Both sides call the other gone.  When the network is back, nobody has been
-    restarted, and every router is alive for every other again.
+    Both sides declare the other gone.  After the connection is back, every router is
+    alive for every other, without a restart.
     """
-    fleet = settled()
+    fleet = converged()
     side = {address(n) for n in range(4)}
     fleet.cut = lambda sender, receiver: (sender in side) != (receiver in side)
     fleet.run(fleet.now + 120.0)
@@ -200,56 +201,56 @@
     assert all(len(n.membership.alive()) == SIZE - 1 for n in fleet.running())
 
 
-def test_a_router_that_is_cut_off_recovers_nobody() -> None:
-    """One router's own network card fails, and it still reaches the platform.
+def test_an_isolated_router_recovers_no_other() -> None:
+    """One router's network card fails, but it still reaches the platform.
 
-    It hears from nobody and calls all the others gone.  If it sealed them, the
-    whole fleet would take new incarnations, again and again.
+    It receives no messages and declares all the others gone.  If it sealed them, the
+    whole fleet would start new incarnations again and again.
     """
-    fleet = settled()
+    fleet = converged()
     fleet.cut = lambda sender, receiver: address(1) in (sender, receiver)
     fleet.run(fleet.now + 700.0)
-    alone = fleet.nodes[address(1)].membership
-    assert alone.alive() == ()
-    assert alone.gone(fleet.now) == ()
+    isolated = fleet.nodes[address(1)].membership
+    assert isolated.alive() == ()
+    assert isolated.gone(fleet.now) == ()
     assert {n.membership.gone(fleet.now) for n in others(fleet)} == {(VICTIM,)}
 
 
-def test_the_next_incarnation_takes_the_place_of_the_one_before() -> None:
-    """A VM is replaced within a second, under the same name and address.
+def test_a_new_incarnation_replaces_the_previous_one() -> None:
+    """A VM is replaced within a second, with the same name and address.
 
-    The incarnation before is gone at once and can be recovered, though the
-    platform still lists the name, and nobody suspects the new one.
+    The previous incarnation is gone immediately and may be recovered, although the
+    platform still lists the name.  The new one is not suspected.
     """
-    fleet = settled()
+    fleet = converged()
     fleet.nodes[address(1)].up = False
     entries = [Listed(str(n), address(n)) for n in range(SIZE)]
     fleet.add("1", 2, entries)
     fleet.run(fleet.now + 10.0)
-    assert verdicts(fleet) == {MemberStatus.GONE}
-    assert verdicts(fleet, "1.2") == {MemberStatus.ALIVE}
+    assert statuses_of(fleet) == {MemberStatus.GONE}
+    assert statuses_of(fleet, "1.2") == {MemberStatus.ALIVE}
     recovered = {n.membership.gone(fleet.now) for n in fleet.running()}
     assert recovered <= {(VICTIM,), ()}
     assert (VICTIM,) in recovered
 
 
 def test_a_leaving_router_is_not_suspected() -> None:
-    """A router stops as planned and says so.
+    """A router stops as planned and announces it.
 
-    The others ask nothing more of it, and nobody raises a suspicion while it
-    finishes what it has in progress.
+    The others send it no new requests, and none suspects it while it finishes its
+    requests.
     """
-    fleet = settled()
+    fleet = converged()
     victim = fleet.nodes[address(1)]
     fleet.send(address(1), victim, victim.membership.leave())
     fleet.run(fleet.now + 5.0)
-    assert verdicts(fleet) == {MemberStatus.LEAVING}
+    assert statuses_of(fleet) == {MemberStatus.LEAVING}
     assert all(VICTIM not in n.membership.alive() for n in others(fleet))
     assert sum(n.membership.suspicions for n in fleet.running()) == 0
 
 
-def test_what_the_list_calls_leaving_is_not_turned_to() -> None:
-    fleet = settled()
+def test_a_router_listed_as_leaving_gets_no_requests() -> None:
+    fleet = converged()
     entries = [Listed(str(n), address(n), leaving=n == 1) for n in range(SIZE)]
     for node in others(fleet):
         node.membership.read_list(entries)
@@ -261,12 +262,12 @@
     [Network(loss=0.05), Network(lag=0.1), Network(delay=0.1, jitter=0.1)],
     ids=["loss", "busy", "slow"],
 )
-def test_no_false_verdict_under_load(network: Network) -> None:
-    """The fleet is busy or its network poor, and no router has failed.
+def test_no_running_router_is_declared_gone_under_load(network: Network) -> None:
+    """The fleet is busy or its network poor, but no router has failed.
 
     Suspicions may be raised, but each is refuted in time.
     """
-    fleet = settled(SIZE, network)
+    fleet = converged(SIZE, network)
     fleet.run(fleet.now + 300.0)
     statuses = {
         member.update.status
@@ -276,14 +277,14 @@
     assert MemberStatus.GONE not in statuses
 
 
-def test_many_that_fall_silent_together_are_left_alone_for_longer() -> None:
-    """A region loses the others for two minutes, and all its routers go on serving.
+def test_recovery_waits_longer_when_many_are_silent() -> None:
+    """A region is cut off for two minutes while all its routers keep serving.
 
-    The larger side calls a third of the fleet gone.  Sealing them would cut their
-    streams, and the platform still lists them, so nobody is recovered yet; if the
-    silence lasts, they are.
+    The larger side declares a third of the fleet gone.  Sealing them would cut their
+    streams, and the platform still lists them, so none is recovered yet.  They are
+    recovered if the silence lasts.
     """
-    fleet = settled()
+    fleet = converged()
     side = {address(n) for n in range(3)}
     fleet.cut = lambda sender, receiver: (sender in side) != (receiver in side)
     large = fleet.nodes[address(8)].membership
@@ -317,34 +318,34 @@
         "leaving",
     ],
 )
-def test_rows_of_routers_that_are_not_alive_here(
+def test_which_open_rows_may_be_recovered(
     router: str, unknown_for: float, allowed: bool
 ) -> None:
-    """The table has open rows of incarnations that heartbeats do not show as alive."""
-    fleet = settled()
+    """Open rows in the table of incarnations that are not alive here by heartbeats."""
+    fleet = converged()
     leaving = fleet.nodes[address(5)]
     fleet.send(address(5), leaving, leaving.membership.leave())
     fleet.run(fleet.now + 5.0)
-    asked = fleet.nodes[address(8)].membership
-    assert asked.may_recover(router, unknown_for, fleet.now) == allowed
+    reader = fleet.nodes[address(8)].membership
+    assert reader.may_recover(router, unknown_for, fleet.now) == allowed
 
 
-def test_a_router_that_is_cut_off_recovers_no_rows_either() -> None:
+def test_an_isolated_router_recovers_no_rows() -> None:
     """One router has been cut off from its peers since it started.
 
-    It reads open rows of the whole fleet in the table and knows nobody.
+    It reads open rows of the whole fleet in the table and knows no other router.
     """
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     fleet.cut = lambda sender, receiver: address(1) in (sender, receiver)
     fleet.run(60.0)
-    alone = fleet.nodes[address(1)].membership
-    assert not any(alone.may_recover(f"{n}.1", 1e6, 60.0) for n in range(2, SIZE))
+    isolated = fleet.nodes[address(1)].membership
+    assert not any(isolated.may_recover(f"{n}.1", 1e6, 60.0) for n in range(2, SIZE))
 
 
-def test_traffic_does_not_grow_with_the_fleet() -> None:
+def test_traffic_per_router_does_not_grow_with_the_fleet() -> None:
     rates = []
     for size in (30, 90):
-        fleet = settled(size)
+        fleet = converged(size)
         fleet.run(60.0)
         before = sum(node.sent_bytes for node in fleet.running())
         fleet.run(90.0)
@@ -353,7 +354,7 @@
     assert max(rates) < 1500.0
 
 
-def test_jobs_move_only_when_their_router_goes() -> None:
+def test_jobs_move_only_when_their_router_leaves() -> None:
     routers = [f"{n}.1" for n in range(9)]
     jobs = [f"job {n}" for n in range(900)]
     before = {job: responsible(job, routers) for job in jobs}
--- a/tests/coordination/test_policies.py
+++ b/tests/coordination/test_policies.py
@@ -1,4 +1,4 @@
-"""What each grant policy wants, given what it sees."""
+"""The change that each grant policy requests for a given view."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("name", sorted(grant_policies))
 @pytest.mark.parametrize("remaining", [0, 10, 5000])
-def test_no_policy_wants_less_than_nothing(name: str, remaining: int) -> None:
+def test_no_policy_requests_negative_amounts(name: str, remaining: int) -> None:
     row = BudgetRow(prepaid=remaining)
     for need in (0, 7):
         for available in (0, 9, 900):
--- a/tests/coordination/test_rates.py
+++ b/tests/coordination/test_rates.py
@@ -1,4 +1,4 @@
-"""The circuit breaker, the token bucket, fair turns, the retry budget."""
+"""The circuit breaker, the token bucket, fair scheduling, retries and backoff."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     TokenBucket,
 )
 
-POLICY = BreakerPolicy(least_calls=4, open_for=1.0, most_open_for=3.0)
+POLICY = BreakerPolicy(least_calls=4, open_for=1.0, max_open_for=3.0)
 
 
 def opened(at: float = 0.0) -> CircuitBreaker:
@@ -36,7 +36,7 @@
         ("sssssfff", BreakerState.CLOSED),
     ],
 )
-def test_breaker_opens_on_the_ratio(results: str, state: BreakerState) -> None:
+def test_breaker_opens_at_the_failure_ratio(results: str, state: BreakerState) -> None:
     breaker = CircuitBreaker(POLICY)
     for result in results:
         (breaker.succeeded if result == "s" else breaker.failed)(0.0)
@@ -63,7 +63,7 @@
     assert breaker.allow(1.1)
 
 
-def test_failed_probes_double_the_wait_up_to_a_bound() -> None:
+def test_failed_probes_double_the_wait_up_to_a_maximum() -> None:
     breaker = opened()
     waits = []
     now = 0.0
@@ -75,22 +75,22 @@
     assert waits == [1.0, 2.0, 3.0, 3.0]
 
 
-def test_lost_probe_frees_its_place() -> None:
-    """A cancelled caller never reports its probe; the breaker still recovers."""
+def test_probe_without_result_times_out() -> None:
+    """The breaker recovers although a cancelled caller never reports its probe."""
     breaker = opened()
     assert breaker.allow(1.0)
     assert not breaker.allow(5.9)
     assert breaker.allow(6.0)
 
 
-def test_abandoned_probe_frees_its_place() -> None:
+def test_abandoned_probe_allows_another() -> None:
     breaker = opened()
     assert breaker.allow(1.0)
     breaker.abandoned()
     assert breaker.allow(1.0)
 
 
-def test_late_failures_do_not_lengthen_the_opening() -> None:
+def test_late_failures_do_not_keep_the_breaker_open_longer() -> None:
     breaker = opened()
     breaker.failed(0.9)
     assert breaker.allow(1.0)
@@ -108,7 +108,7 @@
     assert bucket.take(amount, now) is allowed
 
 
-def test_bucket_keeps_its_rate_and_pays_debt() -> None:
+def test_bucket_keeps_its_rate_after_a_negative_level() -> None:
     bucket = TokenBucket.full(10.0, 5.0, 0.0)
     assert bucket.take(15, 0.0)
     assert bucket.wait(1, 0.0) == pytest.approx(1.1)
@@ -122,9 +122,9 @@
     turns = FairTurns({"bills": 3.0, "heartbeats": 1.0})
     chosen: Counter[str] = Counter()
     for _ in range(400):
-        who = turns.choose(("bills", "heartbeats"))
-        turns.charge(who, 1.0)
-        chosen[who] += 1
+        chosen_class = turns.choose(("bills", "heartbeats"))
+        turns.charge(chosen_class, 1.0)
+        chosen[chosen_class] += 1
     assert chosen == {"bills": 300, "heartbeats": 100}
 
 
@@ -134,14 +134,14 @@
         turns.charge("a", 1.0)
     chosen = []
     for _ in range(6):
-        who = turns.choose(("a", "b"))
-        turns.charge(who, 1.0)
-        chosen.append(who)
+        chosen_class = turns.choose(("a", "b"))
+        turns.charge(chosen_class, 1.0)
+        chosen.append(chosen_class)
     assert 2 <= chosen.count("a") <= 4
 
 
-def test_retries_stay_a_part_of_first_attempts() -> None:
-    budget = RetryBudget(ratio=0.125, most=2.0, level=0.0)
+def test_retries_stay_a_share_of_first_attempts() -> None:
+    budget = RetryBudget(ratio=0.125, max_level=2.0, level=0.0)
     retries = 0
     for _ in range(800):
         budget.first_attempt()
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize(
     ("retry", "bound"), [(1, 0.05), (2, 0.1), (3, 0.2), (9, 2.0), (10_000, 2.0)]
 )
-def test_backoff_doubles_up_to_its_bound(retry: int, bound: float) -> None:
+def test_backoff_doubles_up_to_its_maximum(retry: int, bound: float) -> None:
     backoff = Backoff()
     assert backoff.bound(retry) == pytest.approx(bound)
     assert backoff.wait(retry, 0.5) == pytest.approx(bound / 2)
--- a/tests/coordination/test_recoverable.py
+++ b/tests/coordination/test_recoverable.py
@@ -1,4 +1,4 @@
-"""Whom one router may recover, as far as it can guess."""
+"""Which routers may be recovered, by one router's view."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     MemberUpdate,
     MemberView,
 )
-from ebonyhold.coordination._recoverable import RecoveryJudge
+from ebonyhold.coordination._recoverable import RecoveryEligibility
 
 
 def update(name: str, status: MemberStatus) -> MemberUpdate:
@@ -19,11 +19,11 @@
 
 
 @pytest.mark.parametrize("left", [0, 1, 2, 5])
-def test_routers_that_were_taken_out_do_not_delay_a_recovery(left: int) -> None:
-    """After a fleet was made smaller, a dead router's tokens stay stranded for minutes.
+def test_removed_routers_do_not_delay_a_recovery(left: int) -> None:
+    """Guards against tokens stranded for minutes after a fleet was scaled down.
 
-    Routers that ended as planned and left the platform's list still counted as
-    silent, so one death looked like a partition.
+    Routers that stopped as planned and left the platform's list still counted as
+    silent, so a single failure looked like a partition.
     """
     view = MemberView()
     names = [f"r{n}" for n in range(2, 9)]
@@ -33,5 +33,10 @@
         view.merge(update(f"x{n + 20}", MemberStatus.GONE), 0.0)
     view.merge(update("r2", MemberStatus.GONE), 100.0)
     view.listed = {name: Listed(name, "10.0.0.1:1") for name in ["r1", *names]}
-    judge = RecoveryJudge(update("r1", MemberStatus.ALIVE), view, MembershipOptions())
-    assert judge.patience(view.members["r2.1"]) < MembershipOptions().shared_patience
+    eligibility = RecoveryEligibility(
+        update("r1", MemberStatus.ALIVE), view, MembershipOptions()
+    )
+    assert (
+        eligibility.recovery_delay(view.members["r2.1"])
+        < MembershipOptions().partition_delay
+    )
--- a/tests/coordination/test_request_decisions.py
+++ b/tests/coordination/test_request_decisions.py
@@ -1,4 +1,4 @@
-"""Planned stops, ejection, prefixes, and what each choice policy prefers."""
+"""Planned stops, ejection, prefix hashes, and the choice policies."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert is_stopped([stop], "e1", "north", now) is stopped
 
 
-def test_what_still_holds_a_leaving_server() -> None:
+def test_requests_that_a_leaving_server_must_finish() -> None:
     running = [InProgress("late", "e1", 5.0), InProgress("early", "e1", 2.0)]
     running.append(InProgress("other", "e2", 1.0))
     first, second = holdings(["e1", "e3"], running)
@@ -53,11 +53,11 @@
 NINE = {f"e{n}": f"d{n % 3}" for n in range(9)}
 
 
-def test_errors_everywhere_eject_only_a_part() -> None:
-    """A prompt that breaks every engine makes all nine look like outliers.
+def test_errors_everywhere_eject_only_a_share() -> None:
+    """A prompt that crashes every engine makes all nine look like outliers.
 
-    No failure domain loses more than half of its engines, and the fleet no more
-    than a third.
+    No failure domain may lose more than half of its engines, and the fleet no more than
+    a third.
     """
     ejector = Ejector()
     for name in NINE:
@@ -68,20 +68,20 @@
     assert max(sum(NINE[name] == d for name in out) for d in set(NINE.values())) == 1
 
 
-def test_a_dead_domain_is_left_out_whole() -> None:
-    """A failure domain is gone: its three engines refuse every connection."""
+def test_an_unreachable_domain_is_ejected_as_a_whole() -> None:
+    """A failure domain has failed: its three engines refuse every connection."""
     ejector = Ejector()
-    dead = {name for name, domain in NINE.items() if domain == "d1"}
-    for name in dead:
+    failed = {name for name, domain in NINE.items() if domain == "d1"}
+    for name in failed:
         ejector.lost(name, 0.0)
         ejector.lost(name, 0.0)
-    assert ejector.ejected(NINE, 0.0) == dead
+    assert ejector.ejected(NINE, 0.0) == failed
     ejector.reached("e1")
-    assert ejector.ejected(NINE, 0.0) == dead - {"e1"}
+    assert ejector.ejected(NINE, 0.0) == failed - {"e1"}
 
 
-def test_when_nothing_is_reached_nothing_is_left_out() -> None:
-    """This router's own network is cut: to it, every engine looks dead."""
+def test_nothing_is_ejected_if_everything_is_unreachable() -> None:
+    """This router's own network has failed, so every engine looks unreachable."""
     ejector = Ejector()
     for name in NINE:
         ejector.lost(name, 0.0)
@@ -90,9 +90,9 @@
 
 
 def test_an_unreachable_server_is_tried_again() -> None:
-    """A plain service restarts; nobody polls it, so only a try can tell.
+    """A plain service restarts; it is not polled, so only a new try shows this.
 
-    It is left out for a while that grows with each failed try, within a bound.
+    It is ejected for a time that grows with each failed try, up to a maximum.
     """
     ejector = Ejector(EjectionPolicy(lost=2, first=1.0, most_lost=3.0))
     spans = []
@@ -105,28 +105,28 @@
     assert "e0" not in ejector.ejected(NINE, 33.1)
 
 
-def test_ejection_ends_and_grows() -> None:
+def test_ejections_end_and_grow_longer() -> None:
     ejector = Ejector(EjectionPolicy(errors=2, first=1.0, most=3.0))
     ejector.failed("e0", 0.0)
     assert ejector.ejected(NINE, 0.0) == frozenset()
     spans = []
     for now in (0.0, 10.0, 20.0):
         ejector.failed("e0", now)
-        spans.append(ejector.records["e0"].until - now)
+        spans.append(ejector.records["e0"].ejected_until - now)
     assert spans == [1.0, 2.0, 3.0]
     ejector.succeeded("e0")
     assert ejector.ejected(NINE, 20.5) == frozenset()
 
 
-def test_hashes_are_those_that_engines_name() -> None:
-    """Engines in service name these hashes; another form would match nothing."""
+def test_hashes_have_the_form_in_cache_events() -> None:
+    """Guards against a changed hash, which would match no cache event of an engine."""
     words = [f"w{n}" for n in range(40)]
     first = hashlib.sha256(f"\0{' '.join(words[:16])}".encode()).hexdigest()[:16]
     second = hashlib.sha256(f"{first}\0{' '.join(words[16:32])}".encode())
     assert prefix_hashes(words) == (first, second.hexdigest()[:16])
 
 
-def test_hashes_are_those_of_the_engines() -> None:
+def test_hashes_equal_those_of_simulated_engines() -> None:
     words = [f"w{n}" for n in range(70)]
     cache = PrefixCache(100, 0.0, 0.0, random.Random(1))
     cache.store(tuple(words), 0.0)
@@ -134,7 +134,7 @@
 
 
 def test_prefix_index() -> None:
-    index = PrefixIndex(most=4)
+    index = PrefixIndex(max_blocks=4)
     hashes = prefix_hashes([f"w{n}" for n in range(64)])
     index.sent(hashes)
     assert index.reuse(hashes) == 64
@@ -177,8 +177,8 @@
 ) -> None:
     made = make_choice_policy(policy)
     rng = random.Random(1)
-    seen = {made.choose(NEED, candidates, rng).name for _ in range(50)}
-    assert seen == chosen
+    names = {made.choose(NEED, candidates, rng).name for _ in range(50)}
+    assert names == chosen
 
 
 @pytest.mark.parametrize("policy", sorted(choice_policies))
@@ -186,17 +186,17 @@
     assert make_choice_policy(policy).choose(NEED, [BUSY], random.Random(1)) is BUSY
 
 
-def test_own_requests_are_counted_once() -> None:
-    """A report that includes this router's requests does not count them again."""
+def test_own_requests_in_a_report_are_counted_once() -> None:
+    """This router's requests that a report includes are not added again."""
     item = Candidate("e", 16, reported=10, own_at_report=4, own=6)
     assert item.load == 12
 
 
-def test_working_sets_share_the_servers() -> None:
-    """A hundred routers keep ten of two hundred servers each.
+def test_working_sets_spread_over_the_servers() -> None:
+    """A hundred routers use ten of two hundred servers each.
 
-    No server is left out or crowded, and one that goes changes only the sets
-    that had it.
+    No server is used by too many routers, and removing one changes only the sets that
+    contained it.
     """
     names = [f"e{number}" for number in range(200)]
     sets = [working_set(f"r{number}", names, 10) for number in range(100)]
--- a/tests/coordination/test_startup.py
+++ b/tests/coordination/test_startup.py
@@ -1,4 +1,4 @@
-"""How starts are spread."""
+"""How starts of routers are spread over time."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
     assert POLICY.first_wait(listed, alive, chance) == pytest.approx(wait)
 
 
-def test_a_restart_storm_does_not_stampede_the_platform() -> None:
-    """The power comes back, and 330 routers start within the same second.
+def test_simultaneous_starts_do_not_overload_the_platform() -> None:
+    """After a power failure 330 routers start within the same second.
 
-    All at once they call for ten seconds' worth of reads, and their repeats
-    keep the platform refusing.  Spread, hardly a call is refused, and all have
-    started in little more than the time that the reads take at the ceiling.
+    Without spreading, they request ten seconds' worth of reads at once, and their
+    retries keep the platform refusing calls.  With it, hardly a call is refused, and
+    all have started in little more than the time that the reads take at the rate limit.
     """
-    storm = admission(330, seed=1)
-    assert storm.peak < 1.3 * CEILING
-    assert storm.refused < 0.1
-    assert storm.all < 2 * 330 * READS / CEILING
-    crowd = fixed_pause(330, seed=1)
-    assert crowd.refused > 0.3
+    spread = admission(330, seed=1)
+    assert spread.peak < 1.3 * CEILING
+    assert spread.refused < 0.1
+    assert spread.all < 2 * 330 * READS / CEILING
+    unspread = fixed_pause(330, seed=1)
+    assert unspread.refused > 0.3
--- a/tests/coordination/test_unmet_routers.py
+++ b/tests/coordination/test_unmet_routers.py
@@ -1,4 +1,4 @@
-"""Routers of which only a row in the table tells, on a virtual clock."""
+"""Routers that are known only from a row in the table, with a virtual clock."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from ebonyhold.types import Seconds
 
 SIZE = 9
-UNMET = "9.1"
+UNCONFIRMED = "9.1"
 SOON: Seconds = 60.0
-"""Time for a suspicion, and for the patience with a router that is still listed."""
+"""Enough for a suspicion and for the delay before a listed router is recovered."""
 
 
 def row(router: str, started: int = 1) -> MemberUpdate:
@@ -29,8 +29,8 @@
     )
 
 
-def settled(listed: bool = True) -> BeatFleet:
-    """Return a fleet that has met; the unmet router may be on the platform's list."""
+def converged(listed: bool = True) -> BeatFleet:
+    """Return a converged fleet; the platform may list the unconfirmed router."""
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     if listed:
         entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE + 1)]
@@ -42,75 +42,77 @@
 
 @pytest.mark.parametrize("readers", [1, SIZE], ids=["read by one", "read by all"])
 @pytest.mark.parametrize("listed", [True, False], ids=["listed", "not listed"])
-def test_router_that_died_before_anybody_met_it(readers: int, listed: bool) -> None:
-    """Guards against bills that wait minutes for a router which nobody had met."""
-    fleet = settled(listed)
+def test_router_that_crashed_before_any_contact(readers: int, listed: bool) -> None:
+    """Guards against bills that wait minutes for a router that contacted no other."""
+    fleet = converged(listed)
     for node in fleet.running()[:readers]:
-        node.membership.read_row(row(UNMET), fleet.now)
-        assert UNMET not in node.membership.alive()
+        node.membership.read_row(row(UNCONFIRMED), fleet.now)
+        assert UNCONFIRMED not in node.membership.alive()
     fleet.run(fleet.now + SOON)
     for node in fleet.running()[:readers]:
-        assert node.membership.gone(fleet.now) == (UNMET,)
-        assert node.membership.may_recover(UNMET, 0.0, fleet.now)
+        assert node.membership.gone(fleet.now) == (UNCONFIRMED,)
+        assert node.membership.may_recover(UNCONFIRMED, 0.0, fleet.now)
 
 
-def test_living_router_that_nobody_has_met_is_met() -> None:
+def test_running_unconfirmed_router_becomes_alive() -> None:
     """Guards against recovering a router that has only just registered."""
-    fleet = settled()
+    fleet = converged()
     others = fleet.running()
     entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE + 1)]
     fleet.add("9", 1, entries)
-    others[0].membership.read_row(row(UNMET), fleet.now)
+    others[0].membership.read_row(row(UNCONFIRMED), fleet.now)
     fleet.run(fleet.now + SOON)
-    assert all(UNMET in node.membership.alive() for node in others)
+    assert all(UNCONFIRMED in node.membership.alive() for node in others)
     assert all(node.membership.gone(fleet.now) == () for node in others)
 
 
-def test_leaving_router_that_nobody_has_met_is_not_recovered() -> None:
-    """Guards against cutting the last streams of a router that is on its way out."""
-    fleet = settled()
+def test_leaving_unconfirmed_router_is_not_recovered() -> None:
+    """Guards against cutting the last streams of a router that is stopping."""
+    fleet = converged()
     leaving = fleet.add("9", 1, [])
     leaving.membership.leave()
     reader = fleet.running()[0].membership
-    reader.read_row(row(UNMET), fleet.now)
+    reader.read_row(row(UNCONFIRMED), fleet.now)
     fleet.run(fleet.now + SOON)
-    assert reader.view.members[UNMET].update.status is MemberStatus.LEAVING
+    assert reader.view.members[UNCONFIRMED].update.status is MemberStatus.LEAVING
     assert reader.gone(fleet.now) == ()
 
 
-def test_introduction_is_heard_at_once() -> None:
-    """Guards against a start after which nobody knows the router for seconds."""
-    fleet = settled()
+def test_introduction_takes_effect_immediately() -> None:
+    """Guards against a start after which no router knows the new one for seconds."""
+    fleet = converged()
     joined = fleet.add("9", 1, [])
     for n in range(SIZE):
         joined.membership.read_row(row(f"{n}.1"), fleet.now)
     fleet.send("10.0.0.9:7300", joined, joined.membership.introduce())
     fleet.run(fleet.now + 0.1)
-    knowing = [node for node in fleet.running() if UNMET in node.membership.alive()]
-    assert len(knowing) >= MembershipOptions().relays
+    informed = [
+        node for node in fleet.running() if UNCONFIRMED in node.membership.alive()
+    ]
+    assert len(informed) >= MembershipOptions().relays
 
 
-def test_region_cut_from_a_router_that_nobody_has_met() -> None:
-    """Guards against sealing routers that serve on in a region which is cut off."""
-    fleet = settled()
+def test_partition_while_a_router_is_unconfirmed() -> None:
+    """Guards against sealing routers that keep serving in a region that is cut off."""
+    fleet = converged()
     side = {f"10.0.0.{n}:7300" for n in range(3)}
     fleet.cut = lambda sender, receiver: (sender in side) != (receiver in side)
     large = fleet.running()[-1].membership
-    large.read_row(row(UNMET), fleet.now)
+    large.read_row(row(UNCONFIRMED), fleet.now)
     fleet.run(fleet.now + 2 * SOON)
     assert large.gone(fleet.now) == ()
 
 
-def test_cut_off_newcomer_recovers_none_of_the_rows_that_it_reads() -> None:
+def test_isolated_new_router_recovers_no_rows() -> None:
     """Guards against a router without a network that seals the whole fleet."""
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     fleet.cut = lambda sender, receiver: "10.0.0.1:7300" in (sender, receiver)
-    alone = fleet.nodes["10.0.0.1:7300"].membership
+    isolated = fleet.nodes["10.0.0.1:7300"].membership
     for n in range(2, SIZE):
-        alone.read_row(row(f"{n}.1"), 0.0)
+        isolated.read_row(row(f"{n}.1"), 0.0)
     for _ in range(10):
         fleet.run(fleet.now + SOON)
-        assert alone.gone(fleet.now) == ()
+        assert isolated.gone(fleet.now) == ()
 
 
 @pytest.mark.parametrize(
@@ -126,19 +128,19 @@
 def test_row_of_another_incarnation(
     known: MemberStatus, read: MemberUpdate, member: bool
 ) -> None:
-    """Guards against a row that replaces the incarnation which is still served by."""
+    """Guards against a row that replaces an incarnation which is still serving."""
     view = MemberView()
     first = row("1.1")
     view.merge(
         MemberUpdate(first.router, first.address, first.domain, known, 0, 1), 0.0
     )
-    view.add_unmet(read, 1.0)
+    view.add_unconfirmed(read, 1.0)
     assert (read.router in view.members) is member
 
 
-def test_new_incarnation_that_dies_at_once() -> None:
-    """Guards against bills of a router that was sealed and died as its successor."""
-    fleet = settled(listed=False)
+def test_new_incarnation_that_crashes_immediately() -> None:
+    """Guards against unsettled bills of a new incarnation that crashed at its start."""
+    fleet = converged(listed=False)
     fleet.nodes["10.0.0.1:7300"].up = False
     fleet.run(fleet.now + SOON)
     survivors = fleet.running()
@@ -149,8 +151,8 @@
         assert set(node.membership.gone(fleet.now)) == {"1.1", "1.2"}
 
 
-def test_routers_meet_soon_although_they_read_rows_of_their_predecessors() -> None:
-    """Guards against a total restart after which routers ask for those before."""
+def test_routers_find_each_other_despite_rows_of_predecessors() -> None:
+    """Guards against routers that keep probing predecessors after a total restart."""
     fleet = BeatFleet(Network(), MembershipOptions(), random.Random(1))
     entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE)]
     for entry in entries:
@@ -164,12 +166,12 @@
         assert set(node.membership.gone(fleet.now)) == others
 
 
-def test_rows_do_not_count_as_members_that_were_met() -> None:
+def test_rows_do_not_count_as_present_members() -> None:
     """Guards against counting rows as contact with the fleet."""
     view = MemberView()
-    view.add_unmet(row("1.1"), 0.0)
+    view.add_unconfirmed(row("1.1"), 0.0)
     assert view.present_count == 0
-    view.meet(view.members["1.1"])
+    view.confirm(view.members["1.1"])
     assert view.present_count == 1
     view.forget(view.members["1.1"])
     assert view.present_count == 0
