--- a/ebonyhold/coordination/_admission.py
+++ b/ebonyhold/coordination/_admission.py
@@ -77,7 +77,7 @@
 class WorkspaceQueue:
     """One workspace's waiting requests by priority, and its count of running ones."""
 
-    share: Share
+    limits: Share
     running: int = 0
     waiting: dict[int, deque[Ticket]] = field(factory=dict)
     finish: float = 0.0
@@ -117,7 +117,7 @@
     last_completion: Seconds | None = None
     workspaces: dict[WorkspaceName, WorkspaceQueue] = field(factory=dict)
 
-    def offer(self, ticket: Ticket, share: Share, now: Seconds) -> Refused | None:
+    def offer(self, ticket: Ticket, limits: Share, now: Seconds) -> Refused | None:
         """Enqueue a request, or refuse it immediately.
 
         A request is refused if a limit is reached, or if the expected wait is longer
@@ -126,8 +126,8 @@
         """
         if not self.waiting:
             self.empty_at = now
-        entry = self.entry(ticket.workspace, share)
-        if entry.length >= share.queue:
+        entry = self.entry(ticket.workspace, limits)
+        if entry.length >= limits.queue:
             return Refused(ticket, self.retry_after(now), workspace_bound=True)
         ahead = self.ahead_of(ticket)
         if ahead >= self.max_waiting:
@@ -220,10 +220,10 @@
         """Number of waiting requests in all workspaces."""
         return sum(entry.length for entry in self.workspaces.values())
 
-    def entry(self, workspace: WorkspaceName, share: Share) -> WorkspaceQueue:
+    def entry(self, workspace: WorkspaceName, limits: Share) -> WorkspaceQueue:
         """Return a workspace's queues, with its current limits applied."""
-        entry = self.workspaces.setdefault(workspace, WorkspaceQueue(share))
-        entry.share = share
+        entry = self.workspaces.setdefault(workspace, WorkspaceQueue(limits))
+        entry.limits = limits
         return entry
 
     def ahead_of(self, ticket: Ticket) -> int:
@@ -244,7 +244,7 @@
         best: WorkspaceQueue | None = None
         best_rank = (0.0, 0.0)
         for entry in self.workspaces.values():
-            if entry.length == 0 or entry.running >= entry.share.concurrency:
+            if entry.length == 0 or entry.running >= entry.limits.concurrency:
                 continue
             top = max(priority for priority, queue in entry.waiting.items() if queue)
             rank = (-float(top), entry.finish)
@@ -255,7 +255,7 @@
         queue = best.waiting[int(-best_rank[0])]
         ticket = queue.pop() if self.is_standing(now) else queue.popleft()
         self.virtual = max(self.virtual, best.finish)
-        best.finish = max(best.finish, self.virtual) + 1.0 / max(1, best.share.weight)
+        best.finish = max(best.finish, self.virtual) + 1.0 / max(1, best.limits.weight)
         best.running += 1
         return ticket
 
--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -12,7 +12,7 @@
 
 
 class AttemptState(Enum):
-    """State of an attempt, as its backend server reports it after closing it."""
+    """State of a closed attempt, as reported by its backend server."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -22,14 +22,14 @@
 
 @frozen
 class AttemptTruth:
-    """Status of one attempt, as its backend server reports it after closing it.
+    """Status of a closed attempt, as reported by its backend server.
 
     Attributes:
         state: Whether it ran, and whether it finished.
         prompt_tokens: Tokens of the prompt.
-        completion_tokens: Tokens generated so far.
-        boot: The server's boot identifier.  After a restart the server has another one
-            and has lost its record of earlier attempts.
+        completion_tokens: Tokens generated until then.
+        boot: The server's boot identifier.  It changes with a restart, in which the
+            server loses its record of earlier attempts.
     """
 
     state: AttemptState
--- a/ebonyhold/coordination/_bills.py
+++ b/ebonyhold/coordination/_bills.py
@@ -84,7 +84,7 @@
     Attributes:
         bill: The bill.
         verdict: How it changes the request's row.
-        paid: Tokens taken from the payer's grant, from 0 to the charge.
+        paid: Tokens taken from the grant for it, from 0 to the charge.
     """
 
     bill: Bill
@@ -111,7 +111,7 @@
             is unknown, reading it back shows whether it took effect.
         drawn: Tokens added to the grant.
         returned: Tokens returned to the budget.
-        filed: How each bill is filed.
+        filed: The bills, with their effect on the requests' rows.
         budget: The budget afterwards.
     """
 
@@ -152,8 +152,8 @@
     if row is None:
         return Verdict.FILE
     if row.state is RequestState.RUNNING:
-        # If the claim is another run's, that run has yet to report, and a bill that
-        # this run did not execute says nothing about it.
+        # The claim may belong to another run that has not ended yet.  That this run did
+        # not execute the request proves nothing about the other one.
         by_another_run = run_of(row.attempt) != run_of(bill.attempt)
         if by_another_run and bill.state is RequestState.NOT_RUN:
             return Verdict.LEAVE
@@ -214,7 +214,7 @@
             transaction of a sealed incarnation takes effect.
         budget: The workspace's budget.
         grant: The incarnation's grant from it.
-        requests: The requests' rows by key, for every bill.
+        requests: The rows of all billed requests, by key.
         change: The requested changes.
         now: Seconds since the epoch, recorded in the bills.
     """
--- a/ebonyhold/coordination/_breaker.py
+++ b/ebonyhold/coordination/_breaker.py
@@ -30,7 +30,7 @@
         max_open_for: The maximum of that time, which doubles with each failed round of
             probes, in seconds.
         probes: Calls allowed at once while half open.
-        probe_timeout: After how long a probe without a result counts as failed, in
+        probe_timeout: How long a probe without a result prevents another one, in
             seconds.
     """
 
@@ -61,7 +61,7 @@
         results: The results inside the window.
         opened_at: When it opened last.
         open_for: How long it stays open this time, in seconds.
-        probes: When each unanswered probe was allowed.
+        probes: Start times of the probes without a result.
         openings: How often it has opened.
     """
 
@@ -74,7 +74,7 @@
     openings: int = 0
 
     def allow(self, now: Seconds) -> bool:
-        """Return whether a call may be made now.
+        """Return whether a call may be made now; while half open, it counts as a probe.
 
         After each True the caller must call `succeeded` or `failed`, or `abandoned` if
         it gave up the call before the result was known.
@@ -93,7 +93,7 @@
         return True
 
     def would_allow(self, now: Seconds) -> bool:
-        """Return whether `allow` would return True, without starting a probe."""
+        """Return whether `allow` would return True, without counting a probe."""
         if self.state is BreakerState.CLOSED:
             return True
         if self.state is BreakerState.OPEN:
--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -20,7 +20,7 @@
     Attributes:
         rate: Units added per second.
         burst: The maximum number of units it holds.
-        level: Units it holds now; negative after taking more than the burst.
+        level: Units it holds now; may be negative, see `take` and `spend`.
         updated_at: When `level` was computed.
     """
 
@@ -43,8 +43,8 @@
     def take(self, amount: float, now: Seconds) -> bool:
         """Take units if enough are available, and return whether they were.
 
-        An amount above the burst is allowed from a full bucket and makes the level
-        negative.  Otherwise such a call would wait forever.
+        An amount above the burst only needs a full bucket and leaves a negative level;
+        otherwise the call would wait forever.
         """
         self.refill(now)
         # Without the tolerance, rounding could leave the level just below the amount.
@@ -68,7 +68,7 @@
 
 
 BACKOFF_FACTOR = 0.7
-"""Multiplies the rate at each refusal."""
+"""Multiplies the rate when a call is refused."""
 
 RECOVERY_RATE = 0.05
 """Share of the full rate that is regained each second."""
@@ -86,10 +86,10 @@
 
 @define
 class AdaptiveRate:
-    """The rate at which a client calls a service whose rate limit it shares.
+    """Rate of one client's calls to a service whose rate limit is shared by clients.
 
-    The rate is multiplied by a factor when the service refuses a call and recovers
-    linearly, so clients that share a limit converge to equal shares without
+    The rate is multiplied by a factor below 1 when the service refuses a call and
+    recovers linearly, so clients that share a limit converge to equal shares without
     coordination.
 
     Attributes:
@@ -153,7 +153,7 @@
         return max(self.virtual, self.finish.get(key, 0.0))
 
     def charge(self, key: K, amount: float) -> None:
-        """Record that a class has used an amount."""
+        """Record that a class has taken a turn of the given amount."""
         start = self.start(key)
         self.virtual = start
         self.finish[key] = start + amount / self.weights[key]
--- a/ebonyhold/coordination/_choice.py
+++ b/ebonyhold/coordination/_choice.py
@@ -70,7 +70,7 @@
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the candidate for the request, from at least one."""
+        """Return the candidate for the request; there is at least one."""
         ...
 
 
@@ -194,11 +194,11 @@
 
 @choice_policy("prefix_aware")
 class PrefixAware:
-    """Chooses the lowest expected time to first token among a few candidates.
+    """Chooses the candidate with the lowest expected time to first token.
 
-    The candidates are a few random ones and the one whose cache holds most of the
-    prompt's prefix.  Random sampling keeps several routers with the same outdated
-    report from choosing the same server.
+    Only a few candidates are compared: random ones, and the one whose cache holds most
+    of the prompt's prefix.  Random sampling keeps several routers with the same
+    outdated report from choosing the same server.
     """
 
     def choose(
--- a/ebonyhold/coordination/_claims.py
+++ b/ebonyhold/coordination/_claims.py
@@ -54,9 +54,9 @@
 ) -> ClaimDecision:
     """Decide how to handle a request, given its row.
 
-    A booking is executed at most once: it never runs while its row leaves open whether
-    it ran before.  A chat may run several times at once, because its single row takes
-    only one bill.
+    A booking is executed at most once: it does not run while its row leaves open
+    whether it ran before.  A chat may run several times at once, because its single row
+    takes only one bill.
 
     Args:
         row: The request's row, if there is one.
--- a/ebonyhold/coordination/_configuration.py
+++ b/ebonyhold/coordination/_configuration.py
@@ -173,7 +173,7 @@
 def may_adopt(own: int, offered: int) -> bool:
     """Return whether a router at one version may adopt another.
 
-    A configuration never reverts: versions from a router with an old copy, a delayed
-    message or a peer that was paused are not larger and are refused.
+    A configuration never reverts: only a larger version is adopted.  Outdated versions
+    from delayed messages, or from routers with an old copy, are refused.
     """
     return offered > own
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -21,10 +21,10 @@
 
 
 BASE_SHARE_DIVISOR = 4.0
-"""Each router holds at least an even share of a budget, divided by this number.
+"""A grant is at least an even share of the unspent budget divided by this.
 
-This serves the first requests of a workspace at a router that has had few or none of
-its requests.
+It serves the first requests of a workspace at a router that has had few or none of its
+requests.
 """
 
 
@@ -50,10 +50,10 @@
     patience: Seconds = 0.25
 
     ample_share = 0.4
-    """The share of the unspent tokens that stays in the budget while they are ample.
+    """The share of the unspent tokens that stays in the budget.
 
-    Below it, all grants shrink in proportion.  The tokens left in the budget serve
-    routers with empty grants while the table can be reached.
+    If less is left, all grants shrink in proportion.  The tokens left in the budget
+    serve routers with empty grants while the table can be reached.
     """
 
     refill_below = 0.8
@@ -76,7 +76,7 @@
     """
 
     return_above = 1.4
-    """Tokens above the wanted grant times this, plus one request, are returned."""
+    """Tokens are returned above this many times the wanted grant, plus one request."""
 
     def size(self, view: GrantView) -> GrantSize:
         """Draw up to the wanted grant, or return what exceeds it."""
@@ -102,8 +102,8 @@
         """Return the level of available tokens above which some are returned.
 
         When the budget itself cannot serve a typical request, tokens kept at one router
-        cause refusals at another.  With the usual level, 12 routers kept 5% of a spent
-        budget, each less than a draw.
+        cause refusals at another.  With the usual level, 12 routers together kept 5% of
+        a spent budget, because each held too little to return any.
         """
         if left < typical:
             return wanted + typical / 2
@@ -115,12 +115,12 @@
         return int(min(cover, self.affordable_cover(cover, view)))
 
     def affordable_cover(self, cover: float, view: GrantView) -> float:
-        """Return the share of the cover that the remaining budget allows.
+        """Return how much of the cover the remaining budget allows, in tokens.
 
-        The budget's level is computed as it will be after this change.  With the level
-        before it, a router that holds most of a budget would alternate between
-        returning all tokens to an empty budget and drawing all from a full one.  In
-        half of the outages it would then have an empty grant.
+        The calculation uses the budget's level after this change.  With the level
+        before it, a router that holds most of a budget would alternately return all of
+        its tokens and draw them again.  In half of the outages it would have an empty
+        grant.
         """
         if view.budget is None:
             return cover
--- a/ebonyhold/coordination/_grants.py
+++ b/ebonyhold/coordination/_grants.py
@@ -22,7 +22,7 @@
         spent=row.spent + paid,
     )
     if drawn and after.remaining < 0:
-        raise ValueError(f"a draw of {drawn} exceeds the {row.remaining} remaining")
+        raise ValueError(f"a draw of {drawn} exceeds the {row.remaining} left")
     return after
 
 
--- a/ebonyhold/coordination/_heartbeats.py
+++ b/ebonyhold/coordination/_heartbeats.py
@@ -16,15 +16,15 @@
 
     Attributes:
         period: The time from one probe to the next, in seconds.
-        answer_within: How long to wait for an answer before relays are requested, in
-            seconds.
-        relays: How many routers are requested to relay a probe.
+        answer_within: How long to wait for an answer before other routers are asked to
+            relay the probe, in seconds.
+        relays: How many routers are asked to relay a probe.
         suspicion_periods: Length of a suspicion, in periods for each doubling of the
             fleet's size.
         unlisted_factor: Multiplies that length for a router that is not in the
             platform's list.
         recover_factor: How long a router that is still listed must be gone before it
-            may be recovered, in lengths of a suspicion.
+            may be recovered, as a multiple of the length of a suspicion.
         partition_share: If more than this share of the listed routers is silent at
             once, a partition is assumed instead of separate failures.
         partition_delay: How long a listed router must be gone before it may be
--- a/ebonyhold/coordination/_keys.py
+++ b/ebonyhold/coordination/_keys.py
@@ -16,7 +16,7 @@
 CONFIG_VERSION_PREFIX = "config/version/"
 
 SEGMENT_DIGITS = 10
-"""Enough for one segment per millisecond for a hundred days."""
+"""Digits of a segment's number: enough for one per millisecond for a hundred days."""
 
 VERSION_DIGITS = 10
 
--- a/ebonyhold/coordination/_leases.py
+++ b/ebonyhold/coordination/_leases.py
@@ -1,11 +1,13 @@
 """Leases with fencing numbers, as transactions on one row of the table.
 
-Clocks of different routers are never compared.  For a router, a lease has expired when
-the router has observed the same version of the row for the whole length of the lease on
-its own clock.  So a holder that renews in time keeps the lease, whatever the other
-clocks show.  A holder that is paused after its check still acts as the holder.  Where
-the receiver checks fencing numbers, it refuses such late orders.  Elsewhere the current
-holder reads back the state and repeats its own orders.
+Clocks of different routers are never compared.  For another router than the holder, a
+lease has expired once it has observed the same version of the row for longer than the
+lease's length on its own clock.  So a holder that renews in time keeps the lease,
+whatever the other clocks show.
+
+A holder that is paused after its check may act after the lease has expired.  Where the
+receiver of its orders checks fencing numbers, it refuses them.  Elsewhere the current
+holder must read back the receiver's state and repeat its own orders.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 from ebonyhold.types import RouterId, Seconds
 
 EXPIRY_FACTOR = 1.25
-"""Multiplies the length of a lease for all but its holder, for clock drift."""
+"""Other routers wait for a lease's length times this, to allow for clock drift."""
 
 
 @frozen
@@ -110,7 +112,7 @@
 
 
 def has_expired(row: Row, observation: LeaseSighting | None, now: Seconds) -> bool:
-    """Return whether other routers may take the lease: released, or not renewed."""
+    """Return whether a lease was released, or was not renewed in time."""
     lease = parse_lease(row)
     if lease is None or not lease.holder:
         return True
@@ -166,7 +168,7 @@
 
 
 def plan_write(name: str, row: LeaseRow, version: int, now: Seconds) -> LeasePlan:
-    """Plan one write of the row at the version that was read; 0 if there is no row."""
+    """Plan a write of a lease's row at the version that was read; 0 if none."""
     key = lease_key(name)
     check: Check = AtVersion(key, version) if version else Absent(key)
     transaction = Transaction((check,), (Put(key, to_json(row)),))
--- a/ebonyhold/coordination/_members.py
+++ b/ebonyhold/coordination/_members.py
@@ -83,11 +83,11 @@
     Attributes:
         update: The update that is currently valid.
         heard_at: When its last message to this router arrived, or None.
-        silent_at: Since when it has been silent, or None.
+        silent_at: Since when it has been suspected, or None.
         gone_at: When it was declared gone here, or None.
-        unmet: Whether it is known only from its row in the table.  As far as is known,
-            no router has received a message from it.  It is probed but gets no other
-            messages.
+        unmet: Whether it is unconfirmed: known only from its row in the table, while
+            no router is known to have received a message from it.  It is probed, but
+            gets no requests.
     """
 
     update: MemberUpdate
@@ -202,7 +202,7 @@
         return member
 
     def change(self, member: Member, update: MemberUpdate, now: Seconds) -> None:
-        """Store the valid update of a member, and adjust its times."""
+        """Replace the update of a member, and adjust its times."""
         self.present_count -= member.counted
         member.update = update
         self.present_count += member.counted
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -1,10 +1,10 @@
 """Failure detection and dissemination: probes, relays and gossip.
 
 The protocol follows SWIM (Das et al., 2002).  In each period a router probes one other
-router.  If there is no answer, it requests a few routers to relay the probe, and then
-spreads a suspicion that the suspect can refute.  What a router sends does not grow with
-the fleet.  This is a state machine without I/O: the clock, the random numbers and the
-messages come from outside.
+router.  If there is no answer, it asks a few routers to relay the probe.  If they get
+no answer either, it spreads a suspicion that the suspect can refute.  What a router
+sends does not grow with the fleet.  This is a state machine without I/O: the clock, the
+random numbers and the messages come from outside.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
     def alive(self) -> tuple[RouterId, ...]:
         """Return the routers that requests may be sent to.
 
-        They have been in contact with a router and are not suspect, leaving or gone.
+        They have the status alive, and some router has received a message from them.
         """
         return tuple(
             member.update.router
--- a/ebonyhold/coordination/_operations.py
+++ b/ebonyhold/coordination/_operations.py
@@ -24,7 +24,8 @@
     """Plan the addition of prepaid tokens; None if this key has already added them.
 
     Raises:
-        ValueError: The amount is not above zero, or the key was used for another one.
+        ValueError: The amount is not above zero, or the key was used with another
+            amount.
     """
     if requested.amount <= 0:
         raise ValueError(f"a top-up of {requested.amount} tokens")
@@ -76,7 +77,7 @@
     """Plan to settle a request of unknown outcome, as an operator decided.
 
     A request that did not run is not charged and may run again under its key; one that
-    ran keeps its charge.  None if it has already been settled like this.
+    ran keeps its charge.  None if it is already settled this way.
 
     Raises:
         ValueError: There is no such request, or its outcome is not unknown.
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -170,12 +170,15 @@
     """Tokens above the wanted grant times this are returned."""
 
     scarce_below: Seconds = 120.0
-    """If the budget lasts no longer than this, no tokens are kept ahead of need."""
+    """If the budget lasts no longer than this, no tokens are kept ahead of need.
 
-    ample_above: Seconds = 450.0
-    """If the budget lasts at least this long, the full share of it is kept in grants.
+    The time is that in which the expected demand of this router uses up an even split
+    of the remaining tokens.
     """
 
+    ample_above: Seconds = 450.0
+    """If the budget lasts at least this long, a grant may take its full share of it."""
+
     def size(self, view: GrantView) -> GrantSize:
         """Draw up to the wanted grant, or return what exceeds it."""
         wanted = self.wanted(view)
--- a/ebonyhold/coordination/_recoverable.py
+++ b/ebonyhold/coordination/_recoverable.py
@@ -1,4 +1,4 @@
-"""Which routers may be recovered, by one router's view of the membership.
+"""Decides, by one router's view of the membership, which others may be recovered.
 
 Recovery is safe even if the view is wrong.  A wrong decision costs the recovered router
 a new incarnation and its open streams, so the rules here are conservative.
@@ -17,7 +17,10 @@
 
 @define
 class RecoveryEligibility:
-    """Decides which routers may be recovered, from silence, list and incarnations.
+    """Decides which routers may be recovered.
+
+    It considers how long they have been silent, the platform's list, and later
+    incarnations.
 
     Attributes:
         own_update: The router's update about itself.
@@ -32,10 +35,10 @@
     def recoverable(self, now: Seconds) -> tuple[RouterId, ...]:
         """Return the incarnations that may be recovered.
 
-        A router whose own network fails would otherwise declare all others gone and
-        seal them, so that the whole fleet starts new incarnations again and again.
         Routers that the platform still lists are recovered only after a long silence,
-        and only by a router that is connected to at least half of the list.
+        and only by a router that is connected to at least half of the list.  Otherwise
+        a router whose own network fails would declare all others gone and seal them,
+        and the whole fleet would start new incarnations again and again.
         """
         connected = self.is_connected()
         return tuple(
@@ -53,12 +56,12 @@
         return connected and now >= member.gone_at + self.recovery_delay(member)
 
     def recovery_delay(self, member: Member) -> Seconds:
-        """Return how long a gone router that is still listed is not recovered.
+        """Return how long to wait before recovering a gone router that is still listed.
 
         When two regions lose their connection, each sees many routers fall silent that
         are still serving.  Sealing them is safe but cuts their streams.  Real failures
         are isolated, or soon confirmed by the platform's list or a new incarnation, so
-        the delay is longer when many routers are silent at once. Routers that left the
+        the delay is longer when many routers are silent at once.  Routers that left the
         list are not counted: after a fleet was scaled down, a single failure would
         otherwise look like a partition and strand its tokens for minutes.
         """
@@ -117,7 +120,7 @@
         return listed is None or member.update.name in listed
 
     def is_connected(self) -> bool:
-        """Return whether this router and the present ones are at least half of all."""
+        """Return whether this router and present members are at least half of all."""
         listed = self.view.listed
         known = len(self.view.members if listed is None else listed)
         return 2 * (self.view.present_count + 1) >= known + 1
--- a/ebonyhold/coordination/_recovery.py
+++ b/ebonyhold/coordination/_recovery.py
@@ -144,7 +144,7 @@
 
 
 def close_transaction(router: Seen[RouterRow], now: float = 0.0) -> Transaction | None:
-    """Return the transaction that closes an incarnation whose journal is settled."""
+    """Return the transaction that closes a settled incarnation; None if closed."""
     row = router.value
     if row is None or row.state is RouterState.CLOSED:
         return None
--- a/ebonyhold/coordination/_retry.py
+++ b/ebonyhold/coordination/_retry.py
@@ -44,19 +44,19 @@
     """Exponential backoff between tries, with full jitter.
 
     Attributes:
-        first: The maximum of the first wait, in seconds.
-        most: The maximum of any wait, in seconds.
+        first_wait: The maximum of the first wait, in seconds.
+        max_wait: The maximum of any wait, in seconds.
         factor: Growth of the maximum from one wait to the next.
     """
 
-    first: Seconds = 0.05
-    most: Seconds = 2.0
+    first_wait: Seconds = 0.05
+    max_wait: Seconds = 2.0
     factor: float = 2.0
 
     def bound(self, retry: int) -> Seconds:
         """Return the maximum wait before a retry, in seconds; retries count from 1."""
         doublings = min(retry - 1, 64)
-        return min(self.most, self.first * self.factor**doublings)
+        return min(self.max_wait, self.first_wait * self.factor**doublings)
 
     def wait(self, retry: int, chance: float) -> Seconds:
         """Return the wait before a retry, in seconds.
--- a/ebonyhold/coordination/_rows.py
+++ b/ebonyhold/coordination/_rows.py
@@ -25,7 +25,7 @@
 
 
 class RequestState(Enum):
-    """How far a request is known to have been executed."""
+    """State of a request, as far as it is known."""
 
     RUNNING = "running"
     COMPLETE = "complete"
@@ -145,7 +145,7 @@
     A request has a single row until it is archived, so it has a single bill.
 
     Attributes:
-        state: How far the request is known to have been executed.
+        state: The state of the request, as far as it is known.
         kind: The kind of the request.
         owner: The incarnation that runs it, or that filed its bill.
         attempt: The attempt that is billed.
--- a/ebonyhold/coordination/_startup.py
+++ b/ebonyhold/coordination/_startup.py
@@ -33,7 +33,7 @@
     quorum: float = 0.5
     assumed_size: int = 9
     max_spread: Seconds = 20.0
-    backoff: Backoff = field(factory=lambda: Backoff(first=0.25, most=10.0))
+    backoff: Backoff = field(factory=lambda: Backoff(first_wait=0.25, max_wait=10.0))
 
     def spread(self, listed: int | None) -> Seconds:
         """Return the time over which the starts of a fleet are spread."""
--- a/ebonyhold/coordination/_transfers.py
+++ b/ebonyhold/coordination/_transfers.py
@@ -1,8 +1,8 @@
 """Transfers of tokens between two routers' grants, made without the table.
 
 A transfer's name contains giver and receiver, so a receiver can check that it is meant
-for it.  The table is updated later, by one transaction on both grants: at any time the
-sum of all grants equals the budget's outstanding tokens.
+for it.  The table is updated later, by one transaction on both grants.  So in the table
+the sum of all grants always equals the budget's outstanding tokens.
 """
 
 from __future__ import annotations
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -321,7 +321,7 @@
 def test_which_open_rows_may_be_recovered(
     router: str, unknown_for: float, allowed: bool
 ) -> None:
-    """Open rows in the table of incarnations that are not alive here by heartbeats."""
+    """Open rows are recoverable after a grace period, unless the router is present."""
     fleet = converged()
     leaving = fleet.nodes[address(5)]
     fleet.send(address(5), leaving, leaving.membership.leave())
--- a/tests/coordination/test_request_decisions.py
+++ b/tests/coordination/test_request_decisions.py
@@ -90,9 +90,10 @@
 
 
 def test_an_unreachable_server_is_tried_again() -> None:
-    """A plain service restarts; it is not polled, so only a new try shows this.
+    """Guards against a service that is never tried again after it was unreachable.
 
-    It is ejected for a time that grows with each failed try, up to a maximum.
+    A plain service is not polled, so only a request can show that it has restarted.  It
+    is ejected for a time that grows with each failed try, up to a maximum.
     """
     ejector = Ejector(EjectionPolicy(lost=2, first=1.0, most_lost=3.0))
     spans = []
