--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -86,7 +86,7 @@
 
 @define
 class AdaptiveRate:
-    """Rate of one client's calls to a service whose rate limit is shared by clients.
+    """The call rate of one client, which shares a service's rate limit with others.
 
     The rate is multiplied by a factor below 1 when the service refuses a call and
     recovers linearly, so clients that share a limit converge to equal shares without
--- a/ebonyhold/coordination/_configuration.py
+++ b/ebonyhold/coordination/_configuration.py
@@ -1,8 +1,8 @@
 """Configuration versions: accept and adopt them, and look up a publication's result.
 
 A version is accepted once a transaction has increased the head row's version by one.
-The same transaction writes a history row with the publication's own key, so an operator
-whose answer was lost can distinguish its own publication from another's.
+The same transaction writes a history row with the publication's own key.  An operator
+that got no answer can thereby distinguish its own publication from another's.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 class Fate(Enum):
-    """The result of a publication whose answer was lost."""
+    """The result of a publication whose outcome was unknown to the operator."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
--- a/ebonyhold/coordination/_journal.py
+++ b/ebonyhold/coordination/_journal.py
@@ -48,7 +48,7 @@
 class JournalReading:
     """The merged entries of one incarnation's journal, from table and object store.
 
-    An append whose answer was lost is repeated, so the same entry may be in both places
+    An append of unknown outcome is repeated, so the same entry may be in both places
     and in several segments.
 
     Attributes:
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -179,7 +179,7 @@
 
     def tick(self, now: Seconds) -> list[Outgoing]:
         """Run the steps that are due; return the heartbeats to send."""
-        self.notice_pause(now)
+        self.detect_pause(now)
         out: list[Outgoing] = []
         if now >= self.next_probe_at:
             self.end_probe(now)
@@ -188,7 +188,7 @@
             self.next_probe_at = now + self.probe_interval(now)
             self.wake_at = min(now + self.options.answer_within, self.next_probe_at)
         else:
-            out += self.ask_relays(now)
+            out += self.request_relays(now)
             self.wake_at = self.next_probe_at
         return out
 
@@ -197,7 +197,7 @@
         spread = 0.9 + 0.2 * self.rng.random()
         return self.options.period * spread * self.joining.period_factor(now)
 
-    def notice_pause(self, now: Seconds) -> None:
+    def detect_pause(self, now: Seconds) -> None:
         """Detect a pause of this process, and ignore silence during it.
 
         After a pause every answer looks late, and the whole fleet would be suspected at
@@ -264,7 +264,7 @@
         }
         return sorted((found | known | self.seeds) - {self.me.address})
 
-    def ask_relays(self, now: Seconds) -> list[Outgoing]:
+    def request_relays(self, now: Seconds) -> list[Outgoing]:
         """Return relay requests if the current probe is still unanswered."""
         probe = self.probe
         if probe is None or probe.relayed or not probe.target:
--- a/ebonyhold/coordination/_rows.py
+++ b/ebonyhold/coordination/_rows.py
@@ -114,7 +114,7 @@
         returned: Tokens returned to the budget.
         billed: Tokens that became bills.
         sequence: Counts the changes to this row that its router requested, to detect
-            whether a change whose answer was lost took effect.
+            whether a change of unknown outcome took effect.
         transferred_in: Tokens settled as received from other routers.
         transferred_out: Tokens settled as given to other routers.
     """
