--- a/ebonyhold/forwarding/__init__.py
+++ b/ebonyhold/forwarding/__init__.py
@@ -1,6 +1,6 @@
-"""Forwarding of requests whose bodies stay unread, from callers to servers."""
+"""Forwards callers' requests to backend servers without reading their bodies."""
 
-from ebonyhold.forwarding._backends import BackendTable, Entry
+from ebonyhold.forwarding._backends import BackendEntry, BackendTable
 from ebonyhold.forwarding._caller import CallerConnection, RequestHead
 from ebonyhold.forwarding._calls import CallNotSentError, HttpCalls
 from ebonyhold.forwarding._channel import AnswerHead, Channel, Outbound
@@ -10,12 +10,12 @@
     LateRequest,
     RouteTimes,
     Stage,
-    can_end,
+    accepts_late,
 )
 from ebonyhold.forwarding._dialect import Dialect
 from ebonyhold.forwarding._events import EventSplitter, StreamEvent
 from ebonyhold.forwarding._exchange import WholeAnswer
-from ebonyhold.forwarding._forwarder import DELIVERED, Forwarder, Purse
+from ebonyhold.forwarding._forwarder import DELIVERED, Forwarder, RequestHold
 from ebonyhold.forwarding._listener import CallerListener
 from ebonyhold.forwarding._pool import ChannelPool
 from ebonyhold.forwarding._refusals import Refusal, own_answer
@@ -52,6 +52,7 @@
     "AnswerFacts",
     "AnswerHead",
     "Backend",
+    "BackendEntry",
     "BackendState",
     "BackendTable",
     "CallNotSentError",
@@ -64,7 +65,6 @@
     "Departure",
     "Dialect",
     "Dispatch",
-    "Entry",
     "EventSplitter",
     "FleetRetries",
     "Forwarder",
@@ -76,9 +76,9 @@
     "NoRouteError",
     "Outbound",
     "PromptPart",
-    "Purse",
     "Refusal",
     "RequestHead",
+    "RequestHold",
     "RetryRules",
     "Route",
     "RouteKind",
@@ -93,7 +93,7 @@
     "UnknownKeyError",
     "WholeAnswer",
     "Workspace",
-    "can_end",
+    "accepts_late",
     "choose",
     "choose_service",
     "find_route",
--- a/ebonyhold/forwarding/_attempt.py
+++ b/ebonyhold/forwarding/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a backend server answer a request."""
+"""A single attempt to get an answer to a request from one backend server."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from attrs import define
 
 from ebonyhold.exceptions import BackendLostError
-from ebonyhold.forwarding._backends import FULL_FOR, BackendTable, Entry
-from ebonyhold.forwarding._channel import MOST_STRAY, AnswerHead, Channel, Outbound
+from ebonyhold.forwarding._backends import FULL_BACKOFF, BackendEntry, BackendTable
+from ebonyhold.forwarding._channel import MAX_STRAY, AnswerHead, Channel, Outbound
 from ebonyhold.forwarding._dialect import Dialect
 from ebonyhold.forwarding._events import EventSplitter, StreamEvent
 from ebonyhold.forwarding._exchange import (
@@ -25,45 +25,48 @@
 
 log = logging.getLogger(__name__)
 
-MOST_WHOLE = 1_048_576
-"""Bytes of an answer that is read whole before it is passed on.
+MAX_WHOLE_ANSWER = 1_048_576
+"""Size limit, in bytes, of an answer that is read whole before it is passed on.
 
-A whole answer that breaks off can still be asked for again, or be told as a
-failure, instead of cutting the caller's connection.
+If a whole answer breaks off, the request can still be retried or refused with an
+error, and the caller's connection stays open.
 """
 
-SILENCE_SAFE: Seconds = 0.3
-"""The least time without an answer after which a safe request is asked again."""
+SAFE_TIMEOUT: Seconds = 0.3
+"""Minimum time without an answer after which a safe request is sent again."""
 
-SILENCE_STREAM: Seconds = 1.2
-"""The least time without an event after which a stream is asked for elsewhere.
+STREAM_TIMEOUT: Seconds = 1.2
+"""Minimum time without an event after which a stream is continued at another server.
 
-Callers give a stream up after two seconds of silence; an engine that is only
-busy sends an event in less than half of this.
+Callers give up a stream after two seconds without an event. A busy but healthy engine
+sends an event in less than half of this time.
 """
 
-SILENCE_TARGETS = 3.0
-"""The same in target latencies, whichever is longer."""
+TIMEOUT_TARGETS = 3.0
+"""Time without an answer before a retry, as a multiple of the route's target latency.
+
+It applies where it is longer than the minimum times above.
+"""
 
 
 class SilenceError(BackendLostError):
-    """A backend server said nothing for too long."""
+    """A backend server sent nothing for longer than the timeout."""
 
     code = "backend_silent"
 
 
 @define(eq=False)
 class Attempt:
-    """Sends a request to one backend server and passes on what it answers."""
+    """Sends a request to one backend server and passes its answer on to the caller."""
 
     exchange: Exchange
-    entry: Entry
+    entry: BackendEntry
     pool: ChannelPool
     backends: BackendTable
     dialect: Dialect
 
     async def run(self) -> AttemptResult:
-        """Make the attempt."""
+        """Send the request and return how the attempt ended."""
         backend = self.entry.backend
         try:
             channel = await self.pool.get(backend.name, backend.address)
@@ -74,32 +77,32 @@
         work = self.entry.work.begin(self.exchange.caller, anyio.current_time())
         kept = False
         try:
-            result, kept = await self.converse(channel, work)
+            result, kept = await self.send_and_read(channel, work)
         except BackendLostError as error:
             self.backends.failed(self.entry, anyio.current_time())
             result = AttemptResult(AttemptEnd.LOST, reason=str(error))
         finally:
             self.entry.in_flight -= 1
             work.end()
-            # An engine drops a request whose connection closes, so one that was
-            # given up on is not worked on while another server answers it.
+            # Engines abort a request when its connection closes, so an abandoned
+            # request is not processed any longer while another server answers it.
             if not kept:
                 await channel.close()
         if kept:
             await self.pool.put(backend.name, channel)
         return result
 
-    async def converse(
+    async def send_and_read(
         self, channel: Channel, work: RequestWork
     ) -> tuple[AttemptResult, bool]:
-        """Send the request and handle its answer.
+        """Send the request and handle the answer.
 
         Args:
             channel: The connection.
-            work: The request's part in the server's work.
+            work: The load that the request adds to the server.
 
         Returns:
-            The result, and whether the connection can be used again.
+            The result, and whether the connection can be reused.
         """
         exchange = self.exchange
         exchange.sends += 1
@@ -110,17 +113,17 @@
         head, facts = await self.read_answer(channel)
         if facts.not_run:
             exchange.may_have_run = before
-            return await self.declined(channel, head, facts)
+            return await self.handle_declined(channel, head, facts)
         if 200 <= head.status < 300 and not facts.proof:
-            raise BackendLostError("a success without the server's mark")
+            raise BackendLostError("a success without the server's response stamp")
         if exchange.match.route.kind is RouteKind.STREAM and head.status == 200:
             await self.relay_stream(channel, head, work)
             self.backends.succeeded(self.entry)
             return AttemptResult(AttemptEnd.DELIVERED), self.finish(channel, head)
-        return await self.whole(channel, head)
+        return await self.handle_whole(channel, head)
 
     def outbound(self) -> Outbound:
-        """Return the request as it goes to this server."""
+        """Return the request as it is sent to this server."""
         exchange = self.exchange
         workspace = exchange.match.workspace
         resumes = exchange.events > 0
@@ -138,11 +141,11 @@
     async def read_answer(self, channel: Channel) -> tuple[AnswerHead, AnswerFacts]:
         """Read the head of the answer to this request.
 
-        A server may send a second, late answer to an earlier request where the
-        next one is due.  It shows by its request's identifier and is skipped.
+        A server may send a second, late answer to an earlier request on the same
+        connection. Its request identifier differs, and it is skipped.
         """
-        for _ in range(MOST_STRAY):
-            head = await self.within_silence(channel)
+        for _ in range(MAX_STRAY):
+            head = await self.read_next_head(channel)
             facts = self.dialect.read_answer(head.status, head.headers)
             if facts.request_id == self.exchange.caller.request_id:
                 return head, facts
@@ -152,41 +155,45 @@
             await channel.skip_answer()
         raise BackendLostError("too many answers to other requests")
 
-    async def within_silence(self, channel: Channel) -> AnswerHead:
-        """Read the next head, unless the server is silent for too long."""
-        with anyio.move_on_after(self.silence()):
+    async def read_next_head(self, channel: Channel) -> AnswerHead:
+        """Read the next head; raise SilenceError on timeout."""
+        with anyio.move_on_after(self.answer_timeout()):
             return await channel.read_head()
         raise SilenceError("no answer in time")
 
-    def silence(self) -> Seconds | None:
-        """Return how long the server may be silent; None for any time.
+    def answer_timeout(self) -> Seconds | None:
+        """Return how long to wait for the server, or None for no limit.
 
-        Only a request that may run again is given up on: for others the late
-        answer is the only one there can be.
+        Only requests that may be retried have a limit. For all others, a late answer is
+        the only one that the caller can get.
         """
         route = self.exchange.match.route
         if not (route.idempotent and self.exchange.attempts_left):
             return None
-        least = SILENCE_SAFE if route.kind is RouteKind.SAFE else SILENCE_STREAM
-        return max(least, SILENCE_TARGETS * route.target)
+        minimum = SAFE_TIMEOUT if route.kind is RouteKind.SAFE else STREAM_TIMEOUT
+        return max(minimum, TIMEOUT_TARGETS * route.target)
 
-    async def declined(
+    async def handle_declined(
         self, channel: Channel, head: AnswerHead, facts: AnswerFacts
     ) -> tuple[AttemptResult, bool]:
-        """Handle a server's word that it did not run the request."""
+        """Handle an answer which states that the server did not run the request."""
         await read_rest(channel)
         if facts.moved:
             self.entry.moved = True
         else:
-            self.entry.full_until = anyio.current_time() + FULL_FOR
+            self.entry.full_until = anyio.current_time() + FULL_BACKOFF
         reason = "moved" if facts.moved else f"declined with {head.status}"
         result = AttemptResult(AttemptEnd.NOT_RUN, reason=reason)
         return result, self.finish(channel, head)
 
-    async def whole(
+    async def handle_whole(
         self, channel: Channel, head: AnswerHead
     ) -> tuple[AttemptResult, bool]:
-        """Read a whole answer, and pass it on unless another server may do better."""
+        """Read a whole answer; pass it on unless it is a server error.
+
+        An answer with status 500 or above is returned in the result, so that the
+        request can be retried.
+        """
         body = await read_rest(channel)
         answer = WholeAnswer(head, body)
         kept = self.finish(channel, head)
@@ -204,41 +211,41 @@
     async def relay_stream(
         self, channel: Channel, head: AnswerHead, work: RequestWork
     ) -> None:
-        """Pass on a stream's events as they come, each of them whole.
+        """Pass on the events of a stream as they arrive, never a part of an event.
 
         Raises:
-            BackendLostError: The stream broke off; the caller has whole events.
+            BackendLostError: The stream broke off; the caller has whole events only.
         """
         splitter = EventSplitter()
         while True:
-            part = await self.part_within_silence(channel)
+            part = await self.read_next_part(channel)
             if part is None:
                 break
-            events = self.unseen(splitter.feed(part))
+            events = self.undelivered(splitter.feed(part))
             if events:
-                work.note_read()
+                work.mark_read()
                 data = b"".join(event.raw for event in events)
                 await self.exchange.deliver_part(head, data)
-                self.note(events)
+                self.record_events(events)
         if splitter.rest or not self.exchange.connection.started:
             await self.exchange.deliver_part(head, splitter.rest)
         await self.exchange.connection.end()
 
-    async def part_within_silence(self, channel: Channel) -> bytes | None:
-        """Read the next part of a stream, unless it stalls for too long."""
-        with anyio.move_on_after(self.silence()):
+    async def read_next_part(self, channel: Channel) -> bytes | None:
+        """Read the next part of a stream; raise SilenceError on timeout."""
+        with anyio.move_on_after(self.answer_timeout()):
             return await channel.read_part()
         raise SilenceError("the stream stalled")
 
-    def unseen(self, events: list[StreamEvent]) -> list[StreamEvent]:
-        """Return the events that the caller does not have yet."""
+    def undelivered(self, events: list[StreamEvent]) -> list[StreamEvent]:
+        """Return the events that have not been sent to the caller yet."""
         last = self.exchange.last_event
         if last is None:
             return events
         return [e for e in events if e.number is None or e.number > last]
 
-    def note(self, events: list[StreamEvent]) -> None:
-        """Note events as passed on."""
+    def record_events(self, events: list[StreamEvent]) -> None:
+        """Record events as sent to the caller."""
         exchange = self.exchange
         exchange.events += len(events)
         numbers = [event.number for event in events if event.number is not None]
@@ -246,22 +253,22 @@
             exchange.last_event = numbers[-1]
 
     def finish(self, channel: Channel, head: AnswerHead) -> bool:
-        """Make the connection ready for another request, if it can be."""
+        """Prepare the connection for another request; return whether it is reusable."""
         return channel.finish(head, anyio.current_time())
 
     def fields(self) -> dict[str, object]:
-        """Return what a log line says of this attempt."""
+        """Return the log fields that identify this attempt."""
         return {
             "request": self.exchange.caller.request_id,
             "backend": self.entry.backend.name,
         }
 
 
-async def read_rest(channel: Channel, most: int = MOST_WHOLE) -> bytes:
-    """Read the rest of an answer's body, of so many bytes at most.
+async def read_rest(channel: Channel, limit: int = MAX_WHOLE_ANSWER) -> bytes:
+    """Read the rest of an answer's body.
 
     Raises:
-        BackendLostError: It ended early, or is larger than any answer may be.
+        BackendLostError: The body ended early, or is larger than ``limit`` bytes.
     """
     body = bytearray()
     while True:
@@ -269,5 +276,5 @@
         if part is None:
             return bytes(body)
         body += part
-        if len(body) > most:
+        if len(body) > limit:
             raise BackendLostError("the answer is too large")
--- a/ebonyhold/forwarding/_backends.py
+++ b/ebonyhold/forwarding/_backends.py
@@ -1,4 +1,4 @@
-"""The backend servers that may get work, and what this router knows of them."""
+"""The known backend servers and the state that this router keeps for each."""
 
 from __future__ import annotations
 
@@ -15,31 +15,33 @@
 log = logging.getLogger(__name__)
 
 LAPSE_GRACE: Seconds = 2.2
-"""How long a server stays in use whose entry went while the store was away.
+"""How long a server stays in use whose entry expired while the store was unreachable.
 
-Servers renew their entries within two seconds of the store's return; one that
-lives would be dropped for nothing, and all of them at once after a long outage.
+Servers renew their entries within two seconds of the store's return. Without this
+grace, a long outage of the store would remove all running servers at once.
 """
 
 EJECTION = EjectionPolicy(errors=4, lost=1, first=0.5, most=4.0, most_lost=2.0)
-"""Shorter times than elsewhere: a server that is back is needed at once, and a
-wrong guess costs one failed connection."""
+"""Shorter ejections than the defaults: a server that has recovered is needed at once,
+and a wrong guess costs one failed connection.
+"""
 
-FULL_FOR: Seconds = 0.15
-"""How long a server that declined a request for want of room is left alone."""
+FULL_BACKOFF: Seconds = 0.15
+"""How long a server gets no requests after it declined one for lack of capacity."""
 
 
 @define(eq=False)
-class Entry:
-    """One server and what this router has to do with it.
+class BackendEntry:
+    """One backend server and the state that this router keeps for it.
 
     Attributes:
-        backend: Its entry in the list.
-        in_flight: Requests of this router that it works on.
-        work: What they have it do.
-        full_until: Until when it is left alone, since it had no room.
+        backend: The server's entry in the server list.
+        in_flight: Requests that this router has sent it and that have not ended.
+        work: Estimated load of those requests.
+        full_until: Until when it gets no requests because it declined one as full.
         moved: Whether another server answers at its address.
-        gone_at: When to drop it, if its entry went while the store was away.
+        drop_at: When to remove it; set if its entry expired while the store was
+            unreachable.
     """
 
     backend: Backend
@@ -47,36 +49,36 @@
     work: ServerWork = field(factory=ServerWork)
     full_until: Seconds = 0.0
     moved: bool = False
-    gone_at: Seconds | None = None
+    drop_at: Seconds | None = None
 
 
 @define(eq=False)
 class BackendTable:
-    """All known servers; the tasks that watch the list change it.
+    """All known servers, updated by the tasks that watch the server list.
 
     Attributes:
         entries: The servers by name.
-        ejector: Which of them to avoid, since they fail.
+        ejector: Decides which failing servers to avoid.
     """
 
-    entries: dict[BackendName, Entry] = field(factory=dict)
+    entries: dict[BackendName, BackendEntry] = field(factory=dict)
     ejector: Ejector = field(factory=lambda: Ejector(EJECTION))
 
     def replace(
         self, listed: Mapping[BackendName, Backend], now: Seconds, after_outage: bool
     ) -> None:
-        """Take a whole list that was read."""
+        """Replace the table by a complete server list that was just read."""
         for backend in listed.values():
             self.update(backend)
         for name in [name for name in self.entries if name not in listed]:
             self.remove(name, now, after_outage)
 
     def update(self, backend: Backend) -> None:
-        """Take one server's entry."""
+        """Add or update one server."""
         known = self.entries.get(backend.name)
         if known is None or known.backend.started_at != backend.started_at:
-            # Another life under the same name: nothing known of it holds.
-            self.entries[backend.name] = Entry(backend)
+            # A new incarnation under the same name: the previous state does not apply.
+            self.entries[backend.name] = BackendEntry(backend)
             self.ejector.succeeded(backend.name)
             log.info("server listed", extra=fields_of(backend))
             return
@@ -84,64 +86,68 @@
             log.info("server changed", extra=fields_of(backend))
         known.moved = known.moved and known.backend.address == backend.address
         known.backend = backend
-        known.gone_at = None
+        known.drop_at = None
 
     def remove(self, name: BackendName, now: Seconds, after_outage: bool) -> None:
-        """Drop a server whose entry is gone, or soon if it may only have lapsed."""
+        """Remove a server whose entry is gone.
+
+        After an outage of the store, a ready server is kept for LAPSE_GRACE, since its
+        entry may only have expired.
+        """
         entry = self.entries.get(name)
         if entry is None:
             return
         if after_outage and entry.backend.state is BackendState.READY:
-            if entry.gone_at is None:
-                entry.gone_at = now + LAPSE_GRACE
+            if entry.drop_at is None:
+                entry.drop_at = now + LAPSE_GRACE
                 log.info("server lapsed", extra=fields_of(entry.backend))
             return
         self.drop(entry)
 
     def expire(self, now: Seconds) -> None:
-        """Drop the servers whose time of grace is over."""
+        """Remove the servers whose grace period is over."""
         for entry in list(self.entries.values()):
-            if entry.gone_at is not None and now >= entry.gone_at:
+            if entry.drop_at is not None and now >= entry.drop_at:
                 self.drop(entry)
 
-    def drop(self, entry: Entry) -> None:
-        """Drop a server, and what is known of its failures."""
+    def drop(self, entry: BackendEntry) -> None:
+        """Remove a server and its failure history."""
         del self.entries[entry.backend.name]
         self.ejector.succeeded(entry.backend.name)
         log.info("server gone", extra=fields_of(entry.backend))
 
-    def stands(self, entry: Entry) -> bool:
-        """Tell whether an entry is still that of its server.
+    def is_current(self, entry: BackendEntry) -> bool:
+        """Return whether an entry is still the current one of its server.
 
-        An attempt holds its entry over a wait in which the server may go, or live
-        again under the same name: what befalls the attempt says nothing of that life,
-        and a record of a server that has gone would stay for ever.
+        While an attempt is awaited, its server may be removed or restart under the same
+        name. The attempt's result must then not count against the new incarnation, nor
+        create a failure record for a removed server, which would never be deleted.
         """
         return self.entries.get(entry.backend.name) is entry
 
-    def lost(self, entry: Entry, now: Seconds) -> None:
-        """Note that no connection to a server could be made."""
-        if self.stands(entry):
+    def lost(self, entry: BackendEntry, now: Seconds) -> None:
+        """Record that no connection to a server could be made."""
+        if self.is_current(entry):
             self.ejector.lost(entry.backend.name, now)
 
-    def failed(self, entry: Entry, now: Seconds) -> None:
-        """Note an error of a server, or an answer that did not come."""
-        if self.stands(entry):
+    def failed(self, entry: BackendEntry, now: Seconds) -> None:
+        """Record a server error, or an answer that did not arrive."""
+        if self.is_current(entry):
             self.ejector.failed(entry.backend.name, now)
 
-    def succeeded(self, entry: Entry) -> None:
-        """Note a whole answer of a server."""
-        if self.stands(entry):
+    def succeeded(self, entry: BackendEntry) -> None:
+        """Record a complete answer from a server."""
+        if self.is_current(entry):
             self.ejector.succeeded(entry.backend.name)
 
     def usable(
         self, service: ServiceName, now: Seconds, tried: Iterable[BackendName] = ()
-    ) -> list[Entry]:
+    ) -> list[BackendEntry]:
         """Return the servers of a service that may get a request now.
 
-        Servers that fail are left out, unless nothing else remains.
+        Ejected servers are left out unless no others remain; so are full servers.
         """
-        avoid = set(tried)
+        excluded = set(tried)
         ready = [
             entry
             for entry in self.entries.values()
@@ -151,14 +157,14 @@
         ]
         domains = {entry.backend.name: entry.backend.domain for entry in ready}
         ejected = self.ejector.ejected(domains, now)
-        open_ones = [entry for entry in ready if entry.backend.name not in avoid]
-        sound = [entry for entry in open_ones if entry.backend.name not in ejected]
-        roomy = [entry for entry in sound if now >= entry.full_until]
-        return roomy or sound or open_ones
+        untried = [entry for entry in ready if entry.backend.name not in excluded]
+        healthy = [entry for entry in untried if entry.backend.name not in ejected]
+        not_full = [entry for entry in healthy if now >= entry.full_until]
+        return not_full or healthy or untried
 
 
 def fields_of(backend: Backend) -> dict[str, object]:
-    """Return what a log line says of a server."""
+    """Return the log fields that describe a server."""
     return {
         "backend": backend.name,
         "service": backend.service,
--- a/ebonyhold/forwarding/_caller.py
+++ b/ebonyhold/forwarding/_caller.py
@@ -1,4 +1,4 @@
-"""One caller's connection: requests are read from it and answers written to it."""
+"""A caller's connection: reads requests from it and writes answers to it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from attrs import define, field, frozen
 
 from ebonyhold.exceptions import EbonyholdError
-from ebonyhold.forwarding._inbox import Inbox, hang_up
+from ebonyhold.forwarding._inbox import Inbox, close_shielded
 from ebonyhold.forwarding._types import CallerLimits, Headers
 from ebonyhold.types import Seconds
 
@@ -28,16 +28,17 @@
         b"expect",
     }
 )
-"""Fields that concern one connection only and are not passed on."""
+"""Header fields that apply to a single connection and are not passed on."""
 
 
 LINGER: Seconds = 0.1
-"""The longest wait for a caller to close its side after the last answer: ten times the
-way from the farthest ones and back."""
+"""Maximum time to wait for a caller to close its side after the last answer: ten times
+the round trip to the farthest callers.
+"""
 
 
 class ReadFault(Enum):
-    """Why no request could be read, with the status that says so."""
+    """Why no request could be read; values from 400 on are the answer's HTTP status."""
 
     IDLE = 0
     LEFT = 1
@@ -52,8 +53,8 @@
     """No request could be read from the connection.
 
     Attributes:
-        fault: Why.
-        head: The head of the request, if that could be read.
+        fault: The reason.
+        head: The head of the request, if it could be read.
     """
 
     code = "request_unreadable"
@@ -69,10 +70,10 @@
     """The head of a request.
 
     Attributes:
-        method: Its method.
-        target: Its target exactly as sent.
-        headers: Its end-to-end fields, with the length of the body left out.
-        has_body: Whether it announces a body.
+        method: The method.
+        target: The request target, exactly as sent.
+        headers: The end-to-end fields, without the length of the body.
+        has_body: Whether the head announces a body.
         length: The announced length; None if the body is chunked.
         arrived_at: When its last byte was read.
     """
@@ -86,7 +87,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the fields that are passed on, without those of the connection."""
+    """Return the fields that are passed on, without the connection's own fields."""
     named = {
         token.strip().lower()
         for name, value in headers
@@ -101,11 +102,12 @@
 
 
 def read_head(event: h11.Request, now: Seconds) -> RequestHead:
-    """Return the parts of a head that forwarding needs.
+    """Return the parts of a request head that forwarding needs.
 
     Raises:
-        ReadFaultError: It has two lengths.  Servers disagree on which one counts,
-            so a second request could be hidden in the body of the first.
+        ReadFaultError: The head has both a content length and a transfer encoding.
+            Servers disagree on which one applies, so a second request could be
+            smuggled in the body of the first.
     """
     fields = list(event.headers)
     lengths = [value for name, value in fields if name == b"content-length"]
@@ -125,29 +127,32 @@
 
 
 def head_size(event: h11.Request) -> int:
-    """Return the bytes of a head, which may have arrived all at once."""
+    """Return the size of a head in bytes.
+
+    The parser does not enforce its limit on a head that arrives in one piece.
+    """
     fields = sum(len(name) + len(value) + 4 for name, value in event.headers)
     return len(event.method) + len(event.target) + fields
 
 
 @define(eq=False)
 class CallerConnection:
-    """A caller's connection; the task that serves it owns it.
+    """A caller's connection, owned by the task that serves it.
 
     Attributes:
         stream: The connection.
-        limits: What the caller is held to.
-        inbox: What the caller has sent.
-        parser: The state of the protocol.
-        received_at: When the bytes arrived that the parser was given last: the latest
-            that the request being answered can have come, however long it waited.
-        last: Whether the connection ends with the next answer, unless a further
-            request is here already.
-        final: Whether nothing more is read here, whatever has come.
-        told: Whether the caller was told that the connection ends.
-        started: Whether the head of the answer is written.
-        idle_scope: Bounds the wait for the first byte of a request.
-        reading_scope: Bounds the reading of a request that has begun.
+        limits: The limits that apply to the caller's requests.
+        inbox: The bytes received from the caller.
+        parser: The protocol state.
+        received_at: When the bytes that the parser was given last arrived. The current
+            request arrived no later than this, however long it was queued.
+        last: Whether to close the connection after the next answer, unless another
+            request has begun to arrive by then.
+        final: Whether to close the connection after the next answer in any case.
+        close_announced: Whether an answer has announced that the connection closes.
+        started: Whether the head of the answer has been written.
+        idle_scope: Cancel scope of the wait for the first byte of a request.
+        reading_scope: Cancel scope of reading a request that has begun.
     """
 
     stream: ByteStream
@@ -157,7 +162,7 @@
     received_at: Seconds = 0.0
     last: bool = False
     final: bool = False
-    told: bool = False
+    close_announced: bool = False
     started: bool = False
     idle_scope: anyio.CancelScope | None = None
     reading_scope: anyio.CancelScope | None = None
@@ -169,10 +174,10 @@
         )
 
     async def next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        """Return the next event of the protocol.
+        """Return the next protocol event.
 
         Raises:
-            ReadFaultError: The bytes are no request, or the caller has left.
+            ReadFaultError: The bytes are not valid HTTP.
         """
         while True:
             try:
@@ -186,10 +191,11 @@
             self.parser.receive_data(data)
 
     async def read_whole(self) -> tuple[RequestHead, bytes]:
-        """Read a request that has begun, with its body.
+        """Read a request that has begun to arrive, with its body.
 
         Raises:
-            ReadFaultError: It cannot be used, or the router ends before it is whole.
+            ReadFaultError: The request is invalid, or reading was cancelled because the
+                router is stopping.
         """
         head: RequestHead | None = None
         try:
@@ -206,15 +212,15 @@
         raise ReadFaultError(ReadFault.STOPPING, head)
 
     def stop_reading(self) -> None:
-        """Give up a request of which only a part has been read."""
+        """Cancel the reading of a request that has arrived only in part."""
         if self.reading_scope is not None:
             self.reading_scope.cancel()
 
     async def read_request(self) -> RequestHead:
-        """Read the head of a request that has begun.
+        """Read the head of a request that has begun to arrive.
 
         Raises:
-            ReadFaultError: It does not come in time, or it cannot be used.
+            ReadFaultError: The head is invalid or did not arrive in time.
         """
         with anyio.move_on_after(self.limits.head_timeout):
             event = await self.next_event()
@@ -226,10 +232,10 @@
         raise ReadFaultError(ReadFault.SLOW)
 
     async def await_first_byte(self) -> None:
-        """Wait until a request begins.
+        """Wait until a request begins to arrive.
 
         Raises:
-            ReadFaultError: None began in time, or the connection is to close.
+            ReadFaultError: No request began in time, or the connection is closing.
         """
         if self.parser.trailing_data[0] or self.inbox.waiting:
             return
@@ -243,7 +249,7 @@
             raise ReadFaultError(fault)
 
     def close_when_idle(self) -> None:
-        """End the connection if no request is being read or answered."""
+        """Close the connection now, or after the answer if a request is in progress."""
         self.last = True
         if self.idle_scope is not None:
             self.idle_scope.cancel()
@@ -252,11 +258,11 @@
         """Read the whole body.
 
         Raises:
-            ReadFaultError: It is too large, malformed, or stops for too long.
+            ReadFaultError: The body is malformed, too large, or paused for too long.
         """
         if head.length is not None and head.length > self.limits.body_bytes:
             raise ReadFaultError(ReadFault.BODY_TOO_LARGE)
-        await self.invite_body()
+        await self.send_continue()
         body = bytearray()
         while True:
             with anyio.move_on_after(self.limits.idle_timeout) as scope:
@@ -271,14 +277,14 @@
             if len(body) > self.limits.body_bytes:
                 raise ReadFaultError(ReadFault.BODY_TOO_LARGE)
 
-    async def invite_body(self) -> None:
-        """Ask for the body where the caller waits to be asked."""
+    async def send_continue(self) -> None:
+        """Send 100 Continue if the caller waits for it before sending the body."""
         if self.parser.they_are_waiting_for_100_continue:
-            invitation = h11.InformationalResponse(status_code=100, headers=[])
-            await self.stream.send(self.parser.send(invitation) or b"")
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await self.stream.send(self.parser.send(interim) or b"")
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer at once."""
+        """Write a complete answer in one call."""
         length = (b"content-length", b"%d" % len(body))
         head = self.head(status, [*headers, length])
         data = self.parser.send(h11.Data(data=body)) or b"" if body else b""
@@ -286,20 +292,20 @@
         await self.stream.send(head + data + end)
 
     def head(self, status: int, headers: Headers) -> bytes:
-        """Return the bytes of an answer's head."""
+        """Return an answer's head; announce the close if this answer is the last."""
         self.started = True
-        self.told = self.final or (self.last and not self.more_waits)
-        if self.told:
+        self.close_announced = self.final or (self.last and not self.more_received)
+        if self.close_announced:
             headers = [*headers, (b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers)
         return self.parser.send(response) or b""
 
     @property
-    def more_waits(self) -> bool:
-        """Whether a further request has begun to arrive.
+    def more_received(self) -> bool:
+        """Whether another request has begun to arrive.
 
-        Its caller sent it before it could know of the end; it would find its
-        connection closed although this process still serves.
+        The caller sent it before it could know that the connection would close. If the
+        connection closed now, that request would get no answer.
         """
         return bool(self.inbox.waiting or self.parser.trailing_data[0])
 
@@ -314,9 +320,9 @@
             await self.stream.send(tail)
 
     def next_cycle(self) -> bool:
-        """Make ready for another request; tell whether there can be one."""
+        """Prepare for another request; return whether the connection can take one."""
         self.started = False
-        if self.told or self.inbox.ended:
+        if self.close_announced or self.inbox.ended:
             return False
         if self.parser.our_state is not h11.DONE:
             return False
@@ -328,11 +334,11 @@
     async def linger(self) -> None:
         """Let the caller read the last answer before the connection is closed.
 
-        Closing a connection with unread bytes resets it, and a reset takes the answer
-        away that is still on its way: a caller who had sent further requests got
-        nothing at all.
+        Closing a connection with unread bytes resets it, and a reset discards the
+        answer that is still on its way. A caller that had sent further requests then
+        got no answer at all.
         """
-        if not self.told or self.inbox.ended:
+        if not self.close_announced or self.inbox.ended:
             return
         await self.stream.send_eof()
         with anyio.move_on_after(LINGER):
@@ -342,11 +348,11 @@
 
     async def close(self) -> None:
         """Close the connection."""
-        await hang_up(self.stream)
+        await close_shielded(self.stream)
 
 
 def fault_of(error: h11.RemoteProtocolError) -> ReadFault:
-    """Return the fault that a protocol error amounts to."""
+    """Return the read fault that corresponds to a protocol error."""
     if error.error_status_hint == ReadFault.HEAD_TOO_LARGE.value:
         return ReadFault.HEAD_TOO_LARGE
     return ReadFault.MALFORMED
--- a/ebonyhold/forwarding/_calls.py
+++ b/ebonyhold/forwarding/_calls.py
@@ -1,4 +1,4 @@
-"""Whole calls to one address, over connections that are kept."""
+"""HTTP calls to one address over pooled connections, with answers read whole."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from ebonyhold.tasks import TaskStarter
 from ebonyhold.types import Seconds
 
-MOST_ANSWER = 33_554_432
-"""Bytes of an answer to a call.
+MAX_ANSWER = 33_554_432
+"""Size limit, in bytes, of the answer to a call.
 
-The changes of a table hold every version of a large row; a few hundred routes in ten
-versions make some 2 MB, and a smaller bound would stop a reader at them for ever.
+The changes of a table include every version of a large row: a few hundred routes in
+ten versions make some 2 MB. A reader whose limit is smaller can never read past them.
 """
 
 
 class CallNotSentError(BackendLostError):
-    """Nothing of a call has left, so it had no effect."""
+    """The call was not sent, so it had no effect."""
 
     code = "call_not_sent"
 
 
 @define(eq=False)
 class HttpCalls:
-    """Makes calls and reads their whole answers.
+    """Makes HTTP calls and reads their answers whole.
 
-    It serves calls that are made all the time, at less processor time than a general
-    client library takes; ``python -m ebonyhold.experiments.store_call`` compares them.
+    It is meant for frequent calls and takes less processor time than a general client
+    library; ``python -m ebonyhold.experiments.store_call`` compares them.
 
     Attributes:
-        address: The host and port that are called.
-        connect_timeout: The longest wait for a new connection.
+        address: The host and port to call.
+        connect_timeout: Maximum time to wait for a new connection.
         pool: The connections; None before `start`.
     """
 
@@ -50,24 +50,24 @@
     pool: ChannelPool | None = field(default=None)
 
     def start(self, tasks: TaskStarter) -> None:
-        """Take what starts the tasks in which connections are read."""
+        """Create the connection pool, whose reading tasks run in ``tasks``."""
         self.pool = ChannelPool(tasks, connect_timeout=self.connect_timeout)
 
     @property
     def name(self) -> str:
-        """Return the name under which connections are kept."""
+        """Return the key of this address in the connection pool."""
         return f"{self.address[0]}:{self.address[1]}"
 
     async def call(self, request: Outbound, timeout: Seconds) -> WholeAnswer:
         """Make one call.
 
         Args:
-            request: What to send.
-            timeout: The longest time from sending to the end of the answer.
+            request: The request to send.
+            timeout: Maximum time from sending to the end of the answer.
 
         Raises:
-            CallNotSentError: There was no connection.
-            BackendLostError: It was sent, and no whole answer came.
+            CallNotSentError: No connection could be made.
+            BackendLostError: The call was sent, but no complete answer arrived.
         """
         if self.pool is None:
             raise CallNotSentError("not started")
@@ -77,24 +77,24 @@
             raise CallNotSentError(str(error)) from error
         kept = False
         try:
-            answer = await self.converse(channel, request, timeout)
+            answer = await self.send_and_read(channel, request, timeout)
             kept = channel.finish(answer.head, anyio.current_time())
         finally:
-            # A connection on which an answer was lost or cut short may deliver it
-            # where the next call expects its own.
+            # On a connection with a lost or incomplete answer, that answer could arrive
+            # later and be taken for the answer to the next call.
             if not kept:
                 await channel.close()
         if kept:
             await self.pool.put(self.name, channel)
         return answer
 
-    async def converse(
+    async def send_and_read(
         self, channel: Channel, request: Outbound, timeout: Seconds
     ) -> WholeAnswer:
         """Send a request and read its answer.
 
         Raises:
-            BackendLostError: No whole answer came in time.
+            BackendLostError: No complete answer arrived in time.
         """
         with anyio.move_on_after(timeout):
             host = [(b"host", self.name.encode()), *request.headers]
@@ -104,5 +104,5 @@
                 )
             )
             head: AnswerHead = await channel.read_head()
-            return WholeAnswer(head, await read_rest(channel, MOST_ANSWER))
+            return WholeAnswer(head, await read_rest(channel, MAX_ANSWER))
         raise BackendLostError(f"no answer in {timeout} s")
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, and the requests sent on it in turn."""
+"""A connection to a backend server, which carries one request at a time."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
 from attrs import define, field, frozen
 
 from ebonyhold.exceptions import BackendLostError
-from ebonyhold.forwarding._inbox import Inbox, hang_up
+from ebonyhold.forwarding._inbox import Inbox, close_shielded
 from ebonyhold.forwarding._types import Headers
 from ebonyhold.tasks import TaskStarter
 from ebonyhold.types import Seconds
 
 CONNECT_TIMEOUT: Seconds = 0.25
-"""The longest wait for a connection to a backend server.
+"""Maximum time to wait for a connection to a backend server.
 
-The farthest one answers within some 5 ms; a server without power never does.
+The farthest server accepts within some 5 ms; a server without power never does.
 """
 
-UNACKNOWLEDGED_MS = 2_000
-"""Milliseconds after which bytes that nobody acknowledges break a connection.
+USER_TIMEOUT_MS = 2_000
+"""Milliseconds after which unacknowledged bytes break a connection.
 
-Without it a connection to a server that lost its power hangs for minutes.
+Without this limit, a connection to a server that lost power hangs for minutes.
 """
 
-IDLE_UNKNOWN: Seconds = 4.0
-"""How long an unused connection is kept whose server names no time-out."""
+DEFAULT_IDLE_TIME: Seconds = 4.0
+"""How long an unused connection is kept if the server names no keep-alive timeout."""
 
 IDLE_MARGIN: Seconds = 0.5
-"""How long before the server's own time-out an unused connection is given up.
+"""How long before the server's keep-alive timeout an unused connection is closed.
 
-A request that crosses the server's close may or may not have run.
+A request sent while the server closes the connection may or may not have run.
 """
 
 KEEP_ALIVE = re.compile(rb"timeout=(\d{1,9})")
-"""A server's time-out in seconds.
+"""The keep-alive timeout of a server, in seconds.
 
-Of a longer number the first digits do: they are beyond any use, and Python refuses to
-convert some thousands of them.
+Of a longer number only the first nine digits are read: such a timeout is longer than
+any use, and Python refuses to convert numbers of several thousand digits.
 """
 
 LARGE_BODY = 32_768
-"""Bytes beyond which a request is written beside the reading of its answer.
+"""Size in bytes above which a request is written while its answer is read.
 
-A server may answer before it has read the body; writing first would then wait
-for a server that waits for its answer to be read.
+A server may answer before it has read the body. If the request were written first,
+both sides could block, each waiting for the other to read.
 """
 
-MOST_STRAY = 4
-"""Answers to earlier requests that are skipped before a connection is given up."""
+MAX_STRAY = 4
+"""Answers to earlier requests that are skipped before a connection is closed."""
 
 
 class ConnectTimeoutError(BackendLostError):
-    """A connection was neither made nor refused in time."""
+    """A connection was neither accepted nor refused in time."""
 
     code = "connect_timeout"
 
@@ -71,7 +71,7 @@
 
 @frozen
 class Outbound:
-    """One request as it is sent to a backend server."""
+    """A request as it is sent to a backend server."""
 
     method: bytes
     target: bytes
@@ -80,7 +80,7 @@
     has_body: bool
 
     def event(self) -> h11.Request:
-        """Return its head as an event of the protocol."""
+        """Return the head as an h11 event."""
         fields = list(self.headers)
         if self.has_body:
             fields.append((b"content-length", b"%d" % len(self.body)))
@@ -88,28 +88,29 @@
 
 
 def idle_time(headers: Headers) -> Seconds:
-    """Return how long a connection may be kept unused, by the server's word."""
+    """Return how long the server allows a connection to stay unused, less a margin."""
     for name, value in headers:
         if name == b"keep-alive":
             found = KEEP_ALIVE.search(value)
             if found:
                 return max(0.0, int(found[1]) - IDLE_MARGIN)
-    return IDLE_UNKNOWN
+    return DEFAULT_IDLE_TIME
 
 
 @define(eq=False)
 class Channel:
-    """A connection to one backend server; whoever holds it owns it.
+    """A connection to one backend server, used by one task at a time.
 
     Attributes:
         stream: The connection.
-        tasks: Where its reading task runs.
-        address: The host and port that it was made to.
-        inbox: What the server has sent.
-        parser: The state of the protocol for the request under way.
-        request: The request under way.
+        tasks: Starts the task that reads the connection.
+        address: The host and port that it is connected to.
+        inbox: The bytes received from the server.
+        parser: The protocol state of the current request.
+        request: The current request.
         writing: Whether a large request is still being written.
-        usable_until: When it is too old to be used again.
+        closed: Whether this side has closed the connection.
+        usable_until: Until when the connection may be reused.
     """
 
     stream: SocketStream
@@ -136,7 +137,7 @@
         data = self.encode(request)
         if len(data) > LARGE_BODY:
             self.writing = True
-            self.tasks.start_soon(self.write_beside, data)
+            self.tasks.start_soon(self.write_while_reading, data)
             return
         try:
             await self.stream.send(data)
@@ -144,13 +145,13 @@
             raise BackendLostError("the connection broke while sending") from error
 
     def encode(self, request: Outbound) -> bytes:
-        """Return the bytes of a request, and note it as sent in the parser."""
+        """Return the bytes of a request, and update the parser as if it were sent."""
         data = self.parser.send(request.event()) or b""
         if request.body:
             data += self.parser.send(h11.Data(data=request.body)) or b""
         return data + (self.parser.send(h11.EndOfMessage()) or b"")
 
-    async def write_beside(self, data: bytes) -> None:
+    async def write_while_reading(self, data: bytes) -> None:
         """Write a large request while its answer may already be read."""
         try:
             await self.stream.send(data)
@@ -164,7 +165,7 @@
         """Return the next event of the answer.
 
         Raises:
-            BackendLostError: The server broke off or sent what is no answer.
+            BackendLostError: The connection broke, or the bytes are not valid HTTP.
         """
         while True:
             try:
@@ -182,7 +183,7 @@
         """Read the head of the next answer.
 
         Raises:
-            BackendLostError: There is none.
+            BackendLostError: The connection ended before a head arrived.
         """
         while True:
             event = await self.next_event()
@@ -192,7 +193,7 @@
                 raise BackendLostError("the connection ended without an answer")
 
     async def read_part(self) -> bytes | None:
-        """Read a part of the answer's body; None at its end.
+        """Read a part of the answer's body; return None at its end.
 
         Raises:
             BackendLostError: The answer ended early.
@@ -205,10 +206,10 @@
         raise BackendLostError("the answer ended early")
 
     async def skip_answer(self) -> None:
-        """Pass over an answer to an earlier request, up to the one awaited.
+        """Skip the answer to an earlier request, and wait for that to the current one.
 
         Raises:
-            BackendLostError: It has no end, or too many came.
+            BackendLostError: The answer ended early, or the connection closed after it.
         """
         while await self.read_part() is not None:
             pass
@@ -216,17 +217,17 @@
         self.parser = h11.Connection(h11.CLIENT)
         if self.request is None or ended:
             raise BackendLostError("the connection ended after a stray answer")
-        # The bytes are dropped: the request was sent already, and only the
-        # parser has to know of it.
+        # The request was sent already: encoding it again only restores the state of the
+        # new parser, and the bytes are not sent.
         self.encode(self.request)
         if rest:
             self.parser.receive_data(rest)
 
     def finish(self, head: AnswerHead, now: Seconds) -> bool:
-        """Make ready for another request after a whole answer.
+        """Prepare the connection for another request after a complete answer.
 
         Returns:
-            Whether the connection can be used again.
+            Whether the connection can be reused.
         """
         done = self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
         if not done or self.writing or not self.is_quiet():
@@ -239,7 +240,7 @@
         return True
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing came that no request asked for."""
+        """Return whether neither side has closed it and no bytes are unread."""
         return not (self.inbox.waiting or self.inbox.ended or self.closed)
 
     async def close(self) -> None:
@@ -249,7 +250,7 @@
             self.inbox.ended = True
             self.inbox.notify()
             self.inbox.taken.set()
-            await hang_up(self.stream)
+            await close_shielded(self.stream)
 
 
 async def open_channel(
@@ -258,8 +259,8 @@
     """Connect to a backend server.
 
     Raises:
-        ConnectTimeoutError: It did not answer in time; nothing was sent.
-        BackendLostError: It cannot be reached; nothing was sent.
+        ConnectTimeoutError: The server did not accept in time; nothing was sent.
+        BackendLostError: The server cannot be reached; nothing was sent.
     """
     stream: SocketStream | None = None
     try:
@@ -270,7 +271,7 @@
     if stream is None:
         raise ConnectTimeoutError("no connection in time")
     raw = stream.extra(SocketAttribute.raw_socket)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     channel = Channel(stream, tasks, address)
     tasks.start_soon(channel.inbox.fill)
     return channel
--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_departure.py
@@ -1,4 +1,4 @@
-"""Whether a router that was told to stop still takes a request."""
+"""Decides whether a router that is shutting down still accepts a request."""
 
 from __future__ import annotations
 
@@ -18,44 +18,57 @@
 log = logging.getLogger(__name__)
 
 SAMPLES = 64
-"""Requests of a route whose length is remembered: some 20 s of an ordinary route at one
-router, so that the load of the moment counts."""
+"""Durations kept per route: some 20 s of requests on an ordinary route at one router,
+so that estimates follow the current load.
+"""
 
-MOST_ROUTES = 1_000
-"""Routes that are remembered; configurations come and go, and with them names."""
+MAX_ROUTES = 1_000
+"""Maximum number of routes with recorded durations. Without a limit, memory would grow
+with every configuration that names new routes.
+"""
 
-ENOUGH = 24
-"""Requests that make a measurement: some 8 s of an ordinary route at one router.  One
-that has just started has fewer, and knows short ones first."""
+MIN_SAMPLES = 24
+"""Durations needed for an estimate: some 8 s of requests on an ordinary route at one
+router. A router that has just started has fewer, and the first ones to be recorded are
+those of short requests.
+"""
 
 SLACK: Seconds = 0.1
-"""What is added to the longest of them: the shortest requests vary by as much."""
+"""Added to the longest duration: even the shortest requests vary by this much."""
 
-SAFETY: dict[RouteKind, float] = {
+SAFETY_FACTORS: dict[RouteKind, float] = {
     RouteKind.STREAM: 2.0,
     RouteKind.SAFE: 1.0,
     RouteKind.UNSAFE: 1.0,
 }
-"""The factor by which the longest of late is multiplied, with its slack.
+"""The factor by which the longest recent duration, with its slack, is multiplied.
 
-The lengths of streams have a long tail, what they will be is not known beforehand, and
-a stream that outlasts the stop is cut.  Of 8,604 requests of three deployments under
-bursts 222 took longer than the longest of the 64 before them with the slack, and 6
-longer than twice that.  An answer that is whole can still be replaced by a true one of
-our own.
+The durations of streams have a long tail and cannot be known beforehand, and a stream
+that is still running at the end of the shutdown is cut. Of 8,604 requests of three
+deployments under bursts, 222 took longer than the longest of the 64 before them plus
+the slack, and 6 took longer than twice that. The other kinds need no such factor: an
+answer that is passed on whole can still be replaced by an error from the router.
 """
 
 
-UNMEASURED: Seconds = 3.0
-"""The time that is assumed for a route with fewer requests: ordinary long streams take
-some 2 s, and plain services may be as slow.  Taken on a guess of 1 s, a booking that
-takes 1.5 s was given up 1.2 s later, and may have run."""
+DEFAULT_ESTIMATE: Seconds = 3.0
+"""The duration assumed for a route with too few recorded requests.
+
+Ordinary long streams take some 2 s, and plain services may be as slow. With an assumed
+duration of 1 s, a booking that takes 1.5 s was accepted and given up 1.2 s later,
+although it may have run.
+"""
 
 
 class Stage(Enum):
-    """How far a router is on its way from serving to its end.
+    """The stage of a router's shutdown.
 
-    While it is stopping, the balancer may not have taken it out of the rotation yet.
+    Attributes:
+        SERVING: No shutdown was requested.
+        STOPPING: The load balancer may not have taken it out of rotation yet.
+        LEAVING: It should be out of rotation, and waits for its requests to end.
+        RETURNING: It returns its grants, so priced requests are refused.
+        OVER: The time for answers has passed, so all requests are refused.
     """
 
     SERVING = "serving"
@@ -67,35 +80,35 @@
 
 @define
 class RouteTimes:
-    """How long requests took of late, from their last byte to that of their answer.
+    """Durations of recent requests, from the last request byte to the last answer byte.
 
     Attributes:
-        lengths: The last ones of each route, in seconds.
+        lengths: The latest durations of each route, in seconds.
     """
 
     lengths: dict[str, deque[Seconds]] = field(factory=dict)
 
-    def note(self, route: str, length: Seconds) -> None:
-        """Take a request that was answered by a server, whole."""
-        if route not in self.lengths and len(self.lengths) >= MOST_ROUTES:
+    def record(self, route: str, length: Seconds) -> None:
+        """Record the duration of a request that got a complete answer from a server."""
+        if route not in self.lengths and len(self.lengths) >= MAX_ROUTES:
             oldest = next(iter(self.lengths))
             del self.lengths[oldest]
         known = self.lengths.setdefault(route, deque(maxlen=SAMPLES))
         known.append(length)
 
     def estimate(self, route: Route) -> Seconds:
-        """Return the time within which a request of this route surely ends, nearly."""
+        """Return a duration that requests of this route rarely exceed."""
         known = self.lengths.get(route.name, ())
         longest: Seconds = max(known, default=0.0) + SLACK
-        if len(known) < ENOUGH:
-            longest = max(longest, UNMEASURED)
-        return min(route.timeout, longest * SAFETY[route.kind])
+        if len(known) < MIN_SAMPLES:
+            longest = max(longest, DEFAULT_ESTIMATE)
+        return min(route.timeout, longest * SAFETY_FACTORS[route.kind])
 
     def shown(self, route: Route) -> Seconds:
-        """Return the longest that a request of this route has taken, however few.
+        """Return the longest recorded duration plus slack, however few were recorded.
 
-        It says nothing of streams, whose lengths have a long tail, nor of a route that
-        has answered nobody yet.
+        It is infinite for streams, whose durations have a long tail, and for a route
+        without recorded requests.
         """
         known = self.lengths.get(route.name)
         if not known or route.kind is RouteKind.STREAM:
@@ -105,17 +118,17 @@
 
 @frozen
 class LateRequest:
-    """A request that came after the signal to stop, and what it was judged by.
+    """A request received after the signal to stop, and the data used to judge it.
 
     Attributes:
         request: Its identifier.
         route: Its route.
         priced: Whether it needs tokens of a grant.
-        left: The time until the last answer, in seconds.
-        estimate: The time that it may take itself, in seconds.
-        waited: For how long it was here before it was judged, behind other answers on
-            its connection, in seconds.
-        shown: The longest that requests of its route have taken, in seconds.
+        left: The time until the deadline for the last answer, in seconds.
+        estimate: The estimated duration of the request, in seconds.
+        waited: How long it was queued behind other answers on its connection before
+            it was judged, in seconds.
+        shown: The longest recorded duration on its route plus slack, in seconds.
     """
 
     request: RequestId
@@ -127,28 +140,28 @@
     shown: Seconds = math.inf
 
     @property
-    def came_in_time(self) -> bool:
-        """Say whether it would have been taken when it arrived."""
+    def arrived_in_time(self) -> bool:
+        """Whether it would have been accepted at the time it arrived."""
         return self.estimate <= self.left + self.waited
 
 
 @define(eq=False)
 class Departure:
-    """A router's way from serving to its end, as requests meet it.
+    """Admission of requests while a router shuts down.
 
-    The balancer goes on sending callers here where fewer than half of the domain's VMs
-    are in rotation, and a closed door costs each of them a try.  So what comes is taken
-    if it surely ends in time.  All else is refused at once, so that nothing is read and
-    then left without an answer.
+    The load balancer still sends callers here while fewer than half of the failure
+    domain's VMs are in rotation, and a closed port would cost each of them a failed
+    attempt. So a request is accepted if it will very likely end in time. All others
+    are refused at once, so that none is read and then left without an answer.
 
     Attributes:
-        stage: How far the router is.
-        last_answer_at: When the last answer has to be out.
-        times: How long requests take.
-        judged: Is told of each late request whether it was taken, for metrics.
-        open: The scopes of the requests under way, which end with the last answer.
-        taken: Late requests that were taken.
-        refused: Late requests that were not.
+        stage: The current stage.
+        last_answer_at: When the last answer must have been sent.
+        times: Durations of recent requests.
+        judged: Called for each late request with whether it was accepted, for metrics.
+        open: The scopes of the current requests, cancelled at `last_answer_at`.
+        taken: Number of late requests that were accepted.
+        refused: Number of late requests that were refused.
     """
 
     stage: Stage = Stage.SERVING
@@ -160,7 +173,7 @@
     refused: int = 0
 
     def begin(self, last_answer_at: Seconds) -> None:
-        """Begin to stop; requests under way end with the last answer at the latest."""
+        """Start the shutdown; current requests end by `last_answer_at`."""
         self.stage = Stage.STOPPING
         self.last_answer_at = last_answer_at
         for scope in self.open:
@@ -168,10 +181,10 @@
 
     @contextmanager
     def bounded(self, deadline: Seconds) -> Iterator[None]:
-        """Bound a request by its own deadline, and by the last answer.
+        """Bound a request by its own deadline and by `last_answer_at`.
 
-        A request that outlasts the stop then gets a true answer from here, as it does
-        at its deadline, instead of a connection that closes.
+        A request that outlasts the shutdown is then answered with an error, as at its
+        own deadline, instead of having its connection closed.
         """
         cutoff = min(deadline, self.last_answer_at)
         with anyio.CancelScope(deadline=cutoff) as scope:
@@ -184,7 +197,7 @@
     def admits(
         self, request: RequestId, route: Route, priced: bool, received_at: Seconds
     ) -> bool:
-        """Decide whether a request is taken, and say so if the router is stopping.
+        """Return whether to accept a request; log the decision during a shutdown.
 
         Args:
             request: Its identifier.
@@ -204,12 +217,12 @@
             waited=now - received_at,
             shown=self.times.shown(route),
         )
-        taken = can_end(self.stage, late)
-        self.note(late, taken)
+        taken = accepts_late(self.stage, late)
+        self.record(late, taken)
         return taken
 
-    def note(self, late: LateRequest, taken: bool) -> None:
-        """Count a late request, and log what became of it and why."""
+    def record(self, late: LateRequest, taken: bool) -> None:
+        """Count a late request, and log the decision with its reasons."""
         self.taken += taken
         self.refused += not taken
         self.judged(taken)
@@ -230,21 +243,21 @@
         )
 
 
-def can_end(stage: Stage, late: LateRequest) -> bool:
-    """Tell whether a late request is taken.
+def accepts_late(stage: Stage, late: LateRequest) -> bool:
+    """Return whether a late request is accepted.
 
-    A router that has only just been told takes all: its whole grace lies ahead, and
-    callers do not know of the stop.  One that came in time and waited for its turn is
-    not refused on the guess that stands in for a route's measurement: what the route
-    has shown so far is the better one by then.
+    A router that is STOPPING accepts every request, because its whole grace period is
+    still left and callers do not know of the stop yet. DEFAULT_ESTIMATE must not cause
+    the refusal of a request that arrived in time and was queued behind others: it is
+    judged by the longest duration recorded on its route instead.
     """
     if stage is Stage.STOPPING:
         return True
     if stage is Stage.OVER:
         return False
     if stage is Stage.RETURNING and late.priced:
-        # The grants are on their way back, and nobody would return new ones.
+        # The router is returning its grants, and no one would return new ones.
         return False
     if late.estimate <= late.left:
         return True
-    return late.came_in_time and late.shown <= late.left
+    return late.arrived_in_time and late.shown <= late.left
--- a/ebonyhold/forwarding/_dialect.py
+++ b/ebonyhold/forwarding/_dialect.py
@@ -1,4 +1,4 @@
-"""The headers of callers and backend servers, as the forwarding path needs them."""
+"""The header fields of callers and backend servers, as typed messages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Dialect(Protocol):
-    """Translates header fields to typed messages and back; it decides nothing."""
+    """Converts header fields to typed messages and back."""
 
     def read_request(self, headers: Headers) -> CallerRequest:
         """Decode the headers of a caller's request.
@@ -24,7 +24,7 @@
         ...
 
     def dispatch_headers(self, headers: Headers, dispatch: Dispatch) -> Headers:
-        """Return the caller's end-to-end fields with this dispatch's own ones."""
+        """Return the caller's end-to-end fields and those of this dispatch."""
         ...
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
@@ -32,5 +32,5 @@
         ...
 
     def refusal_headers(self, request_id: str) -> Headers:
-        """Return the fields that name the request in an answer of our own."""
+        """Return the fields that identify the request in the router's own answer."""
         ...
--- a/ebonyhold/forwarding/_events.py
+++ b/ebonyhold/forwarding/_events.py
@@ -1,4 +1,4 @@
-"""Splitting a stream into whole events, so that it can go on at the exact one."""
+"""Splits a stream into whole events, so that it can resume at the right event."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d{1,18})(?!\d)")
-"""An event's number.
+"""The identifier of an event, if it is a number of at most 18 digits.
 
-One beyond 64 bits is none: nobody could ask to go on after it, and Python refuses to
-convert some thousands of digits.
+Longer numbers do not fit into 64 bits and are ignored. Python also refuses to convert
+numbers of several thousand digits.
 """
 
 
 @frozen
 class StreamEvent:
-    """One event with the bytes it came in.
+    """One event of a stream with its bytes.
 
     Attributes:
-        raw: Its bytes, with the empty line at its end.
-        number: Its identifier; None if it has none.
+        raw: The bytes, with the empty line at the end.
+        number: The event's identifier; None if it has none.
     """
 
     raw: bytes
@@ -30,7 +30,7 @@
 
 @define
 class EventSplitter:
-    """Cuts bytes into events; what is not yet a whole event waits.
+    """Splits bytes into events, and keeps an incomplete event until its end arrives.
 
     >>> splitter = EventSplitter()
     >>> [event.number for event in splitter.feed(b"id: 1" + bytes([10, 10]) + b"id")]
@@ -42,7 +42,7 @@
     rest: bytes = field(default=b"")
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that these bytes complete."""
+        """Return the events that are complete with these bytes."""
         self.rest += data
         events: list[StreamEvent] = []
         while True:
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the router."""
+"""The state of one caller's request while the router forwards it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptEnd(Enum):
-    """How one attempt at a backend server ended."""
+    """How an attempt at a backend server ended."""
 
     DELIVERED = "delivered"
     NOT_SENT = "not_sent"
@@ -29,7 +29,7 @@
 
 @frozen
 class WholeAnswer:
-    """A backend server's whole answer, not yet passed on."""
+    """A complete answer of a backend server, not yet passed on."""
 
     head: AnswerHead
     body: bytes
@@ -37,13 +37,13 @@
 
 @frozen
 class AttemptResult:
-    """How one attempt ended.
+    """The result of an attempt.
 
     Attributes:
-        end: What became of it.
-        answer: The server's failure, which the caller gets if no other server
-            does better.
-        reason: Why, for logs.
+        end: How it ended.
+        answer: The server's error answer; the caller gets it if no other server
+            succeeds.
+        reason: Why it failed, for logs.
     """
 
     end: AttemptEnd
@@ -53,22 +53,23 @@
 
 @define(eq=False)
 class Exchange:
-    """A request and what has become of it so far.
+    """A request and its progress.
 
     Attributes:
-        connection: Where the caller waits.
+        connection: The caller's connection.
         head: The head of the request.
-        body: Its body.
-        caller: What its headers say.
-        match: What the rules say of it.
-        deadline: When there must be an answer.
-        event_tokens: The most tokens of one event of its stream.
+        body: The body of the request.
+        caller: The decoded headers of the request.
+        match: The route, service and workspace of the request.
+        deadline: When the caller must have an answer.
+        event_tokens: Maximum number of tokens in one event of its stream.
         sends: How often it was sent to a server.
-        tried: The servers it was sent to.
+        connects: How many connections to servers failed.
+        tried: The servers that it was sent to, or that could not be reached.
         may_have_run: Whether a server may have run it.
-        last_event: The last event that the caller has.
+        last_event: The number of the last event that the caller has received.
         events: How many events were passed on.
-        failure: The last failure that a server answered.
+        failure: The last error answer of a server.
         reasons: Why attempts failed, for logs.
     """
 
@@ -93,7 +94,7 @@
 
     @property
     def charge(self) -> Tokens:
-        """Tokens that it costs: the prompt if it may have run, and what came."""
+        """The tokens to charge: prompt and output, or 0 if it cannot have run."""
         if not self.may_have_run:
             return 0
         output = min(self.events * self.event_tokens, self.caller.most_output)
@@ -101,11 +102,11 @@
 
     @property
     def attempts_left(self) -> bool:
-        """Whether the route allows another sending."""
+        """Whether the route allows another attempt."""
         return self.sends < self.match.route.most_attempts
 
     async def deliver(self, answer: WholeAnswer) -> None:
-        """Pass on a whole answer unchanged."""
+        """Pass on a complete answer unchanged."""
         fields = end_to_end(answer.head.headers)
         if answer.head.status in BODILESS or self.head.method == b"HEAD":
             await self.deliver_bodiless(answer.head.status, fields)
@@ -115,13 +116,13 @@
         )
 
     async def deliver_bodiless(self, status: int, fields: Headers) -> None:
-        """Pass on an answer that has no body whatever its length field says."""
+        """Pass on an answer that has no body, whatever its content length."""
         head = self.connection.head(status, fields)
         end = self.connection.parser.send(h11.EndOfMessage()) or b""
         await self.connection.stream.send(head + end)
 
     async def deliver_part(self, answer: AnswerHead, data: bytes) -> None:
-        """Pass on a part of a streamed answer, with its head before the first."""
+        """Pass on a part of a streamed answer; the first call also sends the head."""
         if self.connection.started:
             await self.connection.send(data)
             return
@@ -132,5 +133,5 @@
 
 
 def without_length(headers: Headers) -> Headers:
-    """Return fields without the body's length, which is framed anew."""
+    """Return the fields without the content length, since the body is framed anew."""
     return [(name, value) for name, value in headers if name != b"content-length"]
--- a/ebonyhold/forwarding/_forwarder.py
+++ b/ebonyhold/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its one answer."""
+"""Forwards a caller's request to backend servers until it has an answer."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     MalformedRequestError,
 )
 from ebonyhold.forwarding._attempt import Attempt
-from ebonyhold.forwarding._backends import BackendTable, Entry
+from ebonyhold.forwarding._backends import BackendEntry, BackendTable
 from ebonyhold.forwarding._caller import CallerConnection, RequestHead
 from ebonyhold.forwarding._choice import choose
 from ebonyhold.forwarding._departure import Departure
@@ -37,43 +37,44 @@
 log = logging.getLogger(__name__)
 
 ANSWER_MARGIN: Seconds = 0.03
-"""How long after a deadline a server's own word on it is awaited."""
+"""How long after a request's deadline to wait for the server's own timeout answer."""
 
-LEAST_TIME: Seconds = 0.005
-"""The time left below which a request is not sent any more."""
+MIN_TIME_LEFT: Seconds = 0.005
+"""Minimum time left before the deadline for a request to be sent to a server."""
 
 DELIVERED = "delivered"
-"""How a request ended whose caller got a server's whole answer."""
+"""The outcome of a request whose caller got a complete answer from a server."""
 
-MOST_CONNECTS = 4
-"""Servers that are tried in vain before a request is refused.
+MAX_CONNECTS = 4
+"""Failed connections after which a request is refused.
 
 A failed connection costs the caller up to a quarter of a second.
 """
 
 
-class Purse(Protocol):
-    """One workspace's prepaid tokens, as a request needs them."""
+class RequestHold(Protocol):
+    """Holds tokens of one workspace's budget for a request."""
 
     async def hold(self, amount: Tokens, request: RequestId) -> None:
         """Set tokens aside for a request.
 
         Raises:
-            BudgetExhaustedError: The budget surely cannot cover it.
-            BudgetUnreachableError: Tokens may exist, but not here and now.
+            BudgetExhaustedError: The budget cannot cover the request.
+            BudgetUnreachableError: The budget may cover the request, but this router
+                cannot get the tokens now.
         """
         ...
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End a hold with what the request cost."""
+        """End a hold, and charge the tokens that the request cost."""
         ...
 
 
 class Refused(EbonyholdError):
-    """The router answers itself.
+    """The router refuses the request.
 
     Attributes:
-        refusal: Why.
+        refusal: The reason.
     """
 
     code = "refused"
@@ -85,14 +86,20 @@
 
 @define(eq=False)
 class Forwarder:
-    """Takes requests from callers to backend servers.
+    """Forwards callers' requests to backend servers.
 
     Attributes:
-        rules: Returns the rules in force; None before the first ones.
-        purse: Returns a workspace's tokens; None if it has no bound.
-        ended: Is told how each request ended, for metrics.
-        ages: Returns how old what is believed is, in seconds, for logs.
-        departure: Says whether a stopping router still takes a request.
+        domain: The failure domain of this router.
+        dialect: Decodes and encodes header fields.
+        backends: The known servers.
+        pool: The connections to servers.
+        retries: The retry budget.
+        rules: Returns the current rules; None before the first ones were read.
+        purse: Opens a hold on a workspace's budget; None if the workspace has no limit.
+        ended: Called at the end of each request with its route, outcome and duration,
+            for metrics.
+        ages: Returns the age of each cached input in seconds, for logs.
+        departure: Decides which requests are accepted during a shutdown.
     """
 
     domain: str
@@ -101,7 +108,7 @@
     pool: ChannelPool
     retries: FleetRetries
     rules: Callable[[], Ruleset | None]
-    purse: Callable[[WorkspaceName], Purse | None]
+    purse: Callable[[WorkspaceName], RequestHold | None]
     ended: Callable[[str, str, Seconds], None]
     ages: Callable[[], dict[str, Seconds]] = dict
     departure: Departure = field(factory=Departure)
@@ -120,7 +127,7 @@
         try:
             exchange = self.prepare(connection, head, body, caller)
             route = exchange.match.route.name
-            outcome = await self.pay_and_forward(exchange)
+            outcome = await self.hold_and_forward(exchange)
         except Refused as error:
             outcome = error.refusal.code
             await self.refuse(connection, caller, error.refusal, route)
@@ -128,7 +135,7 @@
             length = anyio.current_time() - started
             self.ended(route, outcome, length)
             if outcome == DELIVERED:
-                self.departure.times.note(route, length)
+                self.departure.times.record(route, length)
             if outcome == "left":
                 fields = {"request": caller.request_id, "route": route}
                 log.info("caller left", extra=fields)
@@ -140,10 +147,10 @@
         body: bytes,
         caller: CallerRequest,
     ) -> Exchange:
-        """Find out what the rules say of a request.
+        """Match a request with the rules, and return it as an exchange.
 
         Raises:
-            Refused: They forbid it, or there are none yet.
+            Refused: No rules were read yet, no route matches, or the key is unknown.
         """
         rules = self.rules()
         if rules is None:
@@ -165,31 +172,31 @@
             event_tokens=service.event_tokens if service else 1,
         )
 
-    def check_departure(self, exchange: Exchange, priced: bool) -> None:
-        """Refuse at once what cannot end before a stopping router does.
+    def check_shutdown(self, exchange: Exchange, priced: bool) -> None:
+        """Refuse a request that is unlikely to end before a router that is stopping.
 
         Raises:
-            Refused: It would be cut, and has not run.
+            Refused: The request could be cut off. It has not run.
         """
-        taken = self.departure.admits(
+        accepted = self.departure.admits(
             exchange.caller.request_id,
             exchange.match.route,
             priced,
             exchange.connection.received_at,
         )
-        if not taken:
+        if not accepted:
             raise Refused(Refusal.STOPPING)
 
-    async def pay_and_forward(self, exchange: Exchange) -> str:
-        """Hold the most a request can cost, forward it, and settle."""
+    async def hold_and_forward(self, exchange: Exchange) -> str:
+        """Hold a request's maximum cost, forward it, and charge the actual cost."""
         workspace = exchange.match.workspace
-        most = exchange.caller.most
-        purse = self.purse(workspace.name) if workspace and most else None
-        self.check_departure(exchange, priced=purse is not None)
-        if purse is None:
+        max_charge = exchange.caller.max_charge
+        hold = self.purse(workspace.name) if workspace and max_charge else None
+        self.check_shutdown(exchange, priced=hold is not None)
+        if hold is None:
             return await self.forward_in_time(exchange)
         try:
-            await purse.hold(most, exchange.caller.request_id)
+            await hold.hold(max_charge, exchange.caller.request_id)
         except BudgetExhaustedError as error:
             raise Refused(Refusal.BUDGET_EXHAUSTED) from error
         except BudgetUnreachableError as error:
@@ -197,10 +204,10 @@
         try:
             return await self.forward_in_time(exchange)
         finally:
-            purse.settle(most, exchange.charge)
+            hold.settle(max_charge, exchange.charge)
 
     async def forward_in_time(self, exchange: Exchange) -> str:
-        """Forward a request, and answer at its deadline at the latest."""
+        """Forward a request, and answer it at its deadline at the latest."""
         outcome = ""
         cutoff = exchange.deadline + ANSWER_MARGIN
         with self.departure.bounded(cutoff):
@@ -214,7 +221,7 @@
         return outcome
 
     async def forward(self, exchange: Exchange) -> str:
-        """Send a request to servers until one answers or no other may be asked."""
+        """Send a request to servers in turn until it is answered or refused."""
         while True:
             entry = self.next_entry(exchange)
             if isinstance(entry, Refusal):
@@ -226,13 +233,13 @@
             result = await attempt.run()
             if result.end is AttemptEnd.DELIVERED:
                 return DELIVERED
-            self.note_failure(exchange, entry.backend.name, result)
+            self.record_failure(exchange, entry.backend.name, result)
             refusal = self.verdict(exchange, result)
             if refusal is not None:
                 return await self.give_up(exchange, refusal)
 
-    def log_dispatch(self, exchange: Exchange, entry: Entry) -> None:
-        """Write the line that says where a request goes, and on what grounds."""
+    def log_dispatch(self, exchange: Exchange, entry: BackendEntry) -> None:
+        """Log the server that was chosen, and the data used for the choice."""
         now = anyio.current_time()
         log.info(
             "dispatched",
@@ -247,28 +254,28 @@
             },
         )
 
-    def next_entry(self, exchange: Exchange) -> Entry | Refusal:
-        """Return the next server to ask, or why there is none."""
+    def next_entry(self, exchange: Exchange) -> BackendEntry | Refusal:
+        """Return the next server to try, or the refusal if there is none."""
         now = anyio.current_time()
-        if exchange.deadline - now < LEAST_TIME:
+        if exchange.deadline - now < MIN_TIME_LEFT:
             ran = exchange.may_have_run
             return Refusal.NO_ANSWER if ran else Refusal.NOT_STARTED
         service = exchange.match.service
         entries = self.backends.usable(service, now, exchange.tried)
         if not entries:
-            return self.nobody_left(exchange)
+            return self.no_server_left(exchange)
         return choose(exchange.caller, entries, self.domain, now)
 
-    def nobody_left(self, exchange: Exchange) -> Refusal:
-        """Return why no server is left to ask."""
+    def no_server_left(self, exchange: Exchange) -> Refusal:
+        """Return the refusal for a request when no untried server is left."""
         if exchange.may_have_run:
             return Refusal.SERVER_LOST
         return Refusal.SERVERS_FULL if exchange.sends else Refusal.NO_SERVER
 
-    def note_failure(
+    def record_failure(
         self, exchange: Exchange, backend: str, result: AttemptResult
     ) -> None:
-        """Remember how an attempt failed."""
+        """Record why an attempt failed."""
         exchange.reasons.append(f"{backend}: {result.reason}")
         if result.answer is not None:
             exchange.failure = result.answer
@@ -277,12 +284,12 @@
             exchange.tried.append(backend)
 
     def verdict(self, exchange: Exchange, result: AttemptResult) -> Refusal | None:
-        """Decide whether another server may be asked; None if so."""
+        """Return None if another server may be tried, or else the refusal."""
         if result.end is AttemptEnd.NOT_SENT:
-            # Nothing reached a server, so this costs no part of any budget.
-            if exchange.connects < MOST_CONNECTS:
+            # Nothing was sent, so no retry budget is used.
+            if exchange.connects < MAX_CONNECTS:
                 return None
-            return self.nobody_left(exchange)
+            return self.no_server_left(exchange)
         lost = result.end in (AttemptEnd.LOST, AttemptEnd.FAILED)
         refusal = Refusal.SERVER_LOST if exchange.may_have_run else Refusal.SERVERS_FULL
         if lost and not exchange.match.route.idempotent:
@@ -296,10 +303,10 @@
         return None
 
     async def give_up(self, exchange: Exchange, refusal: Refusal) -> str:
-        """Give the final answer to a request that no server answers."""
+        """Send the final answer to a request that no server has answered."""
         if exchange.connection.started:
-            # The caller has a part of the answer.  Only a connection that closes
-            # before the end tells it that the rest is missing.
+            # The caller has a part of the answer. Closing the connection before the end
+            # is the only way to show that the rest is missing.
             exchange.connection.last = True
             await exchange.connection.close()
             return f"cut: {refusal.code}"
@@ -311,7 +318,7 @@
         return refusal.code
 
     def identify(self, head: RequestHead) -> Headers:
-        """Return the fields by which our own answer names its request."""
+        """Return the fields that identify the request in the router's own answer."""
         try:
             caller = self.dialect.read_request(head.headers)
         except MalformedRequestError:
@@ -325,14 +332,14 @@
         refusal: Refusal,
         route: str = "",
     ) -> None:
-        """Write an answer of the router's own."""
+        """Send a refusal to the caller."""
         answer = own_answer(refusal, self.dialect.refusal_headers(caller.request_id))
         fields = {"request": caller.request_id, "code": refusal.code, "route": route}
         log.info("refused", extra=fields)
         await connection.answer(answer.status, answer.headers, answer.body)
 
     def log_end(self, exchange: Exchange, outcome: str) -> None:
-        """Write the line that tells how a request went."""
+        """Log how a request ended."""
         match = exchange.match
         rules = self.rules()
         log.info(
@@ -354,8 +361,8 @@
 
 
 def deadline_of(head: RequestHead, caller: CallerRequest, match: Match) -> Seconds:
-    """Return when there must be an answer: the caller's patience or the route's."""
-    patience = match.route.timeout
+    """Return when a request must be answered: the caller's or the route's limit."""
+    time_limit = match.route.timeout
     if caller.patience is not None:
-        patience = min(patience, caller.patience)
-    return head.arrived_at + patience
+        time_limit = min(time_limit, caller.patience)
+    return head.arrived_at + time_limit
--- a/ebonyhold/forwarding/_inbox.py
+++ b/ebonyhold/forwarding/_inbox.py
@@ -1,4 +1,4 @@
-"""A connection's incoming bytes: one task reads them, another takes them."""
+"""The receiving side of a connection: one task reads it, another takes the bytes."""
 
 from __future__ import annotations
 
@@ -11,30 +11,32 @@
 from ebonyhold.types import Seconds
 
 CHUNK = 65_536
-"""Bytes taken from a socket at once."""
+"""Bytes read from a socket at once."""
 
-MOST_WAITING = 262_144
-"""Bytes kept for a reader that is slow; beyond them the socket is left alone.
+MAX_WAITING = 262_144
+"""Bytes buffered for a slow reader; above this, reading from the socket pauses.
 
-It is the flow control: a fast sender then waits for the slow reader.
+This is the flow control: a fast sender is slowed down to the speed of the reader.
 """
 
 
 @define(eq=False)
 class Inbox:
-    """What has arrived on a connection and nobody has taken yet.
+    """The bytes received on a connection that have not been taken yet.
 
-    A task of its own reads the socket all the time, also while a request is
-    worked on.  That is how a caller that leaves is noticed at once, and how a
-    server that closes an unused connection is noticed before its next use.
+    A separate task reads the socket all the time, also while a request is processed.
+    A caller that disconnects is thus noticed at once, and a server that closes an
+    unused connection is noticed before the connection is reused.
 
     Attributes:
         stream: The connection.
-        waiting: Bytes that nobody has taken.
+        waiting: Bytes received and not taken yet.
         arrived_at: When the last bytes arrived.
-        ended: Whether the other side has ended or broken its direction.
-        broken: Whether that was a reset or an error, not an orderly end.
-        on_end: Called once the other side has ended.
+        ended: Whether the peer has closed its side or the connection broke.
+        broken: Whether it ended by a reset or an error.
+        changed: Set when bytes arrive or the connection ends, then replaced.
+        taken: Set when bytes are taken, so that paused reading resumes.
+        on_end: Called when the connection has ended.
     """
 
     stream: ByteStream
@@ -47,19 +49,19 @@
     on_end: Callable[[], None] | None = None
 
     async def fill(self) -> None:
-        """Read until the other side ends."""
+        """Read until the connection ends."""
         try:
-            await self.read_on()
+            await self.read_until_end()
         finally:
-            # Whoever waits for bytes would wait for ever if this task ended by an
-            # error that is none of the connection's.
+            # If this task ends by an unexpected error, a task that waits for bytes must
+            # still be woken, or it would wait forever.
             if not self.ended:
                 self.ended = True
                 self.broken = True
                 self.notify()
 
-    async def read_on(self) -> None:
-        """Read until the other side ends."""
+    async def read_until_end(self) -> None:
+        """Read until the connection ends, pausing while the buffer is full."""
         while not self.ended:
             try:
                 self.waiting += await self.stream.receive(CHUNK)
@@ -70,21 +72,21 @@
                 self.ended = True
                 self.broken = True
             self.notify()
-            # Whoever closes the connection takes nothing any more, so that ends the
-            # wait too; this task and its bytes would else stay for ever.
-            while len(self.waiting) > MOST_WAITING and not self.ended:
+            # After a close no one takes bytes any more, so it must end this wait too;
+            # otherwise this task and its buffer would never be freed.
+            while len(self.waiting) > MAX_WAITING and not self.ended:
                 self.taken = anyio.Event()
                 await self.taken.wait()
 
     def notify(self) -> None:
-        """Wake whoever waits for bytes."""
+        """Wake the tasks that wait for bytes."""
         self.changed.set()
         self.changed = anyio.Event()
         if self.ended and self.on_end is not None:
             self.on_end()
 
     async def take(self) -> bytes:
-        """Return what has arrived, waiting for at least a byte; empty at the end."""
+        """Return the bytes received, waiting for at least one; empty at the end."""
         while not self.waiting and not self.ended:
             await self.changed.wait()
         data = bytes(self.waiting)
@@ -93,12 +95,12 @@
         return data
 
     def discard(self) -> None:
-        """Drop what has arrived, so that reading goes on."""
+        """Drop the bytes received, so that reading continues."""
         self.waiting.clear()
         self.taken.set()
 
 
-async def hang_up(stream: ByteStream) -> None:
-    """Close a connection even if the task that does so is being cancelled."""
+async def close_shielded(stream: ByteStream) -> None:
+    """Close a connection, even if the calling task is being cancelled."""
     with anyio.CancelScope(shield=True):
         await stream.aclose()
--- a/ebonyhold/forwarding/_listener.py
+++ b/ebonyhold/forwarding/_listener.py
@@ -1,4 +1,4 @@
-"""Serves callers' connections: one task each, and an orderly end."""
+"""Accepts callers' connections, and serves each of them in a task of its own."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from anyio.abc import ByteStream, SocketStream, TaskGroup
 from attrs import define, field
 
+from ebonyhold.forwarding._accept import accept_all, listen_at
 from ebonyhold.forwarding._caller import (
     CallerConnection,
     ReadFault,
     ReadFaultError,
     RequestHead,
 )
-from ebonyhold.forwarding._door import arrivals, open_door
 from ebonyhold.forwarding._refusals import Refusal, own_answer
 from ebonyhold.forwarding._types import CallerLimits, Headers
 from ebonyhold.tasks import Guard, unguarded
@@ -38,40 +38,40 @@
 
 
 Identify = Callable[[RequestHead], Headers]
-"""Returns the fields by which an answer names its request."""
+"""Returns the fields that identify the request in the router's own answer."""
 
 
-def nameless(head: RequestHead) -> Headers:
-    """Name no request: these callers wait for one answer at a time."""
+def no_identity(head: RequestHead) -> Headers:
+    """Return no fields, for callers that wait for each answer in turn."""
     del head
     return []
 
 
 @define(eq=False)
 class CallerListener:
-    """Accepts connections and hands their requests on.
+    """Accepts connections and passes their requests to a handler.
 
     Attributes:
         serve: Answers one request.
-        limits: Returns what callers are held to now.
-        guard: Keeps what fails on one connection from all others.
-        identify: Returns the fields by which an answer names its request.
-        connections: Those that are open.
-        draining: Whether the process is about to end.
-        shedding: Whether callers should connect elsewhere for a while.
-        working: How many requests are being answered.
-        begun: How many requests are being read or answered.
-        idle: Set when the last of these has ended.
-        empty: Set when the last connection has ended.
-        arriving: Connections that were accepted and are not open yet.
-        accepting: Ends the accepting of connections.
-        closed: Set when it has ended; None while nothing is listened at.
+        limits: Returns the current limits for callers.
+        guard: Keeps an error on one connection from ending all others.
+        identify: Returns the fields that identify a request in the router's answer.
+        connections: The open connections.
+        draining: Whether the process is about to exit.
+        shedding: Whether callers should connect to other routers for a while.
+        working: Number of requests being answered.
+        begun: Number of requests being read or answered.
+        idle: Set when `begun` falls to 0, then replaced.
+        empty: Set when the last connection has ended, then replaced.
+        arriving: Number of connections accepted but not yet in `connections`.
+        accepting: Cancel scope of accepting connections.
+        closed: Set when the listening socket is closed; None while there is none.
     """
 
     serve: Serve
     limits: Callable[[], CallerLimits]
     guard: Guard = unguarded
-    identify: Identify = nameless
+    identify: Identify = no_identity
     connections: set[CallerConnection] = field(factory=set)
     draining: bool = False
     shedding: bool = False
@@ -84,45 +84,46 @@
     closed: anyio.Event | None = None
 
     async def run(self, address: tuple[str, int], tasks: TaskGroup) -> None:
-        """Accept connections until told to stop accepting.
+        """Accept connections until `stop_accepting` is called.
 
         Raises:
-            OSError: The address cannot be listened at, or there is no room for more.
+            OSError: The address cannot be listened at, or the system is out of sockets.
         """
-        door = open_door(address)
+        listening = listen_at(address)
         log.info("listening", extra={"host": address[0], "port": address[1]})
         self.closed = closed = anyio.Event()
         try:
             with self.accepting:
                 while True:
-                    await anyio.wait_readable(door)
-                    self.let_in(door, tasks)
-            # Whoever still waits there would be reset with its request unread.
-            self.let_in(door, tasks)
+                    await anyio.wait_readable(listening)
+                    self.accept_waiting(listening, tasks)
+            # Accept the connections that are still queued: closing the socket would
+            # reset them with their requests unread.
+            self.accept_waiting(listening, tasks)
         finally:
-            door.close()
+            listening.close()
             self.closed = None
             closed.set()
 
-    def let_in(self, door: socket.socket, tasks: TaskGroup) -> None:
-        """Begin to serve all who wait at the door."""
-        for connection in arrivals(door):
-            # It counts from here on: an end of the process looks at what is open before
-            # the task of this connection has run for the first time.
+    def accept_waiting(self, listening: socket.socket, tasks: TaskGroup) -> None:
+        """Accept all queued connections and start to serve them."""
+        for connection in accept_all(listening):
+            # Counted at once, because a shutdown may check for open connections before
+            # this connection's task has run for the first time.
             self.arriving += 1
-            tasks.start_soon(self.welcome, connection)
+            tasks.start_soon(self.serve_socket, connection)
 
-    async def welcome(self, connection: socket.socket) -> None:
-        """Serve a connection that has just been accepted."""
+    async def serve_socket(self, connection: socket.socket) -> None:
+        """Serve a connection that was just accepted."""
         try:
             stream = await SocketStream.from_socket(connection)
         except OSError:
             connection.close()
-            log.debug("caller left at the door")
+            log.debug("caller disconnected before its connection was served")
             return
         finally:
             self.arriving -= 1
-            self.tell_if_empty()
+            self.notify_if_empty()
         await self.handle(stream)
 
     async def handle(self, stream: ByteStream) -> None:
@@ -131,39 +132,40 @@
         connection.last = self.draining or self.shedding
         self.connections.add(connection)
         try:
-            # An error that nobody expected would else end the task group of the
-            # whole process, with all other callers' requests.
-            if not await self.guard(partial(self.talk, connection)):
-                await self.guard(partial(self.tell_fault, connection))
+            # Without the guard, an unexpected error would end the task group of the
+            # whole process, and with it all other callers' requests.
+            if not await self.guard(partial(self.handle_requests, connection)):
+                await self.guard(partial(self.answer_fault, connection))
         finally:
             self.connections.discard(connection)
             await connection.close()
-            self.tell_if_empty()
+            self.notify_if_empty()
 
-    def tell_if_empty(self) -> None:
-        """Wake whoever waits for the end of the last connection."""
+    def notify_if_empty(self) -> None:
+        """Wake the tasks that wait in `until_empty` if no connection is left."""
         if not (self.connections or self.arriving):
             self.empty.set()
             self.empty = anyio.Event()
 
-    async def talk(self, connection: CallerConnection) -> None:
-        """Read from a connection and answer its requests until it ends."""
+    async def handle_requests(self, connection: CallerConnection) -> None:
+        """Read requests from a connection and answer them until it ends."""
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(connection.inbox.fill)
-                await self.converse(connection)
+                await self.answer_requests(connection)
                 await connection.linger()
                 tasks.cancel_scope.cancel()
         except* (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            # The caller closed while an answer was being written; whoever wrote
-            # it has logged what became of the request.
+            # The caller closed the connection while an answer was written. The outcome
+            # of the request has been logged by the handler.
             log.debug("caller's connection broke")
 
-    async def tell_fault(self, connection: CallerConnection) -> None:
-        """Answer a request that an error of ours has ended, if that can be done.
+    async def answer_fault(self, connection: CallerConnection) -> None:
+        """Answer a request that failed by an internal error, if still possible.
 
-        The request may have run, so the answer is none that denies it.  One that had
-        begun is cut: a caller must not take a part for the whole.
+        The request may have run, so the answer must not deny it. If an answer has
+        begun, the connection is closed instead, so that a part is not taken for the
+        whole.
         """
         if connection.started or connection.parser.our_state is not h11.SEND_RESPONSE:
             return
@@ -172,10 +174,10 @@
         try:
             await connection.answer(answer.status, answer.headers, answer.body)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            log.debug("caller left before it was told of a fault")
+            log.debug("caller disconnected before it was sent an error")
 
-    async def converse(self, connection: CallerConnection) -> None:
-        """Answer requests one after the other."""
+    async def answer_requests(self, connection: CallerConnection) -> None:
+        """Answer the requests of a connection one after the other."""
         while True:
             try:
                 await connection.await_first_byte()
@@ -188,7 +190,7 @@
 
     @contextmanager
     def under_way(self) -> Iterator[None]:
-        """Count a request from its first byte to the last one of its answer."""
+        """Count a request from its first byte to the end of its answer."""
         self.begun += 1
         try:
             yield
@@ -199,11 +201,11 @@
                 self.idle = anyio.Event()
 
     async def answer_one(self, connection: CallerConnection) -> bool:
-        """Read and answer one request; tell whether another may follow."""
+        """Read and answer one request; return whether another may follow."""
         try:
             head, body = await connection.read_whole()
         except ReadFaultError as error:
-            await self.read_fault(connection, error)
+            await self.answer_read_fault(connection, error)
             return False
         await self.work(connection, head, body)
         return connection.next_cycle()
@@ -211,7 +213,7 @@
     async def work(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer one request; stop at once if the caller leaves."""
+        """Answer one request; cancel it if the caller disconnects."""
         self.working += 1
         try:
             with anyio.CancelScope() as scope:
@@ -222,11 +224,11 @@
             self.working -= 1
 
     def stop_accepting(self) -> None:
-        """Refuse further connections, from `until_closed` on."""
+        """Stop accepting connections; `until_closed` waits for the end."""
         self.accepting.cancel()
 
     async def until_closed(self) -> None:
-        """Return when no connection is accepted any more."""
+        """Return when the listening socket is closed."""
         while self.closed is not None:
             await self.closed.wait()
 
@@ -236,14 +238,14 @@
             await self.idle.wait()
 
     async def until_empty(self) -> None:
-        """Return when every connection has ended, also those being read from."""
+        """Return when all connections have ended, including those being read from."""
         while self.connections or self.arriving:
             await self.empty.wait()
 
-    async def read_fault(
+    async def answer_read_fault(
         self, connection: CallerConnection, error: ReadFaultError
     ) -> None:
-        """Answer what could not be read, if there is anything to answer."""
+        """Answer a request that could not be read, if an answer can still be sent."""
         refusal = FAULT_REFUSALS.get(error.fault)
         if refusal is None or connection.inbox.ended:
             return
@@ -254,13 +256,13 @@
         await connection.answer(answer.status, answer.headers, answer.body)
 
     def start_draining(self) -> None:
-        """Tell callers with their next answer to connect elsewhere."""
+        """Close each connection after its next answer, so that callers go elsewhere."""
         self.draining = True
         for connection in self.connections:
             connection.last = True
 
     def shed(self, shedding: bool) -> None:
-        """Have callers connect elsewhere from their next answers on, or no longer."""
+        """Start or stop closing connections after their next answers."""
         if shedding is self.shedding:
             return
         self.shedding = shedding
@@ -268,11 +270,11 @@
             connection.last = self.draining or shedding
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections that have no current request."""
         for connection in list(self.connections):
             connection.close_when_idle()
 
     def interrupt_reading(self) -> None:
-        """Refuse the requests of which a part has been read."""
+        """Refuse the requests that have been read only in part."""
         for connection in list(self.connections):
             connection.stop_reading()
--- a/ebonyhold/forwarding/_pool.py
+++ b/ebonyhold/forwarding/_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that are kept for further requests."""
+"""A pool of connections to backend servers."""
 
 from __future__ import annotations
 
@@ -17,23 +17,26 @@
 from ebonyhold.types import BackendName, Seconds
 
 SWEEP: Seconds = 1.0
-"""How often connections that are too old or ended are closed."""
+"""Time between two sweeps that close expired and ended connections."""
 
-MOST_UNUSED = 16
-"""Unused connections kept for each server; servers bound them over all routers."""
+MAX_UNUSED = 16
+"""Maximum number of unused connections per server.
+
+Servers limit the number of connections from all routers together.
+"""
 
 
 @define(eq=False)
 class ChannelPool:
-    """Keeps unused connections by server.
+    """Keeps unused connections, by server.
 
     Attributes:
-        tasks: Where the reading tasks of connections run.
-        connected: Is told of each new connection to a server whether it was made in
-            time.
-        connect_timeout: The longest wait for a new connection.
-        unused: The connections of each server, the last used one at the end.
-        opened: Connections opened so far.
+        tasks: Starts the tasks that read connections.
+        connected: Called for each new connection attempt that succeeded or timed out,
+            with the server and whether it succeeded.
+        connect_timeout: Maximum time to wait for a new connection.
+        unused: The unused connections of each server, the most recently used one last.
+        opened: Number of connections opened so far.
     """
 
     tasks: TaskStarter
@@ -43,10 +46,10 @@
     opened: int = 0
 
     async def get(self, name: BackendName, address: tuple[str, int]) -> Channel:
-        """Return a connection to a server, kept or new.
+        """Return a pooled or new connection to a server.
 
         Raises:
-            BackendLostError: It cannot be reached.
+            BackendLostError: The server cannot be reached.
         """
         kept = self.take(name, address)
         if kept is not None:
@@ -61,42 +64,43 @@
         return channel
 
     def take(self, name: BackendName, address: tuple[str, int]) -> Channel | None:
-        """Return a kept connection to an address that can still be used.
+        """Remove and return a usable pooled connection to an address.
 
-        The server's entry may have named another address while a request held the
-        connection; whoever has the old one now is not the server.
+        Connections to another address are closed: the server's entry may have changed
+        while a request used the connection, and another server may now have the old
+        address.
         """
         now = anyio.current_time()
         channels = self.unused.get(name, [])
         while channels:
             channel = channels.pop()
-            sound = channel.is_quiet() and now < channel.usable_until
-            if sound and channel.address == address:
+            usable = channel.is_quiet() and now < channel.usable_until
+            if usable and channel.address == address:
                 return channel
             self.tasks.start_soon(channel.close)
         return None
 
     async def put(self, name: BackendName, channel: Channel) -> None:
-        """Keep a connection for further requests."""
+        """Return a connection to the pool."""
         channels = self.unused.setdefault(name, [])
-        if len(channels) >= MOST_UNUSED:
+        if len(channels) >= MAX_UNUSED:
             await channel.close()
             return
         channels.append(channel)
 
     async def sweep(self) -> None:
-        """Close connections that are too old or ended, for ever."""
+        """Close expired and ended connections periodically; never return."""
         while True:
             await anyio.sleep(SWEEP)
-            # Requests take and put connections while one is being closed, so the
-            # lists are changed first, without a wait between.  A connection still
-            # listed would be taken meanwhile, and its removal would fail and end
-            # whatever runs the sweep.
+            # Requests take and return connections while one is being closed here. So
+            # the connections are first removed from the pool without awaiting: a
+            # request could otherwise take one that is about to be closed, and its later
+            # removal would raise an error and end this task.
             for channel in self.remove_unusable(anyio.current_time()):
                 await channel.close()
 
     def remove_unusable(self, now: Seconds) -> list[Channel]:
-        """Remove and return the connections that are too old or ended."""
+        """Remove and return the connections that have expired or ended."""
         removed: list[Channel] = []
         for name, channels in list(self.unused.items()):
             kept: list[Channel] = []
--- a/ebonyhold/forwarding/_refusals.py
+++ b/ebonyhold/forwarding/_refusals.py
@@ -1,4 +1,4 @@
-"""Answers of the router's own, each true and with its reason."""
+"""The router's own answers to requests that it refuses."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Refusal(Enum):
-    """Why the router answers itself: a status and a code.
+    """The reason for a refusal, with its HTTP status and error code.
 
-    408, 429 and 503 promise that the request has not run and will not.
+    Statuses 408, 429 and 503 promise that the request has not run and will not run.
     """
 
     MALFORMED = (400, "malformed_request")
@@ -36,31 +36,31 @@
 
     @property
     def status(self) -> int:
-        """Return the status."""
+        """Return the HTTP status."""
         return self.value[0]
 
     @property
     def code(self) -> str:
-        """Return the code."""
+        """Return the error code."""
         return self.value[1]
 
 
 RETRY_AFTER: dict[Refusal, Seconds] = {
-    # Until a restarted router has read the configuration, usually.
+    # The usual time until a restarted router has read the configuration.
     Refusal.NO_RULES: 0.3,
-    # A server that was lost is replaced or back within a second, usually.
+    # A lost server is usually replaced or back within a second.
     Refusal.NO_SERVER: 0.5,
     # The time in which a few slots become free.
     Refusal.SERVERS_FULL: 0.2,
     Refusal.NOT_STARTED: 0.2,
-    # Tokens lie with other routers, and the next try reaches another one.
+    # Other routers hold the tokens, and the next attempt reaches another router.
     Refusal.BUDGET_UNREACHABLE: 0.05,
     Refusal.SLOW_REQUEST: 0.1,
-    # The next try reaches another router.  After 0.8 s, when neighbours that stop as
-    # well might be back, callers are served no better, and later.
+    # The next attempt reaches another router. With 0.8 s, after which neighbours that
+    # stop too might be back, callers are served no better, and later.
     Refusal.STOPPING: 0.05,
 }
-"""When a caller should come back, in seconds."""
+"""How long callers should wait before they retry, in seconds."""
 
 
 @frozen
@@ -73,11 +73,11 @@
 
 
 def own_answer(refusal: Refusal, identity: Headers) -> OwnAnswer:
-    """Return the answer that tells of a refusal.
+    """Return the answer that reports a refusal.
 
     Args:
-        refusal: Why the request is refused.
-        identity: The fields that name the request.
+        refusal: The reason for the refusal.
+        identity: The fields that identify the request.
     """
     headers = [(b"content-type", b"application/json"), *identity]
     wait = RETRY_AFTER.get(refusal)
--- a/ebonyhold/forwarding/_retries.py
+++ b/ebonyhold/forwarding/_retries.py
@@ -1,4 +1,4 @@
-"""This router's part of a retry budget that all routers share."""
+"""This router's share of the retry budget of the fleet."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from ebonyhold.forwarding._types import ServiceName
 from ebonyhold.types import Seconds
 
-PART = 0.7
-"""The part of the budget that is used.
+USED_SHARE = 0.7
+"""The share of the retry budget that is used.
 
-Routers count their windows apart, and one that restarts forgets what it sent;
-the rest covers both.
+Routers count their windows separately, and a restarted router has lost its counts; the
+unused share covers both errors.
 """
 
 
 @frozen
 class RetryRules:
-    """The budget of all routers together.
+    """The retry budget of all routers together.
 
     Attributes:
-        ratio: Retries allowed for each request.
-        extra: Retries allowed beside those.
-        window: Over how long both are counted.
+        ratio: Retries allowed per request.
+        extra: Retries allowed in addition, per window.
+        window: The period over which both are counted, in seconds.
     """
 
     ratio: float
@@ -35,13 +35,13 @@
 
 @define
 class Window:
-    """The requests and retries of one service within the window."""
+    """Times of the requests and retries of one service within the window."""
 
     requests: deque[Seconds] = field(factory=deque)
     retries: deque[Seconds] = field(factory=deque)
 
     def forget(self, before: Seconds) -> None:
-        """Drop what has left the window."""
+        """Drop the times before the start of the window."""
         for times in (self.requests, self.retries):
             while times and times[0] < before:
                 times.popleft()
@@ -49,15 +49,15 @@
 
 @define
 class FleetRetries:
-    """Decides whether one more server may be asked, without asking the others.
+    """Decides whether a request may be retried, without contacting other routers.
 
-    The part that grows with the requests adds up over the routers by itself;
-    the fixed part is divided among them.
+    The part of the budget that grows with the number of requests needs no
+    coordination; the fixed part is divided by the number of routers.
 
     Attributes:
-        rules: The budget of all routers together.
-        routers: Returns how many routers there are.
-        windows: What was sent for each service.
+        rules: The retry budget of all routers together.
+        routers: Returns the number of routers.
+        windows: The recent requests and retries of each service.
     """
 
     rules: RetryRules
@@ -65,23 +65,23 @@
     windows: dict[ServiceName, Window] = field(factory=dict)
 
     def window(self, service: ServiceName, now: Seconds) -> Window:
-        """Return a service's window as of now."""
+        """Return the current window of a service."""
         found = self.windows.setdefault(service, Window())
         found.forget(now - self.rules.window)
         return found
 
     def request(self, service: ServiceName, now: Seconds) -> None:
-        """Note a request's first sending."""
+        """Record the first attempt of a request."""
         self.window(service, now).requests.append(now)
 
     def allowance(self, service: ServiceName, now: Seconds) -> float:
-        """Return the retries that this window allows here."""
+        """Return the number of retries that this router may make in the window."""
         earned = len(self.window(service, now).requests) * self.rules.ratio
         share = self.rules.extra / max(1, self.routers())
-        return PART * (earned + share)
+        return USED_SHARE * (earned + share)
 
     def take(self, service: ServiceName, now: Seconds) -> bool:
-        """Take one retry if the budget allows it, and tell whether it did."""
+        """Count one retry if the budget allows it; return whether it does."""
         window = self.window(service, now)
         if len(window.retries) + 1 > self.allowance(service, now):
             return False
--- a/ebonyhold/forwarding/_routes.py
+++ b/ebonyhold/forwarding/_routes.py
@@ -1,4 +1,4 @@
-"""Finding a request's route and workspace in the rules in force."""
+"""Matching of requests with the routes and workspaces of the current rules."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 @frozen
 class Match:
-    """What the rules say of a request.
+    """The result of matching a request with the rules.
 
     Attributes:
-        route: The route that it takes.
-        service: The service that answers it.
-        workspace: Who pays; None for an anonymous request.
-        priority: Its rank.
+        route: The matching route.
+        service: The service that is to answer the request.
+        workspace: The workspace to charge; None for an anonymous request.
+        priority: The priority; 0 is the most urgent.
     """
 
     route: Route
@@ -47,7 +47,7 @@
 
 
 def host_of(headers: Headers) -> str:
-    """Return the host that a request names, without its port."""
+    """Return the host of a request, without its port."""
     for name, value in headers:
         if name == b"host":
             return value.decode("latin-1").lower().rpartition("]")[2].split(":")[0]
@@ -55,10 +55,10 @@
 
 
 def find_route(rules: Ruleset, host: str, target: str) -> Route:
-    """Return the route whose prefix is the longest that the path begins with.
+    """Return the route with the longest prefix that matches the path.
 
     Raises:
-        NoRouteError: There is none.
+        NoRouteError: No route matches.
     """
     routes = rules.routes.get(host, {})
     path = target.partition("?")[0]
@@ -74,10 +74,10 @@
 def find_workspace(
     rules: Ruleset, route: Route, request: CallerRequest
 ) -> Workspace | None:
-    """Return the workspace of the key that was presented.
+    """Return the workspace that a request's key belongs to, or None if anonymous.
 
     Raises:
-        UnknownKeyError: The route needs a key, and nobody holds this one.
+        UnknownKeyError: The route requires a key, and no workspace has this one.
     """
     workspace = rules.owners.get(request.key) if request.key else None
     if workspace is None and rules.workspaces and not route.anonymous:
@@ -86,7 +86,7 @@
 
 
 def choose_service(route: Route, chance: float) -> ServiceName:
-    """Return one of a route's services, by their weights."""
+    """Return one of a route's services, chosen by weight with ``chance`` in [0, 1)."""
     total = sum(share.weight for share in route.shares)
     point = chance * total
     for share in route.shares:
@@ -99,11 +99,11 @@
 def match_request(
     rules: Ruleset, headers: Headers, target: bytes, request: CallerRequest
 ) -> Match:
-    """Return what the rules say of a request.
+    """Match a request with the rules.
 
     Raises:
         NoRouteError: No route matches.
-        UnknownKeyError: Its key belongs to no workspace.
+        UnknownKeyError: The key belongs to no workspace.
     """
     route = find_route(rules, host_of(headers), target.decode("latin-1"))
     workspace = find_workspace(rules, route, request)
--- a/ebonyhold/forwarding/_types.py
+++ b/ebonyhold/forwarding/_types.py
@@ -1,4 +1,4 @@
-"""The types of the forwarding path: rules, backend servers, requests, outcomes."""
+"""The types of the forwarding path: rules, backend servers, requests, answers."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from ebonyhold.types import BackendName, Seconds, Tokens, WorkspaceName
 
 ServiceName: TypeAlias = str
-"""The name of a service: backend servers that answer the same requests."""
+"""The name of a service: a set of backend servers that answer the same requests."""
 
 Headers: TypeAlias = list[tuple[bytes, bytes]]
-"""Header fields in order; names in lower case, as h11 gives them."""
+"""Header fields in order, with names in lower case, as h11 returns them."""
 
 PromptPart: TypeAlias = tuple[str, Tokens]
 """One part of a prompt that requests may share: its identifier and length."""
 
 
 class RouteKind(Enum):
-    """What may be repeated of a route's requests."""
+    """Which requests of a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -30,7 +30,7 @@
 
 @frozen
 class ServiceShare:
-    """A service among those a route is split over, with its weight."""
+    """A service among which a route is split, with its weight."""
 
     service: ServiceName
     weight: float
@@ -38,20 +38,20 @@
 
 @frozen
 class Route:
-    """Where requests go whose host and path match.
+    """A route: which requests it matches, and how they are forwarded.
 
     Attributes:
         name: Its name, for logs.
-        host: The host it answers for, in lower case, without a port.
-        prefix: What the path begins with; it ends with a slash.
-        shares: The services, weighted; one entry where it is not split.
-        kind: What may be repeated.
-        timeout: The longest a request may take.
-        target: When an answer is still prompt.
+        host: The host that it matches, in lower case, without a port.
+        prefix: The path prefix that it matches; it ends with a slash.
+        shares: The services with their weights; one entry if it is not split.
+        kind: Which of its requests may be repeated.
+        timeout: Maximum duration of a request, in seconds.
+        target: Target latency, in seconds.
         most_attempts: How many backend servers one request may be sent to.
-        priority: Its rank; 0 is the most urgent.
+        priority: The priority of its requests; 0 is the most urgent.
         anonymous: Whether requests need no key.
-        resumable: Whether a broken stream may go on at another server.
+        resumable: Whether a broken stream may be resumed at another server.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may have run may be sent again."""
         return self.kind is RouteKind.SAFE or (
             self.kind is RouteKind.STREAM and self.resumable
         )
@@ -76,12 +76,12 @@
 
 @frozen
 class Service:
-    """What is known of a service beside its servers.
+    """The settings of a service.
 
     Attributes:
         name: Its name.
-        connections: Connections that each of its servers takes from everybody.
-        event_tokens: The most tokens in one event of its streams.
+        connections: Connections that each of its servers accepts from all routers.
+        event_tokens: Maximum number of tokens in one event of its streams.
     """
 
     name: ServiceName
@@ -91,13 +91,13 @@
 
 @frozen
 class Workspace:
-    """Who pays for requests.
+    """A workspace, which is charged for requests.
 
     Attributes:
         name: Its name.
-        keys: The keys its callers present.
-        priority: Its rank, which goes before the route's; None if it has none.
-        prepaid: The tokens it may consume in all; None without a bound.
+        keys: The keys that its callers present.
+        priority: The priority of its requests; it overrides the route's unless None.
+        prepaid: The tokens that it may consume in total; None for no limit.
     """
 
     name: WorkspaceName
@@ -108,13 +108,13 @@
 
 @frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """The limits for a caller's requests.
 
     Attributes:
-        head_bytes: The largest request head.
-        body_bytes: The largest request body.
-        head_timeout: From the first byte of a head to its end.
-        idle_timeout: How long a connection may stay without a request.
+        head_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        head_timeout: Maximum time from the first byte of a head to its end.
+        idle_timeout: Maximum time without a request on a connection.
     """
 
     head_bytes: int = 16_384
@@ -125,15 +125,15 @@
 
 @frozen
 class Ruleset:
-    """One version of the operator's configuration, ready for look-ups.
+    """One version of the operator's configuration, indexed for look-ups.
 
     Attributes:
-        version: Which version it is; later ones are larger.
-        routes: The routes by host and then by prefix.
+        version: Its version number; later versions are larger.
+        routes: The routes, by host and then by prefix.
         services: The services by name.
         workspaces: The workspaces by name.
-        owners: The workspace that holds each key.
-        limits: What callers are held to.
+        owners: The workspace of each key.
+        limits: The limits for callers' requests.
     """
 
     version: int
@@ -145,7 +145,7 @@
 
 
 class BackendState(Enum):
-    """Whether a backend server takes new work, by its own word."""
+    """Whether a backend server accepts new requests, as it reports itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -153,17 +153,17 @@
 
 @frozen
 class Backend:
-    """A backend server's entry in the list of servers.
+    """A backend server's entry in the server list.
 
     Attributes:
-        name: Which life of which server it is.
-        service: What it serves.
+        name: The name of the server's incarnation.
+        service: The service that it belongs to.
         address: Its host and port.
         domain: Its failure domain.
-        slots: Requests it runs at once.
-        state: Whether it takes new work.
+        slots: How many requests it runs at once.
+        state: Whether it accepts new requests.
         started_at: When it started, in milliseconds since the epoch; 0 if unknown.
-        cold_for: How much longer it stays slow after its start, as of the entry.
+        cold_for: How much longer it is slow after its start, as of the entry.
     """
 
     name: BackendName
@@ -178,16 +178,16 @@
 
 @frozen
 class CallerRequest:
-    """What the headers of a caller's request say, decoded.
+    """The decoded headers of a caller's request.
 
     Attributes:
-        request_id: Names the caller's attempt; it goes unchanged to the server.
+        request_id: Identifies the caller's attempt; it is sent unchanged to the server.
         key: The key presented; empty if none.
-        patience: How long the caller will wait; None if it does not say.
-        prompt_tokens: The length of its prompt; 0 where it is no generation.
-        most_output: The most tokens it may generate.
-        prompt_parts: The parts of its prompt, in order.
-        resume_after: The last event the caller has; None for a new stream.
+        patience: How long the caller waits for an answer; None if not stated.
+        prompt_tokens: The length of the prompt; 0 if the request generates no text.
+        most_output: Maximum number of tokens to generate.
+        prompt_parts: The parts of the prompt, in order.
+        resume_after: The last event that the caller has; None for a new stream.
     """
 
     request_id: str
@@ -199,20 +199,20 @@
     resume_after: int | None = None
 
     @property
-    def most(self) -> Tokens:
-        """The most tokens it can cost."""
+    def max_charge(self) -> Tokens:
+        """The maximum number of tokens that the request can cost."""
         return self.prompt_tokens + self.most_output
 
 
 @frozen
 class Dispatch:
-    """What the headers of one sending to a backend server say.
+    """The values that the headers of a request to a backend server carry.
 
     Attributes:
-        backend: The server that is meant; another at its address declines.
-        workspace: Who pays; empty for anonymous requests.
-        priority: Its rank; 0 is the most urgent.
-        time_left: How long the server may work.
+        backend: The intended server; another one at its address declines the request.
+        workspace: The workspace to charge; empty for anonymous requests.
+        priority: The priority; 0 is the most urgent.
+        time_left: How long the server may work on the request.
         resume_after: The last event that was delivered; None for a new stream.
     """
 
@@ -225,11 +225,11 @@
 
 @frozen
 class AnswerFacts:
-    """What the headers of a backend server's answer say, decoded.
+    """The decoded headers of a backend server's answer.
 
     Attributes:
-        request_id: The request that it answers; empty if it does not say.
-        proof: The server's mark of authenticity; empty if there is none.
+        request_id: The request that it answers; empty if not stated.
+        proof: The server's response stamp, which proves its origin; empty if none.
         not_run: Whether the server states that it did not run the request.
         moved: Whether another server now has the address.
     """
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -1,8 +1,8 @@
-"""What a server still has to do, estimated in tokens of prompt that it has to read.
+"""Estimates a server's load, as the number of prompt tokens that it has yet to read.
 
-Prompts differ in size by a hundred times, and a server reads them one after the other
-between the tokens of what it runs: a request waits for the prompts before it, not for
-their number.
+Prompts differ in size by a factor of a hundred, and a server reads them one after the
+other, between the tokens that it generates. So a request's wait depends on the length
+of the prompts before it, not on their number.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from ebonyhold.types import Seconds, Tokens
 
 RESIDENT_WORK = 0.25
-"""What a token of a request in flight adds to a server's work.
+"""Load of each token of a request in flight, in prompt tokens to be read.
 
-It takes memory until its request ends; a server whose memory runs out puts requests
-back and reads them again.
+The token occupies memory until the request ends. A server that runs out of memory
+preempts requests and reads their prompts again.
 """
 
-KEPT_FOR: Seconds = 10.0
-"""How long a server is taken to keep a shared part that it was sent.
+CACHED_FOR: Seconds = 10.0
+"""How long a server is assumed to cache a shared prompt part that it was sent.
 
-It has memory for some minute of prompts, and drops what was not used for longest.
+Its memory holds the prompts of about a minute, and it evicts the least recently used.
 """
 
-MOST_KEYS = 1024
-"""Shared parts whose last sending is remembered for each server."""
+MAX_KEYS = 1024
+"""Shared prompt parts whose last use is remembered per server."""
 
 
 def sharing_key(request: CallerRequest) -> str:
-    """Return the part of the prompt by which requests share an engine's cache.
+    """Return the identifier of the prompt part that ends the shared prefix.
 
-    The last part belongs to one request or session alone; the one before it is
-    the longest beginning that other requests have too.
+    The last part belongs to a single request or session; the one before it ends the
+    longest prefix that other requests have too.
     """
     parts = request.prompt_parts
     if not parts:
@@ -42,24 +42,24 @@
 
 
 def shared_tokens(request: CallerRequest) -> Tokens:
-    """Return the tokens of a prompt that other requests have too."""
+    """Return the number of prompt tokens in the shared prefix."""
     return sum(tokens for _, tokens in request.prompt_parts[:-1])
 
 
 def prompt_size(request: CallerRequest) -> Tokens:
-    """Return the tokens of a prompt, by its parts where the request names no sum."""
+    """Return the number of prompt tokens, from the parts if no total is given."""
     parts = sum(tokens for _, tokens in request.prompt_parts)
     return max(request.prompt_tokens, parts)
 
 
 @define(eq=False)
 class ServerWork:
-    """The work that this router has given one server.
+    """The load that this router's requests put on one server.
 
     Attributes:
-        unread: Tokens of prompts that it may still have to read.
-        resident: Tokens of all requests in flight, at their most.
-        sent: When each shared part of a prompt was last sent to it.
+        unread: Prompt tokens that the server may still have to read.
+        resident: Maximum number of tokens of all requests in flight.
+        sent: When the server was last sent each shared prompt part.
     """
 
     unread: Tokens = 0
@@ -68,54 +68,54 @@
 
     @property
     def waiting(self) -> float:
-        """What a prompt waits for that is sent there now, in tokens to be read."""
+        """The load that delays a prompt sent now, in prompt tokens to be read."""
         return self.unread + self.resident * RESIDENT_WORK
 
-    def keeps(self, key: str, now: Seconds) -> bool:
-        """Tell whether the server probably keeps a shared part that it has read."""
-        return now - self.sent.get(key, -KEPT_FOR) < KEPT_FOR
+    def has_cached(self, key: str, now: Seconds) -> bool:
+        """Return whether the server probably has a shared prompt part in its cache."""
+        return now - self.sent.get(key, -CACHED_FOR) < CACHED_FOR
 
     def begin(self, request: CallerRequest, now: Seconds) -> RequestWork:
-        """Count a request that is sent there; its work ends with it."""
+        """Add a request's load, and return the object that removes it again."""
         key = sharing_key(request)
         size = prompt_size(request)
-        kept = shared_tokens(request) if key and self.keeps(key, now) else 0
+        kept = shared_tokens(request) if key and self.has_cached(key, now) else 0
         work = RequestWork(self, max(0, size - kept), size + request.most_output)
         self.unread += work.unread
         self.resident += work.resident
         if key:
-            self.note_sent(key, now)
+            self.record_sent(key, now)
         return work
 
-    def note_sent(self, key: str, now: Seconds) -> None:
-        """Remember a shared part, and forget the one that was not sent for longest."""
+    def record_sent(self, key: str, now: Seconds) -> None:
+        """Remember a shared prompt part, and forget the least recently used one."""
         self.sent.pop(key, None)
         self.sent[key] = now
-        if len(self.sent) > MOST_KEYS:
+        if len(self.sent) > MAX_KEYS:
             del self.sent[next(iter(self.sent))]
 
 
 @define(eq=False)
 class RequestWork:
-    """One request's part in a server's work.
+    """One request's share of a server's load.
 
     Attributes:
-        server: The work of the server that it was sent to.
-        unread: Tokens of its prompt that count as not read yet.
-        resident: Its tokens at its most.
+        server: The load of the server that the request was sent to.
+        unread: Prompt tokens of the request that count as not read yet.
+        resident: Maximum number of tokens of the request.
     """
 
     server: ServerWork
     unread: Tokens
     resident: Tokens
 
-    def note_read(self) -> None:
-        """Note that the prompt was read: the answer has begun."""
+    def mark_read(self) -> None:
+        """Record that the prompt was read, because the answer has begun."""
         self.server.unread -= self.unread
         self.unread = 0
 
     def end(self) -> None:
-        """Take the request off."""
-        self.note_read()
+        """Remove the rest of the request's load."""
+        self.mark_read()
         self.server.resident -= self.resident
         self.resident = 0
--- a/tests/forwarding/__init__.py
+++ b/tests/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the forwarding of opaque requests."""
+"""Tests of request forwarding."""
--- a/tests/forwarding/kit.py
+++ b/tests/forwarding/kit.py
@@ -1,4 +1,4 @@
-"""A router before scripted backend servers, over loopback sockets."""
+"""A router with scripted backend servers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def route(name: str, kind: RouteKind, **more: object) -> Route:
-    """Return a route of the test's rules."""
+    """Return a route for the test rules."""
     known: dict[str, object] = {"timeout": 2.0, "target": 0.1, "most_attempts": 2}
     return Route(
         name,
@@ -59,7 +59,7 @@
 
 
 def rules(version: int = 1) -> Ruleset:
-    """Return the test's rules."""
+    """Return the test rules."""
     return Ruleset(
         version,
         {"h.example": {item.prefix: item for item in ROUTES}},
@@ -72,15 +72,16 @@
 
 @define(eq=False)
 class Server:
-    """A backend server that follows a script for each request.
+    """A backend server that runs a script for each request.
 
     Attributes:
-        name: Its name in the list.
-        script: What it does with a request.
-        requests: The heads it got.
-        bodies: The bodies it got.
-        closed: Requests whose connection the router closed early.
-        port: Where it listens, once it does.
+        name: Its name in the server list.
+        script: Handles a request.
+        requests: The request heads received.
+        bodies: The request bodies received.
+        connections: Number of connections accepted.
+        closed: Number of connections that ended.
+        port: Its port, once it listens.
     """
 
     name: str
@@ -113,13 +114,13 @@
             self.closed += 1
 
     def backend(self) -> Backend:
-        """Return its entry in the list."""
+        """Return its entry in the server list."""
         address = (LOOPBACK, self.port)
         return Backend(self.name, "svc", address, "a", 4, BackendState.READY, 1)
 
 
 def value(head: str, name: str) -> str:
-    """Return a field of a head."""
+    """Return the value of a header field, or an empty string."""
     for line in head.split("\r\n"):
         key, _, text = line.partition(":")
         if key.lower() == name:
@@ -130,7 +131,7 @@
 def answer(
     head: str, body: bytes = b"ok", status: str = "200 OK", extra: str = ""
 ) -> bytes:
-    """Return a whole answer to a request."""
+    """Return a complete answer to a request."""
     request = value(head, "x-ebonyhold-request-id")
     return (
         f"HTTP/1.1 {status}\r\nX-Ebonyhold-Request-Id: {request}\r\n"
@@ -150,7 +151,7 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one chunk of a body; an empty one ends it."""
+    """Return one chunk of a body; an empty chunk ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -164,10 +165,10 @@
     """A router with its servers.
 
     Attributes:
-        port: Where callers connect.
-        forwarder: The router's decisions.
-        listener: Its callers' side.
-        ended: How each request ended.
+        port: The port for callers.
+        forwarder: The router's forwarder.
+        listener: The router's listener for callers.
+        ended: The route and outcome of each request that ended.
     """
 
     port: int
@@ -176,14 +177,14 @@
     ended: list[tuple[str, str]]
 
     async def ask(self, request: bytes) -> bytes:
-        """Send a request on a new connection and return all that comes back."""
+        """Send a request on a new connection and return all bytes received."""
         async with await anyio.connect_tcp(LOOPBACK, self.port) as stream:
             await stream.send(request)
             return await read_all(stream)
 
 
 async def read_all(stream: SocketStream) -> bytes:
-    """Return what comes until the connection ends or stays silent."""
+    """Return the bytes received until the connection ends, or for 3 s."""
     data = b""
     with anyio.move_on_after(3.0):
         while True:
@@ -210,25 +211,25 @@
     ).encode() + body
 
 
-class FreePurse:
-    """Tokens without end that remembers the charges."""
+class UnlimitedHold:
+    """A hold without limit that records the charges."""
 
     def __init__(self) -> None:
         self.charges: list[tuple[int, int]] = []
 
     async def hold(self, amount: int, request: str) -> None:
-        """Set nothing aside."""
+        """Accept any amount."""
 
     def settle(self, hold: int, charge: int) -> None:
-        """Note what a request cost."""
+        """Record the hold and the charge."""
         self.charges.append((hold, charge))
 
 
 @asynccontextmanager
 async def rig(
-    *servers: Server, purse: FreePurse | None = None, extra_retries: float = 50.0
+    *servers: Server, hold: UnlimitedHold | None = None, extra_retries: float = 50.0
 ) -> AsyncIterator[Rig]:
-    """Run a router before servers."""
+    """Run a router with backend servers."""
     table = BackendTable()
     ended: list[tuple[str, str]] = []
     async with anyio.create_task_group() as tasks:
@@ -244,7 +245,7 @@
             pool=ChannelPool(tasks),
             retries=FleetRetries(RetryRules(0.2, extra_retries, 10.0), lambda: 1),
             rules=rules,
-            purse=lambda workspace: purse,
+            purse=lambda workspace: hold,
             ended=lambda name, outcome, length: ended.append((name, outcome)),
         )
         port = free_port()
@@ -258,7 +259,7 @@
 
 
 async def until_open(port: int) -> None:
-    """Wait until something listens at a port."""
+    """Wait until a port accepts connections."""
     while True:
         try:
             stream = await anyio.connect_tcp(LOOPBACK, port)
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -1,4 +1,4 @@
-"""What callers get when backend servers misbehave, over real sockets."""
+"""Answers to callers when backend servers misbehave, over real sockets."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from ebonyhold.misc import free_port
 from tests.forwarding.kit import (
-    FreePurse,
     Script,
     Server,
+    UnlimitedHold,
     answer,
     chunk,
     event,
@@ -25,80 +25,80 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Sockets have no virtual clock."""
+    """Use a real clock, since sockets do not work with a virtual one."""
     return "asyncio"
 
 
 async def good(server: Server, stream: SocketStream, head: str) -> None:
-    """Answer as it should be."""
+    """Answer correctly."""
     await stream.send(answer(head))
 
 
 async def fails(server: Server, stream: SocketStream, head: str) -> None:
-    """Run it and fail."""
+    """Answer with a server error."""
     await stream.send(answer(head, b"no", "500 Internal Server Error"))
 
 
 async def declines(server: Server, stream: SocketStream, head: str) -> None:
-    """Say that it did not run."""
+    """State that the request did not run."""
     full = "503 Service Unavailable"
     await stream.send(answer(head, b"", full, "X-Ebonyhold-Not-Executed: 1\r\n"))
 
 
 async def moved(server: Server, stream: SocketStream, head: str) -> None:
-    """Say that another server has the address."""
+    """State that another server has the address."""
     await stream.send(answer(head, b"", "421 Misdirected Request"))
 
 
 async def resets(server: Server, stream: SocketStream, head: str) -> None:
-    """Close without an answer."""
+    """Close the connection without an answer."""
     await stream.aclose()
 
 
 async def truncates(server: Server, stream: SocketStream, head: str) -> None:
-    """Break off in the middle of the body."""
+    """Close the connection in the middle of the body."""
     await stream.send(answer(head, b"0123456789")[:-4])
     await stream.aclose()
 
 
-async def babbles(server: Server, stream: SocketStream, head: str) -> None:
-    """Send what is no answer."""
+async def sends_garbage(server: Server, stream: SocketStream, head: str) -> None:
+    """Send bytes that are not HTTP."""
     await stream.send(b"\x00\x01 what\r\n\r\n")
 
 
-async def unmarked(server: Server, stream: SocketStream, head: str) -> None:
-    """Answer with a success that bears no mark."""
+async def unstamped(server: Server, stream: SocketStream, head: str) -> None:
+    """Answer with success but without the response stamp."""
     whole = answer(head).replace(b"X-Ebonyhold-Response-Stamp: proof\r\n", b"")
     await stream.send(whole)
 
 
 async def silent(server: Server, stream: SocketStream, head: str) -> None:
-    """Say nothing."""
+    """Send nothing."""
     await anyio.sleep(5)
 
 
 async def stray_first(server: Server, stream: SocketStream, head: str) -> None:
-    """Send a second answer to an earlier request before the right one."""
+    """Send another answer to an earlier request before the right one."""
     other = answer(head, b"not yours").replace(b"r1", b"r0", 1)
     await stream.send(other + answer(head))
 
 
 async def unframed(server: Server, stream: SocketStream, head: str) -> None:
-    """Answer without a length, and close."""
+    """Answer without a content length, and close the connection."""
     await stream.send(answer(head, b"ok").replace(b"Content-Length: 2\r\n", b""))
     await stream.aclose()
 
 
 BAD_ONCE = [
-    # script, status of a safe request, of an unsafe one (one good server beside)
+    # script, status of a safe request, of an unsafe one (with a good server as well)
     (good, 200, 200),
     (fails, 200, 500),
     (declines, 200, 200),
     (moved, 200, 200),
     (resets, 200, 502),
     (truncates, 200, 502),
-    (babbles, 200, 502),
-    (unmarked, 200, 502),
+    (sends_garbage, 200, 502),
+    (unstamped, 200, 502),
     (silent, 200, 504),
     (stray_first, 200, 200),
     (unframed, 200, 200),
@@ -112,8 +112,8 @@
 ) -> None:
     """One of two servers misbehaves.
 
-    A request that may be repeated is answered by the other one; one that may not
-    is sent on only where the first server says that it did not run it.
+    A request that may be repeated is answered by the other server. Any other request
+    is sent to it only if the first server states that it did not run the request.
     """
     bad, fine = Server("bad", script), Server("fine", good)
     async with rig(bad, fine) as router:
@@ -125,9 +125,8 @@
     assert ran == int(expected == 200 and script not in (good, stray_first, unframed))
 
 
-async def test_a_declined_request_without_another_server_is_told_when_to_return() -> (
-    None
-):
+async def test_declined_request_gets_retry_after() -> None:
+    """A request that the only server declines is refused with Retry-After."""
     async with rig(Server("bad", declines)) as router:
         got = await router.ask(request("/unsafe/x"))
     assert got.startswith(b"HTTP/1.1 503 ")
@@ -135,6 +134,7 @@
 
 
 async def test_no_retry_without_budget() -> None:
+    """Without retry budget, the error answer of the first server is passed on."""
     bad, fine = Server("bad", fails), Server("fine", good)
     async with rig(bad, fine, extra_retries=0.0) as router:
         router.forwarder.backends.entries["fine"].in_flight = 3
@@ -144,9 +144,10 @@
 
 
 async def test_an_unreachable_server_costs_no_attempt() -> None:
-    """A server's VM is gone; its connection is refused.
+    """A server refuses connections because its VM is gone.
 
-    Nothing was sent, so even a request that may run once goes to another server.
+    Nothing was sent, so even a request that must not be repeated may go to another
+    server.
     """
     gone, fine = Server("gone", good, port=free_port()), Server("fine", good)
     async with rig(fine) as router:
@@ -157,10 +158,10 @@
     assert fine.bodies == [b"book"]
 
 
-async def test_a_caller_that_leaves_ends_the_work() -> None:
+async def test_caller_disconnect_cancels_the_attempt() -> None:
     """A caller closes its connection while a server works on its request.
 
-    The server's connection closes too, which is how it learns to stop.
+    The router then closes the server's connection, so that the server stops too.
     """
     server = Server("slow", silent)
     async with rig(server) as router:
@@ -175,7 +176,8 @@
     assert router.ended == [("unsafe", "left")]
 
 
-async def test_connections_are_kept() -> None:
+async def test_connections_are_reused() -> None:
+    """Requests in sequence use one connection to the server."""
     server = Server("one", good)
     async with rig(server) as router:
         for _ in range(3):
@@ -186,7 +188,8 @@
 async def test_an_early_answer_to_a_large_body() -> None:
     """A server answers before it has read a long body.
 
-    The rest of the body still follows, so nothing else can be taken for it.
+    The rest of the body is still sent, so that the server cannot take the next request
+    on the connection for a part of it.
     """
 
     async def serve(server: Server, stream: SocketStream, head: str) -> None:
@@ -200,7 +203,7 @@
 
 
 async def whole_stream(server: Server, stream: SocketStream, head: str) -> None:
-    """Stream four events from where it is asked to."""
+    """Stream the events up to number 4, starting after the last event ID if given."""
     first = int(value(head, "last-event-id") or 0) + 1
     await stream.send(stream_head(head))
     for number in range(first, 5):
@@ -209,36 +212,36 @@
 
 
 async def broken_stream(server: Server, stream: SocketStream, head: str) -> None:
-    """Break off within the third event."""
+    """Close the connection in the middle of the third event."""
     await stream.send(stream_head(head))
     await stream.send(chunk(event(1)) + chunk(event(2)) + chunk(event(3)[:6]))
     await stream.aclose()
 
 
 def numbers(got: bytes) -> list[int]:
-    """Return the events in an answer."""
+    """Return the numbers of the events in an answer."""
     return [int(line[4:]) for line in got.split(b"\n") if line.startswith(b"id: ")]
 
 
-async def test_a_resumable_stream_goes_on_elsewhere() -> None:
-    """An engine dies in the middle of an event.
+async def test_broken_stream_resumes_at_another_server() -> None:
+    """An engine crashes in the middle of an event.
 
-    Another one goes on after the last whole event, within the same answer.
+    Another engine resumes the stream after the last complete event, in the same answer.
     """
     bad, fine = Server("bad", broken_stream), Server("fine", whole_stream)
-    purse = FreePurse()
-    async with rig(bad, fine, purse=purse) as router:
+    hold = UnlimitedHold()
+    async with rig(bad, fine, hold=hold) as router:
         router.forwarder.backends.entries["fine"].in_flight = 9
         counts = "X-Ebonyhold-Token-Counts: 100,40\r\n"
         got = await router.ask(request("/stream/x", extra=counts))
     assert numbers(got) == [1, 2, 3, 4]
     assert got.endswith(b"0\r\n\r\n")
     assert value(fine.requests[0], "last-event-id") == "2"
-    assert purse.charges == [(140, 120)]
+    assert hold.charges == [(140, 120)]
 
 
 async def test_a_stream_that_cannot_resume_is_cut() -> None:
-    """The caller must see that the rest is missing: its answer has no end."""
+    """The caller's answer has no regular end, which shows that the rest is missing."""
     bad, fine = Server("bad", broken_stream), Server("fine", whole_stream)
     async with rig(bad, fine) as router:
         router.forwarder.backends.entries["fine"].in_flight = 9
@@ -248,14 +251,15 @@
     assert not fine.requests
 
 
-async def test_the_dispatch_names_server_workspace_and_time() -> None:
+async def test_dispatch_headers() -> None:
+    """The server gets the router's own fields; the caller cannot set them itself."""
     server = Server("one", good)
-    smuggled = "X-Ebonyhold-Tenant: other\r\nX-Ebonyhold-Hold: 1\r\nKv-From: x\r\n"
+    forged = "X-Ebonyhold-Tenant: other\r\nX-Ebonyhold-Hold: 1\r\nKv-From: x\r\n"
     async with rig(server) as router:
         await router.ask(
             request(
                 "/safe/x?q=1",
-                extra=f"{smuggled}X-Ebonyhold-Deadline-Milliseconds: 900\r\nA: b\r\n",
+                extra=f"{forged}X-Ebonyhold-Deadline-Milliseconds: 900\r\nA: b\r\n",
             )
         )
     head = server.requests[0]
@@ -270,26 +274,28 @@
 
 
 HUGE = "9" * 5000
-"""A number of more digits than Python converts."""
+"""A number with more digits than Python converts."""
 
 
-async def boasts(server: Server, stream: SocketStream, head: str) -> None:
-    """Promise to keep the connection for longer than any number can say."""
+async def huge_keep_alive(server: Server, stream: SocketStream, head: str) -> None:
+    """Send a keep-alive timeout that is out of range."""
     await stream.send(answer(head, extra=f"Keep-Alive: timeout={HUGE}\r\n"))
 
 
-async def counts_far(server: Server, stream: SocketStream, head: str) -> None:
-    """Number an event beyond what any number can say."""
+async def huge_event_id(server: Server, stream: SocketStream, head: str) -> None:
+    """Send an event ID that is out of range."""
     await stream.send(stream_head(head))
     await stream.send(chunk(f"id: {HUGE}\ndata: t\n\n".encode()) + chunk(b""))
 
 
-@pytest.mark.parametrize(("script", "path"), [(boasts, "safe"), (counts_far, "stream")])
-async def test_a_number_out_of_range_ends_nothing(script: Script, path: str) -> None:
-    """One answer of a server ended the router's process.
+@pytest.mark.parametrize(
+    ("script", "path"), [(huge_keep_alive, "safe"), (huge_event_id, "stream")]
+)
+async def test_number_out_of_range_is_ignored(script: Script, path: str) -> None:
+    """Guards against a router that exits because of a number in a server's answer.
 
-    Python refuses to convert such a number, and the error went up to the task group of
-    the process.  What it says is of no use to us; the answer is whole all the same.
+    Python refuses to convert a number of this length, and the error ended the task
+    group of the process. The number is ignored now, and the answer passed on.
     """
     async with rig(Server("odd", script)) as router:
         for _ in range(2):
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers are told whose requests cannot be served, over real sockets."""
+"""Answers to callers whose requests cannot be served, over real sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     CallerListener,
     RequestHead,
 )
-from tests.forwarding.kit import FreePurse, Server, request, rig
+from tests.forwarding.kit import Server, UnlimitedHold, request, rig
 from tests.forwarding.test_attempts import good, silent
 
 pytestmark = pytest.mark.anyio
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Sockets have no virtual clock."""
+    """Use a real clock, since sockets do not work with a virtual one."""
     return "asyncio"
 
 
@@ -30,7 +30,7 @@
 LONG_HEAD = request("/safe/x", extra=f"A: {'a' * 3000}\r\n")
 
 HUGE = "9" * 400
-"""A number beyond the range of a float; its head is within all bounds."""
+"""A number beyond the range of a float, in a head of permitted size."""
 
 REFUSALS = [
     (request("/none/x"), 404),
@@ -49,20 +49,21 @@
 
 @pytest.mark.parametrize(("sent", "status"), REFUSALS)
 async def test_refusals(sent: bytes, status: int) -> None:
+    """Requests with errors are refused with the right status."""
     async with rig(Server("one", good)) as router:
         got = await router.ask(sent)
     assert got.startswith(f"HTTP/1.1 {status} ".encode()), got
 
 
-class EmptyPurse(FreePurse):
-    """Tokens that are not there."""
+class RefusedHold(UnlimitedHold):
+    """A hold that is refused."""
 
     def __init__(self, error: Exception) -> None:
         super().__init__()
         self.error = error
 
     async def hold(self, amount: int, request: str) -> None:
-        """Refuse."""
+        """Raise the given error."""
         raise self.error
 
 
@@ -71,8 +72,9 @@
     [(BudgetExhaustedError("x"), 402), (BudgetUnreachableError("x"), 429)],
 )
 async def test_no_tokens(error: Exception, status: int) -> None:
+    """Budget errors are refused without sending the request to a server."""
     server = Server("one", good)
-    async with rig(server, purse=EmptyPurse(error)) as router:
+    async with rig(server, hold=RefusedHold(error)) as router:
         counts = "X-Ebonyhold-Token-Counts: 100,40\r\n"
         got = await router.ask(request("/safe/x", extra=counts))
     assert got.startswith(f"HTTP/1.1 {status} ".encode())
@@ -80,7 +82,8 @@
     assert not server.requests
 
 
-async def test_an_answer_comes_at_the_route_s_timeout() -> None:
+async def test_refusal_at_the_route_timeout() -> None:
+    """A request without an answer is refused at the timeout of its route."""
     async with rig(Server("one", silent)) as router:
         before = anyio.current_time()
         got = await router.ask(request("/short/x"))
@@ -89,6 +92,7 @@
 
 
 async def test_two_requests_on_one_connection() -> None:
+    """Two requests sent at once on a connection are both answered."""
     async with rig(Server("one", good)) as router:
         first = request("/safe/x", close=False)
         got = await router.ask(first + request("/safe/y"))
@@ -96,10 +100,10 @@
 
 
 async def test_draining_ends_connections_with_their_next_answer() -> None:
-    """A process is told to stop while a caller keeps its connection.
+    """A shutdown starts while a caller keeps its connection open.
 
-    Its next request is answered and the connection then closed, so no request
-    meets a connection that closes.
+    The next request is still answered, and that answer announces the close. So no
+    request is sent on a connection that is being closed.
     """
     async with rig(Server("one", good)) as router:
         stream = await anyio.connect_tcp("127.0.0.1", router.port)
@@ -114,13 +118,12 @@
         assert b"connection: close" in got.lower()
 
 
-async def test_requests_that_are_here_already_are_answered_while_draining() -> None:
-    """A caller sends three requests at once, and then the process is told to stop.
+async def test_pipelined_requests_are_answered_while_draining() -> None:
+    """Guards against dropping pipelined requests during a shutdown.
 
-    The answer to the first said that the connection ends, and the two others were
-    dropped, though the process served for seconds more: 26 pipelined requests of one
-    stop got no answer.  When the last bytes were still unread at the close, the
-    connection was reset, and the first answer was lost too.
+    The answer to the first of three requests announced the close, and the others were
+    dropped: 26 pipelined requests of one shutdown got no answer. If bytes were unread
+    at the close, the connection was reset, and the first answer was lost too.
     """
     async with rig(Server("one", good)) as router:
         router.listener.start_draining()
@@ -130,10 +133,10 @@
     assert got.lower().count(b"connection: close") == 1
 
 
-async def test_the_last_answer_outlives_what_its_caller_sends_on() -> None:
-    """A caller goes on sending after the request whose answer ends the connection.
+async def test_last_answer_survives_further_sending() -> None:
+    """A caller continues to send after the request whose answer closes the connection.
 
-    Closing with unread bytes resets a connection, and the answer is lost.
+    Closing a connection with unread bytes would reset it and discard the answer.
     """
     async with rig(Server("one", good)) as router:
         router.listener.start_draining()
@@ -148,14 +151,16 @@
     assert got.endswith(b"ok")
 
 
-async def test_a_slow_body_is_refused_by_its_request_s_name() -> None:
+async def test_refusal_of_a_large_body_names_its_request() -> None:
+    """The refusal of a body that is too large contains the request's identifier."""
     async with rig(Server("one", good)) as router:
         whole = request("/safe/x", "POST", b"b" * 100_001)
         got = await router.ask(whole)
     assert b" 413 " in got and b"x-ebonyhold-request-id: r1" in got.lower()
 
 
-async def test_idle_connections_close_when_told() -> None:
+async def test_close_idle() -> None:
+    """close_idle closes a connection that has no current request."""
     async with rig(Server("one", good)) as router:
         stream = await anyio.connect_tcp("127.0.0.1", router.port)
         await stream.send(request("/safe/x", close=False))
@@ -166,11 +171,12 @@
             await stream.receive()
 
 
-async def test_a_stopping_process_cuts_no_request_that_came_last() -> None:
-    """A request comes on a new connection while a stopping process returns its grants.
+async def test_late_request_is_answered_before_exit() -> None:
+    """Guards against cutting off a request that arrives late in a shutdown.
 
-    It was read, passed on, and cut 60 ms later when the process ended: the process had
-    looked for requests under way once, just before.
+    It arrived on a new connection while the grants were being returned, and was cut off
+    60 ms later when the process exited: the process had checked for current requests
+    only once, just before.
     """
     served = []
 
@@ -205,7 +211,10 @@
 
 @pytest.mark.parametrize("at_once", [True, False], ids=["one piece", "two pieces"])
 async def test_waiting_for_a_turn_does_not_make_a_request_late(at_once: bool) -> None:
-    """Guards against judging a request by the end of the answer before it."""
+    """The time a pipelined request is queued counts from its arrival.
+
+    Guards against counting it from the end of the answer before it.
+    """
     waits: list[float] = []
 
     async def serve(
@@ -234,7 +243,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return an unused port."""
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port: int = taken.getsockname()[1]
     return port
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -1,4 +1,4 @@
-"""Whole calls over real connections: what was sent, and what may have had effect."""
+"""HTTP calls over real connections: answers, and whether a failed call was sent."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Sockets need a real clock."""
+    """Use a real clock, since sockets do not work with a virtual one."""
     return "asyncio"
 
 
 @asynccontextmanager
 async def calling(conduct: Conduct) -> AsyncIterator[HttpCalls]:
-    """Yield calls to a server on loopback that behaves as told."""
+    """Yield calls to a loopback server with the given behaviour."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
     calls = HttpCalls(("127.0.0.1", port))
@@ -54,20 +54,20 @@
     await stream.aclose()
 
 
-async def talk_nonsense(stream: ByteStream) -> None:
+async def send_garbage(stream: ByteStream) -> None:
     await stream.receive()
     await stream.send(b"no answer at all\r\n\r\n")
 
 
-async def say_nothing(stream: ByteStream) -> None:
+async def never_answer(stream: ByteStream) -> None:
     await anyio.sleep(60)
 
 
 @pytest.mark.parametrize(
-    "conduct", [close_unanswered, cut_short, talk_nonsense, say_nothing]
+    "conduct", [close_unanswered, cut_short, send_garbage, never_answer]
 )
-async def test_a_call_that_was_sent_is_never_told_as_not_sent(conduct: Conduct) -> None:
-    """The answer is lost after the call arrived; it may have had its effect."""
+async def test_sent_call_is_never_reported_as_not_sent(conduct: Conduct) -> None:
+    """A call whose answer is lost may have had an effect."""
     async with calling(conduct) as calls:
         with pytest.raises(BackendLostError) as caught:
             await calls.call(REQUEST, 0.1)
@@ -75,6 +75,7 @@
 
 
 async def test_no_connection_means_not_sent() -> None:
+    """A call without a connection raises CallNotSentError."""
     async with calling(answer_all) as calls:
         pass
     async with anyio.create_task_group() as tasks:
@@ -83,7 +84,8 @@
             await calls.call(REQUEST, 1.0)
 
 
-async def test_a_connection_is_used_again() -> None:
+async def test_connection_is_reused() -> None:
+    """Calls in sequence use one connection."""
     async with calling(answer_all) as calls:
         for _ in range(3):
             answer = await calls.call(REQUEST, 1.0)
@@ -92,8 +94,8 @@
         assert calls.pool.opened == 1
 
 
-async def test_a_late_answer_is_not_taken_for_the_next_calls_own() -> None:
-    """A call runs into its timeout, and its answer comes while the next one waits."""
+async def test_late_answer_is_not_used_for_the_next_call() -> None:
+    """A call times out, and its answer arrives while the next call is waiting."""
     seen: list[bytes] = []
 
     async def answer_the_first_late(stream: ByteStream) -> None:
@@ -109,11 +111,12 @@
         assert answer.body == b"ok"
 
 
-async def test_an_answer_may_be_large() -> None:
-    """Ten versions of a large configuration come within one answer of 2 MB.
+async def test_large_answer() -> None:
+    """Guards against a size limit below the largest regular answer.
 
-    A reader that gave up on it asked again from the same place, and kept an old
-    configuration in force until its history was lost.
+    Ten versions of a large configuration come in one answer of 2 MB. With a lower
+    limit, the reader requested the same changes again and again, and kept an old
+    configuration until the history that it needed was gone.
     """
     body = b"x" * 2_000_000
 
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -1,4 +1,4 @@
-"""Routes, choice of a server and shares of the retry budget, without a network."""
+"""Route matching, choice of servers and retry budget, without a network."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from ebonyhold.forwarding import (
     Backend,
+    BackendEntry,
     BackendState,
     BackendTable,
     CallerRequest,
-    Entry,
     FleetRetries,
     NoRouteError,
     RetryRules,
@@ -18,14 +18,14 @@
     choose_service,
     find_route,
 )
-from ebonyhold.forwarding._work import MOST_KEYS, ServerWork
+from ebonyhold.forwarding._work import MAX_KEYS, ServerWork
 from ebonyhold.platform import read_configuration
 from tests.forwarding.kit import route, rules
 from tests.platform.test_documents import CONFIGURATION, encode
 
 
 def backend(name: str, domain: str = "a", **more: object) -> Backend:
-    """Return a server's entry."""
+    """Return a server's entry in the server list."""
     known: dict[str, object] = {"state": BackendState.READY, "started_at": 1}
     return Backend(
         name,
@@ -37,10 +37,10 @@
     )
 
 
-def entries(*loads: int) -> list[Entry]:
-    """Return servers with these requests in flight."""
+def entries(*loads: int) -> list[BackendEntry]:
+    """Return servers with the given numbers of requests in flight."""
     return [
-        Entry(backend(f"s{number}", "ab"[number % 2]), in_flight=load)
+        BackendEntry(backend(f"s{number}", "ab"[number % 2]), in_flight=load)
         for number, load in enumerate(loads)
     ]
 
@@ -58,6 +58,7 @@
 
 @pytest.mark.parametrize(("host", "path", "name"), PATHS)
 def test_routes(host: str, path: str, name: str | None) -> None:
+    """A route matches by host and by a path prefix of whole segments."""
     if name is None:
         with pytest.raises(NoRouteError):
             find_route(rules(), host, path)
@@ -66,6 +67,7 @@
 
 
 def test_the_longest_prefix_wins() -> None:
+    """Of two matching routes, the one with the longer prefix is used."""
     base = CONFIGURATION["routes"][0]
     longer = {**base, "name": "long", "prefix": "/a/b/"}
     found = read_configuration(encode({**CONFIGURATION, "routes": [base, longer]}))
@@ -75,6 +77,7 @@
 
 @pytest.mark.parametrize(("chance", "name"), [(0.0, "s"), (0.89, "s"), (0.91, "t")])
 def test_a_split_route(chance: float, name: str) -> None:
+    """A split route chooses its service by weight."""
     split = route("x", rules().routes["h.example"]["/safe/"].kind)
     shares = (ServiceShare("s", 90), ServiceShare("t", 10))
     object.__setattr__(split, "shares", shares)
@@ -82,15 +85,15 @@
 
 
 def shared(own: str) -> CallerRequest:
-    """Return a request that shares all but its last part with others."""
+    """Return a request that shares all prompt parts but its last with others."""
     parts = (("system", 800), ("book", 400), (own, 90))
     return CallerRequest(own, prompt_parts=parts)
 
 
 def test_requests_that_share_a_prompt_go_to_one_server() -> None:
-    """Each router chooses alone, and all choose the same server.
+    """All routers choose the same server without coordinating.
 
-    Else every server reads the same long prompt again.
+    Otherwise every server would read the same long prompt.
     """
     chosen = {
         choose(shared(f"r{n}"), entries(0, 0, 0, 0), "ab"[n % 2], 0.0).backend.name
@@ -100,6 +103,7 @@
 
 
 def test_a_popular_prompt_does_not_overload_its_server() -> None:
+    """Requests with one popular prompt are spread evenly when there are many."""
     servers = entries(0, 0, 0, 0)
     for number in range(40):
         request = shared(f"r{number}")
@@ -111,28 +115,29 @@
 
 
 def prompt(own: str, size: int, system: str = "system") -> CallerRequest:
-    """Return a request whose prompt shares 1,200 tokens with others of its system."""
+    """Return a request that shares 1,200 prompt tokens with others of its system."""
     parts = ((system, 800), ("book", 400), (own, size))
     return CallerRequest(own, prompt_tokens=1_200 + size, prompt_parts=parts)
 
 
 def test_a_short_prompt_does_not_wait_behind_a_long_one() -> None:
-    """Callers of short notes waited for a second at their server.
+    """Guards against choosing a server by its number of requests alone.
 
-    It was reading one prompt of 54,000 tokens.  By their number its requests were as
-    few as anywhere else, so every router went on sending there.
+    Requests with short prompts waited for a second at a server that was reading a
+    prompt of 54,000 tokens. It had no more requests than the others, so every router
+    went on sending to it.
     """
     servers = entries(0, 0, 0, 0)
     first = choose(prompt("long", 54_000), servers, "a", 0.0)
     work = first.work.begin(prompt("long", 54_000), 0.0)
     assert choose(prompt("note", 600), servers, "a", 0.1) is not first
-    work.note_read()
+    work.mark_read()
     work.end()
     assert choose(prompt("note", 600), servers, "a", 0.1) is first
 
 
 LOADS = [
-    # tokens of others at the first server, and whether it gets the next prompt
+    # prompt tokens of others at the first server, and whether it gets the next prompt
     (0, True),
     (700, True),
     (1_100, False),
@@ -140,18 +145,22 @@
 
 
 @pytest.mark.parametrize(("size", "stays"), LOADS)
-def test_a_prompt_moves_when_to_read_it_elsewhere_costs_less(
+def test_prompt_moves_when_reading_it_elsewhere_costs_less(
     size: int, stays: bool
 ) -> None:
-    """The first server keeps 1,200 tokens of the prompt, which others have to read."""
+    """The first server has 1,200 prompt tokens cached; the other must read them."""
     servers = entries(0, 0)
     first = choose(prompt("r", 90), servers, "a", 0.0)
     first.work.begin(CallerRequest("x", prompt_tokens=size), 0.0)
     assert (choose(prompt("r", 90), servers, "a", 0.0) is first) == stays
 
 
-def test_a_server_keeps_what_it_was_sent_lately() -> None:
-    """A prompt that had to move stays where it was read, and comes back later."""
+def test_recently_sent_prompt_counts_as_cached() -> None:
+    """A prompt stays at a server that has recently read it.
+
+    Once that server no longer counts as having it cached, the prompt goes back to the
+    first one.
+    """
     servers = entries(0, 0)
     first = choose(prompt("r", 90), servers, "a", 0.0)
     second = next(server for server in servers if server is not first)
@@ -162,27 +171,29 @@
 
 
 def test_work_ends_with_its_request() -> None:
+    """No load is left when all requests have ended, even if ended twice."""
     work = ServerWork()
     begun = [work.begin(prompt(f"r{n}", 90 * n), 0.0) for n in range(4)]
     assert work.waiting > 0
     for one in begun:
-        one.note_read()
+        one.mark_read()
         one.end()
         one.end()
     assert work.waiting == 0
 
 
-def test_a_router_remembers_so_many_shared_parts() -> None:
-    """Each caller may bring a part of its own, and memory would grow with them."""
+def test_remembered_shared_parts_are_limited() -> None:
+    """The number is limited, since each caller may send prompt parts of its own."""
     work = ServerWork()
-    for number in range(MOST_KEYS + 50):
+    for number in range(MAX_KEYS + 50):
         work.begin(
             CallerRequest("r", prompt_parts=((f"p{number}", 5), ("own", 1))), 0.0
         )
-    assert len(work.sent) == MOST_KEYS
+    assert len(work.sent) == MAX_KEYS
 
 
-def test_plain_requests_stay_near_until_that_is_busier() -> None:
+def test_plain_requests_prefer_the_own_failure_domain() -> None:
+    """They go to another failure domain only when the own one is busier."""
     servers = entries(0, 0, 0, 0)
     plain = CallerRequest("r")
     assert choose(plain, servers, "a", 0.0).backend.domain == "a"
@@ -191,7 +202,8 @@
     assert choose(plain, servers, "a", 0.0).backend.domain == "b"
 
 
-def test_servers_that_drain_or_moved_get_nothing() -> None:
+def test_draining_and_moved_servers_get_no_requests() -> None:
+    """Draining, moved and already tried servers are not usable."""
     table = BackendTable()
     table.update(backend("s0", state=BackendState.DRAINING))
     table.update(backend("s1"))
@@ -202,7 +214,8 @@
     assert table.usable("svc", 0.0, ["s2"]) == []
 
 
-def test_a_full_server_is_left_alone_for_a_moment() -> None:
+def test_full_server_is_skipped_for_a_while() -> None:
+    """A full server is skipped for a while, unless all servers are full."""
     table = BackendTable()
     table.update(backend("s1"))
     table.update(backend("s2"))
@@ -214,6 +227,7 @@
 
 
 def test_an_unreachable_server_is_tried_again_soon() -> None:
+    """An unreachable server is usable again within 3 s."""
     table = BackendTable()
     for name in ("s1", "s2", "s3"):
         table.update(backend(name))
@@ -224,9 +238,9 @@
 
 @pytest.mark.parametrize("routers", [1, 9, 80])
 def test_the_fleet_keeps_the_retry_budget(routers: int) -> None:
-    """Everything fails at once, and each router would repeat each request.
+    """All requests fail at once, and each router would retry every one.
 
-    Without talking, they stay within the budget that they share.
+    Together the routers stay within the shared budget without coordinating.
     """
     budget = RetryRules(ratio=0.2, extra=58.0, window=10.0)
     fleet = [FleetRetries(budget, lambda: routers) for _ in range(routers)]
@@ -239,7 +253,8 @@
     assert 0 < retries <= requests * budget.ratio + budget.extra
 
 
-def test_retries_come_back_with_the_window() -> None:
+def test_retries_are_allowed_again_after_the_window() -> None:
+    """The budget is available again after the window has passed."""
     retries = FleetRetries(RetryRules(0.0, 10.0, 10.0), lambda: 1)
     assert sum(retries.take("svc", 0.0) for _ in range(20)) == 7
     assert not retries.take("svc", 9.9)
--- a/tests/forwarding/test_departure.py
+++ b/tests/forwarding/test_departure.py
@@ -1,4 +1,4 @@
-"""What a stopping router still takes, and what it refuses at once."""
+"""Which requests a router accepts during a shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     RouteKind,
     RouteTimes,
     Stage,
-    can_end,
+    accepts_late,
 )
 from tests.forwarding.kit import route
 from tests.virtual import anyio_backend
@@ -37,20 +37,21 @@
         (Stage.OVER, False, 0.5, 0.1, False),
     ],
 )
-def test_what_ends_in_time_is_taken(
+def test_late_request_that_ends_in_time_is_accepted(
     stage: Stage,
     priced: bool,
     left: float,
     estimate: float,
     taken: bool,
 ) -> None:
-    """Streams were taken 3.2 to 4.1 s after the signal and cut in the middle at 7.1 s.
+    """Guards against accepting streams that cannot end before the shutdown does.
 
-    The longest of the last 64 was taken for a bound, and it is none; after a restart it
-    was the longest of two.
+    Streams were accepted 3.2 to 4.1 s after the signal and cut at 7.1 s. The longest of
+    the last 64 durations was used as an upper bound, which it is not; after a restart
+    it was the longest of two.
     """
     late = LateRequest("r", "stream", priced, left, estimate)
-    assert can_end(stage, late) is taken
+    assert accepts_late(stage, late) is taken
 
 
 @pytest.mark.parametrize(
@@ -81,9 +82,9 @@
 def test_request_that_waited_for_its_turn(
     stage: Stage, priced: bool, waited: float, left: float, shown: float, taken: bool
 ) -> None:
-    """Guards against refusing short requests that waited behind a stream."""
+    """Guards against refusing short requests that were queued behind a stream."""
     late = LateRequest("r", "book", priced, left, 3.0, waited, shown)
-    assert can_end(stage, late) is taken
+    assert accepts_late(stage, late) is taken
 
 
 @pytest.mark.parametrize(
@@ -99,9 +100,10 @@
 def test_what_a_route_has_shown(
     kind: RouteKind, lengths: list[float], low: float, high: float
 ) -> None:
+    """The longest duration counts even if few were recorded, but never for streams."""
     times = RouteTimes()
     for length in lengths:
-        times.note("a", length)
+        times.record("a", length)
     assert low <= times.shown(route("a", kind, timeout=20.0)) <= high
 
 
@@ -130,32 +132,35 @@
         "forgotten",
     ],
 )
-def test_estimates_follow_the_longest_of_late(
+def test_estimate_follows_the_longest_recent_duration(
     kind: RouteKind, lengths: list[float], timeout: float, low: float, high: float
 ) -> None:
+    """The estimate is the longest recent duration; if few are known, at least 3 s."""
     times = RouteTimes()
     for length in lengths:
-        times.note("a", length)
+        times.record("a", length)
     assert low <= times.estimate(route("a", kind, timeout=timeout)) <= high
 
 
-def test_routes_that_came_and_went_are_forgotten() -> None:
-    """A router lives for months, and each version of the rules may name new routes."""
+def test_recorded_routes_are_limited() -> None:
+    """A router runs for months, and each configuration may name new routes."""
     times = RouteTimes()
     for number in range(3_000):
-        times.note(f"route-{number}", 0.1)
+        times.record(f"route-{number}", 0.1)
     assert len(times.lengths) == 1_000
     assert "route-2999" in times.lengths
 
 
-async def test_a_router_that_serves_takes_everything() -> None:
+async def test_serving_router_accepts_everything() -> None:
+    """Requests are neither refused nor judged before a shutdown."""
     judged: list[bool] = []
     departure = Departure(judged=judged.append)
     assert departure.admits("r", STREAM, priced=True, received_at=anyio.current_time())
     assert judged == []
 
 
-async def test_late_requests_are_counted_and_bounded() -> None:
+async def test_late_requests_are_counted() -> None:
+    """Accepted and refused late requests are counted and reported."""
     judged: list[bool] = []
     departure = Departure(judged=judged.append)
     departure.begin(anyio.current_time() + 5.0)
@@ -169,11 +174,11 @@
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["open before", "taken late"])
-async def test_requests_end_with_the_last_answer(late: bool) -> None:
-    """A stream outlasts the stop of its router.
+async def test_requests_end_by_the_last_answer_time(late: bool) -> None:
+    """Guards against closing the connection of a stream that outlasts the shutdown.
 
-    Its connection closed in the middle of what it waited for, with no word; a request
-    that no byte of an answer has reached can still be told the truth.
+    The request ends at the time of the last answer instead. If no part of an answer was
+    sent by then, the caller can still get an error that states what happened.
     """
     departure = Departure()
     began = anyio.current_time()
--- a/tests/forwarding/test_faults.py
+++ b/tests/forwarding/test_faults.py
@@ -1,4 +1,4 @@
-"""An error of our own on one caller's connection, beside the connections of others."""
+"""An internal error on one caller's connection does not affect the others."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Sockets have no virtual clock."""
+    """Use a real clock, since sockets do not work with a virtual one."""
     return "asyncio"
 
 
 @define(eq=False)
 class Faults:
-    """Answers some requests, and fails at others as no code is meant to.
+    """Answers some requests, and raises unexpected errors for others.
 
     Attributes:
-        seen: The errors that the guard kept from other connections.
-        go: Set when the requests that wait may be answered.
+        seen: The errors that the guard has caught.
+        go: Set when the waiting requests may be answered.
     """
 
     seen: list[Exception] = field(factory=list)
@@ -42,7 +42,7 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Do what the target says."""
+        """Handle a request according to its target."""
         del body
         if head.target == b"/wait":
             await self.go.wait()
@@ -55,7 +55,7 @@
         await connection.answer(200, [], b"ok")
 
     async def guard(self, run: Run) -> bool:
-        """Keep an error, as a supervisor does."""
+        """Catch errors as a supervisor does."""
         before = len(self.seen)
         try:
             await run()
@@ -74,11 +74,10 @@
 async def test_a_fault_ends_its_own_connection_only(
     target: str, answers: list[bytes]
 ) -> None:
-    """One request meets an error of ours, and another one is being answered.
+    """Guards against an internal error that ends all connections of a router.
 
-    Users saw all connections of a router end together: the error went up through the
-    connection's task to the group of the whole process.  The request that met it may
-    have run, so the answer must not be one that says that it has not.
+    The error went from the connection's task up to the task group of the process. The
+    request may have run, so its answer must not state that it has not.
     """
     faults = Faults()
     guard: Guard = faults.guard
@@ -89,11 +88,11 @@
         await until_open(port)
         async with (
             await anyio.connect_tcp(LOOPBACK, port) as other,
-            await anyio.connect_tcp(LOOPBACK, port) as hurt,
+            await anyio.connect_tcp(LOOPBACK, port) as faulty,
         ):
             await other.send(request("/wait", close=True))
-            await hurt.send(request(target, close=False))
-            got = await read_all(hurt)
+            await faulty.send(request(target, close=False))
+            got = await read_all(faulty)
             faults.go.set()
             assert (await read_all(other)).startswith(b"HTTP/1.1 200 ")
         tasks.cancel_scope.cancel()
@@ -101,16 +100,16 @@
     assert len(faults.seen) == 1
 
 
-class OddStream:
-    """A connection that fails as none is known to."""
+class FailingStream:
+    """A connection that raises an unexpected error."""
 
     async def receive(self, most: int) -> bytes:
         raise RuntimeError(f"odd after {most}")
 
 
 async def test_a_reader_does_not_wait_for_a_reading_task_that_failed() -> None:
-    """Its request would hang until its deadline, on a connection that looks sound."""
-    inbox = Inbox(OddStream())  # type: ignore[arg-type]
+    """Otherwise its request would hang until the deadline on a dead connection."""
+    inbox = Inbox(FailingStream())  # type: ignore[arg-type]
     with pytest.raises(RuntimeError, match="odd"):
         await inbox.fill()
     with anyio.fail_after(1.0):
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers that are kept, while many of them end at once."""
+"""Pooled connections to servers, while many of them end at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ebonyhold.forwarding._attempt import Attempt
 from ebonyhold.forwarding._channel import Channel
 from ebonyhold.forwarding._exchange import AttemptEnd
-from ebonyhold.forwarding._inbox import MOST_WAITING
+from ebonyhold.forwarding._inbox import MAX_WAITING
 from ebonyhold.platform import PlatformDialect
 from tests.forwarding.kit import GONE, LOOPBACK, Server
 from tests.forwarding.test_attempts import good
@@ -25,30 +25,30 @@
 pytestmark = pytest.mark.anyio
 
 USERS = 6
-"""Requests that take and put connections at a time."""
+"""Number of tasks that take and return connections."""
 
-ENDS = 12
-"""How often a server ends all its connections in one play."""
+CLOSES = 12
+"""How often the server closes all its connections in one run."""
 
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Sockets have no virtual clock."""
+    """Use a real clock, since sockets do not work with a virtual one."""
     return "asyncio"
 
 
 @define(eq=False)
-class Endings:
-    """A server that ends all its connections at the same moment.
+class ClosingServer:
+    """A server that closes all its connections at the same moment.
 
     Attributes:
-        streams: The connections that are open.
+        streams: The open connections.
     """
 
     streams: set[SocketStream] = field(factory=set)
 
     async def serve(self, stream: SocketStream) -> None:
-        """Keep a connection until either side ends it."""
+        """Keep a connection open until either side closes it."""
         self.streams.add(stream)
         try:
             async with stream:
@@ -56,41 +56,40 @@
         except GONE:
             self.streams.discard(stream)
 
-    async def end_all(self) -> None:
-        """End every connection."""
+    async def close_all(self) -> None:
+        """Close all connections."""
         async with anyio.create_task_group() as tasks:
             for stream in list(self.streams):
                 tasks.start_soon(stream.aclose)
 
 
-async def use(pool: ChannelPool, port: int, luck: random.Random) -> None:
-    """Take and put connections as requests do, for ever."""
+async def use(pool: ChannelPool, port: int, rng: random.Random) -> None:
+    """Take connections from the pool and return them, forever."""
     while True:
         channel = await pool.get("i-1", (LOOPBACK, port))
-        await anyio.sleep(luck.choice((0, 0, 0.001, 0.003)))
+        await anyio.sleep(rng.choice((0, 0, 0.001, 0.003)))
         if channel.is_quiet():
-            channel.usable_until = anyio.current_time() + luck.choice((0.002, 9.0))
+            channel.usable_until = anyio.current_time() + rng.choice((0.002, 9.0))
             await pool.put("i-1", channel)
         else:
             await channel.close()
-        await anyio.sleep(luck.choice((0, 0.001, 0.004)))
+        await anyio.sleep(rng.choice((0, 0.001, 0.004)))
 
 
 @pytest.mark.parametrize("seed", range(4))
-async def test_connections_that_end_together_end_no_sweep(
+async def test_sweep_survives_connections_that_end_together(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Several kept connections of a server end at once, under traffic.
+    """Guards against a sweep that fails when several pooled connections end at once.
 
-    Users saw a router's process end, with every request and stream in it, just
-    after a server or the links to it came back.  The sweep had a list of the unused
-    connections, and closed one after the other; while it waited for a close, a
-    request took a later one of them, and the sweep then removed what was not there
-    any more.  Evidence: "list.remove(x): x not in list" from the sweep, as here.
+    The sweep closed the unused connections of a list one after the other. While it
+    awaited a close, a request took a later connection of the list, and the sweep then
+    failed with "list.remove(x): x not in list". That ended the router's process with
+    all its requests, just after a server or the network to it came back.
     """
     monkeypatch.setattr(_pool, "SWEEP", 0.001)
-    luck = random.Random(seed)
-    server = Endings()
+    rng = random.Random(seed)
+    server = ClosingServer()
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
         port = listener.extra(SocketAttribute.local_port)
@@ -99,23 +98,23 @@
         tasks.start_soon(pool.sweep)
         async with anyio.create_task_group() as users:
             for _ in range(USERS):
-                users.start_soon(use, pool, port, random.Random(luck.random()))
-            for _ in range(ENDS):
-                await anyio.sleep(luck.uniform(0.005, 0.03))
-                await server.end_all()
+                users.start_soon(use, pool, port, random.Random(rng.random()))
+            for _ in range(CLOSES):
+                await anyio.sleep(rng.uniform(0.005, 0.03))
+                await server.close_all()
             users.cancel_scope.cancel()
-        # asyncio trips over a connection that arrives as its listener is cancelled.
+        # asyncio fails if a connection arrives while its listener is being cancelled.
         await anyio.sleep(0.01)
         tasks.cancel_scope.cancel()
-    assert pool.opened > ENDS
+    assert pool.opened > CLOSES
 
 
-async def test_no_connection_is_both_taken_and_swept(
+async def test_swept_connection_cannot_be_taken(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the sweep closes is not in the list while it closes it."""
+    """The sweep removes a connection from the pool before it closes it."""
     monkeypatch.setattr(_pool, "SWEEP", 0.001)
-    server = Endings()
+    server = ClosingServer()
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
         port = listener.extra(SocketAttribute.local_port)
@@ -142,18 +141,18 @@
     assert seen == [0] * len(channels)
 
 
-async def test_a_server_that_moved_is_reached_where_it_is_now() -> None:
-    """A server's entry names another address while a request to it is under way.
+async def test_moved_server_is_reached_at_its_new_address() -> None:
+    """A server's address changes while a request to it is in progress.
 
-    The connection was kept under the server's name, and the next request for it went
-    to whoever has the old address, which may be an engine of another service.
+    The connection was pooled under the server's name, and the next request was sent to
+    the old address, which may now belong to an engine of another service.
     """
     async with anyio.create_task_group() as tasks:
         pool = ChannelPool(tasks)
         ports: list[int] = []
         for _ in range(2):
             listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
-            tasks.start_soon(listener.serve, Endings().serve)
+            tasks.start_soon(listener.serve, ClosingServer().serve)
             ports.append(listener.extra(SocketAttribute.local_port))
         old, new = ports
         channel = await pool.get("i-1", (LOOPBACK, old))
@@ -166,37 +165,37 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_connection_with_much_unread_ends_when_it_is_closed() -> None:
-    """A server sends more than is kept for a slow reader, and its request is given up.
+async def test_close_ends_a_reader_with_a_full_buffer() -> None:
+    """A request is abandoned while its server sends more than the buffer holds.
 
-    The task that reads the connection waited for a reader that never came, for ever,
-    with all that it had read: each such request cost a quarter of a megabyte.
+    The task that reads the connection waited forever for its buffer to be read, so each
+    such request leaked a quarter of a megabyte.
     """
 
-    async def pour(stream: SocketStream) -> None:
+    async def send_forever(stream: SocketStream) -> None:
         with suppress(*GONE):
             while True:
                 await stream.send(bytes(65_536))
 
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
-        tasks.start_soon(listener.serve, pour)
+        tasks.start_soon(listener.serve, send_forever)
         port = listener.extra(SocketAttribute.local_port)
         with anyio.fail_after(2.0):
             async with anyio.create_task_group() as reading:
                 channel = await ChannelPool(reading).get("i-1", (LOOPBACK, port))
                 await anyio.sleep(0.1)
-                assert len(channel.inbox.waiting) > MOST_WAITING
+                assert len(channel.inbox.waiting) > MAX_WAITING
                 await channel.close()
         tasks.cancel_scope.cancel()
 
 
 @define(eq=False)
 class UnreachablePool:
-    """Connections to a server that ends, and lives again, while one is made.
+    """A pool whose connections always fail, after the server's entry has changed.
 
     Attributes:
-        meanwhile: What happens before the connection fails.
+        meanwhile: Called before the connection fails.
     """
 
     meanwhile: Callable[[], None]
@@ -208,11 +207,11 @@
 
 
 @pytest.mark.parametrize("after", ["another life", "gone", "the same life"])
-async def test_a_failure_counts_against_the_life_that_failed(after: str) -> None:
-    """A server ends and starts again while a request still tries to reach it.
+async def test_failure_counts_only_against_its_incarnation(after: str) -> None:
+    """A server restarts or is removed while a request still connects to it.
 
-    The failed connection to its old life kept requests from the new one, which was
-    sound, or was remembered for ever of a server that was gone.
+    The failed connection counted against the new incarnation, which was healthy, or
+    left a failure record of the removed server, which was never deleted.
     """
     table = BackendTable()
     old = Server("i-1", good).backend()
