--- a/ebonyhold/forwarding/_attempt.py
+++ b/ebonyhold/forwarding/_attempt.py
@@ -28,8 +28,8 @@
 MAX_WHOLE_ANSWER = 1_048_576
 """Size limit, in bytes, of an answer that is read whole before it is passed on.
 
-If a whole answer breaks off, the request can still be retried or refused with an
-error, and the caller's connection stays open.
+If such an answer breaks off, nothing of it was sent to the caller, so the request can
+still be retried or refused with an error.
 """
 
 SAFE_TIMEOUT: Seconds = 0.3
@@ -43,7 +43,7 @@
 """
 
 TIMEOUT_TARGETS = 3.0
-"""Time without an answer before a retry, as a multiple of the route's target latency.
+"""The timeout as a multiple of the route's target latency.
 
 It applies where it is longer than the minimum times above.
 """
@@ -164,8 +164,8 @@
     def answer_timeout(self) -> Seconds | None:
         """Return how long to wait for the server, or None for no limit.
 
-        Only requests that may be retried have a limit. For all others, a late answer is
-        the only one that the caller can get.
+        Only requests that may be retried have a limit. Others must wait for a late
+        answer, because no other server may answer them.
         """
         route = self.exchange.match.route
         if not (route.idempotent and self.exchange.attempts_left):
--- a/ebonyhold/forwarding/_backends.py
+++ b/ebonyhold/forwarding/_backends.py
@@ -36,9 +36,9 @@
 
     Attributes:
         backend: The server's entry in the server list.
-        in_flight: Requests that this router has sent it and that have not ended.
+        in_flight: Number of this router's requests that it is processing.
         work: Estimated load of those requests.
-        full_until: Until when it gets no requests because it declined one as full.
+        full_until: Until when it gets no requests, after it declined one as full.
         moved: Whether another server answers at its address.
         drop_at: When to remove it; set if its entry expired while the store was
             unreachable.
@@ -119,9 +119,9 @@
     def is_current(self, entry: BackendEntry) -> bool:
         """Return whether an entry is still the current one of its server.
 
-        While an attempt is awaited, its server may be removed or restart under the same
-        name. The attempt's result must then not count against the new incarnation, nor
-        create a failure record for a removed server, which would never be deleted.
+        During an attempt, the server may be removed or restart under the same name. The
+        result must then neither count against the new incarnation nor create a failure
+        record for a removed server, which would never be deleted.
         """
         return self.entries.get(entry.backend.name) is entry
 
@@ -145,7 +145,7 @@
     ) -> list[BackendEntry]:
         """Return the servers of a service that may get a request now.
 
-        Ejected servers are left out unless no others remain; so are full servers.
+        Ejected and full servers are left out unless no others remain.
         """
         excluded = set(tried)
         ready = [
--- a/ebonyhold/forwarding/_caller.py
+++ b/ebonyhold/forwarding/_caller.py
@@ -87,7 +87,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the fields that are passed on, without the connection's own fields."""
+    """Return the header fields without those that apply to this connection only."""
     named = {
         token.strip().lower()
         for name, value in headers
@@ -129,7 +129,8 @@
 def head_size(event: h11.Request) -> int:
     """Return the size of a head in bytes.
 
-    The parser does not enforce its limit on a head that arrives in one piece.
+    It is needed because the parser does not apply its size limit to a head that arrives
+    in one piece.
     """
     fields = sum(len(name) + len(value) + 4 for name, value in event.headers)
     return len(event.method) + len(event.target) + fields
@@ -144,8 +145,8 @@
         limits: The limits that apply to the caller's requests.
         inbox: The bytes received from the caller.
         parser: The protocol state.
-        received_at: When the bytes that the parser was given last arrived. The current
-            request arrived no later than this, however long it was queued.
+        received_at: When the bytes last passed to the parser arrived. The current
+            request had arrived by then, even if it was queued behind others.
         last: Whether to close the connection after the next answer, unless another
             request has begun to arrive by then.
         final: Whether to close the connection after the next answer in any case.
@@ -292,7 +293,7 @@
         await self.stream.send(head + data + end)
 
     def head(self, status: int, headers: Headers) -> bytes:
-        """Return an answer's head; announce the close if this answer is the last."""
+        """Return the bytes of an answer's head, with "Connection: close" if needed."""
         self.started = True
         self.close_announced = self.final or (self.last and not self.more_received)
         if self.close_announced:
--- a/ebonyhold/forwarding/_calls.py
+++ b/ebonyhold/forwarding/_calls.py
@@ -22,7 +22,7 @@
 """Size limit, in bytes, of the answer to a call.
 
 The changes of a table include every version of a large row: a few hundred routes in
-ten versions make some 2 MB. A reader whose limit is smaller can never read past them.
+ten versions make some 2 MB. With a smaller limit, a reader could never read them.
 """
 
 
@@ -80,8 +80,8 @@
             answer = await self.send_and_read(channel, request, timeout)
             kept = channel.finish(answer.head, anyio.current_time())
         finally:
-            # On a connection with a lost or incomplete answer, that answer could arrive
-            # later and be taken for the answer to the next call.
+            # An answer that was not read to its end could be taken for the answer to
+            # the next call.
             if not kept:
                 await channel.close()
         if kept:
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -52,7 +52,7 @@
 """
 
 MAX_STRAY = 4
-"""Answers to earlier requests that are skipped before a connection is closed."""
+"""Answers to earlier requests that may arrive before the connection is given up."""
 
 
 class ConnectTimeoutError(BackendLostError):
@@ -206,7 +206,7 @@
         raise BackendLostError("the answer ended early")
 
     async def skip_answer(self) -> None:
-        """Skip the answer to an earlier request, and wait for that to the current one.
+        """Skip the answer to an earlier request, so that the next answer can be read.
 
         Raises:
             BackendLostError: The answer ended early, or the connection closed after it.
@@ -217,8 +217,8 @@
         self.parser = h11.Connection(h11.CLIENT)
         if self.request is None or ended:
             raise BackendLostError("the connection ended after a stray answer")
-        # The request was sent already: encoding it again only restores the state of the
-        # new parser, and the bytes are not sent.
+        # This sends nothing, because the request was sent already; it only brings the
+        # new parser into the state after sending.
         self.encode(self.request)
         if rest:
             self.parser.receive_data(rest)
@@ -240,7 +240,7 @@
         return True
 
     def is_quiet(self) -> bool:
-        """Return whether neither side has closed it and no bytes are unread."""
+        """Return whether the connection is open and has no unread bytes."""
         return not (self.inbox.waiting or self.inbox.ended or self.closed)
 
     async def close(self) -> None:
--- a/ebonyhold/forwarding/_choice.py
+++ b/ebonyhold/forwarding/_choice.py
@@ -12,7 +12,8 @@
 from ebonyhold.types import Seconds
 
 NEAR_SLACK = 1
-"""How many more requests a server of the own failure domain may have in flight.
+"""How many more requests a server of the own failure domain may have in flight than one
+of another domain and still be chosen.
 
 A request to another domain costs the delay between domains twice, some 1 to 3 ms, and
 traffic between them. A request queued behind another waits until that one ends.
@@ -20,7 +21,7 @@
 
 
 def rank(key: str, name: str) -> bytes:
-    """Return a server's hash for a key, which is the same at every router."""
+    """Return a server's rendezvous hash for a key; all routers compute the same."""
     return hashlib.blake2b(f"{key}/{name}".encode(), digest_size=8).digest()
 
 
@@ -29,12 +30,10 @@
 ) -> BackendEntry:
     """Return the server that can read a prompt soonest.
 
-    A server first reads the prompts that it was sent before, and then the part of this
-    prompt that is not in its cache. The shared part is assumed to be cached at servers
-    that this router recently sent it to, and at the server that comes first in the
-    rendezvous hashing order of that part: all routers send it there unless that server
-    is busy, without coordinating. A popular prompt is thus cached at few servers, and a
-    request goes to another one when reading the prompt there takes less than waiting.
+    The cost at a server is its load in prompt tokens, plus the shared tokens of this
+    prompt if they are probably not in its cache. They probably are at a server that
+    this router sent them to recently, and at the first server in rendezvous hashing
+    order. All routers have the same order, so few servers read a popular prompt.
     """
     key = sharing_key(request)
     shared = shared_tokens(request)
--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_departure.py
@@ -29,8 +29,8 @@
 
 MIN_SAMPLES = 24
 """Durations needed for an estimate: some 8 s of requests on an ordinary route at one
-router. A router that has just started has fewer, and the first ones to be recorded are
-those of short requests.
+router. A router that has just started has fewer, mostly of short requests, since these
+end first.
 """
 
 SLACK: Seconds = 0.1
@@ -181,10 +181,10 @@
 
     @contextmanager
     def bounded(self, deadline: Seconds) -> Iterator[None]:
-        """Bound a request by its own deadline and by `last_answer_at`.
+        """Cancel a request at its own deadline or at `last_answer_at`.
 
-        A request that outlasts the shutdown is then answered with an error, as at its
-        own deadline, instead of having its connection closed.
+        A request that outlasts the shutdown then gets an error, as at its own deadline,
+        instead of a closed connection.
         """
         cutoff = min(deadline, self.last_answer_at)
         with anyio.CancelScope(deadline=cutoff) as scope:
@@ -247,9 +247,9 @@
     """Return whether a late request is accepted.
 
     A router that is STOPPING accepts every request, because its whole grace period is
-    still left and callers do not know of the stop yet. DEFAULT_ESTIMATE must not cause
-    the refusal of a request that arrived in time and was queued behind others: it is
-    judged by the longest duration recorded on its route instead.
+    still left and callers do not know of the stop yet. A request that arrived in time
+    but was queued behind others is judged by the longest duration recorded on its
+    route: DEFAULT_ESTIMATE alone must not cause its refusal.
     """
     if stage is Stage.STOPPING:
         return True
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -94,7 +94,7 @@
 
     @property
     def charge(self) -> Tokens:
-        """The tokens to charge: prompt and output, or 0 if it cannot have run."""
+        """The tokens to charge: prompt and output so far, or 0 if it never ran."""
         if not self.may_have_run:
             return 0
         output = min(self.events * self.event_tokens, self.caller.most_output)
--- a/ebonyhold/forwarding/_forwarder.py
+++ b/ebonyhold/forwarding/_forwarder.py
@@ -53,7 +53,7 @@
 
 
 class RequestHold(Protocol):
-    """Holds tokens of one workspace's budget for a request."""
+    """Sets aside tokens of one workspace's budget for a request."""
 
     async def hold(self, amount: Tokens, request: RequestId) -> None:
         """Set tokens aside for a request.
@@ -173,7 +173,7 @@
         )
 
     def check_shutdown(self, exchange: Exchange, priced: bool) -> None:
-        """Refuse a request that is unlikely to end before a router that is stopping.
+        """Refuse a request that is unlikely to end before a stopping router exits.
 
         Raises:
             Refused: The request could be cut off. It has not run.
@@ -361,7 +361,7 @@
 
 
 def deadline_of(head: RequestHead, caller: CallerRequest, match: Match) -> Seconds:
-    """Return when a request must be answered: the caller's or the route's limit."""
+    """Return the deadline: the earlier of the caller's time limit and the route's."""
     time_limit = match.route.timeout
     if caller.patience is not None:
         time_limit = min(time_limit, caller.patience)
--- a/ebonyhold/forwarding/_inbox.py
+++ b/ebonyhold/forwarding/_inbox.py
@@ -72,8 +72,8 @@
                 self.ended = True
                 self.broken = True
             self.notify()
-            # After a close no one takes bytes any more, so it must end this wait too;
-            # otherwise this task and its buffer would never be freed.
+            # After a close no one takes bytes any more, so the close must end this wait
+            # too; otherwise this task and its buffer would never be freed.
             while len(self.waiting) > MAX_WAITING and not self.ended:
                 self.taken = anyio.Event()
                 await self.taken.wait()
--- a/ebonyhold/forwarding/_listener.py
+++ b/ebonyhold/forwarding/_listener.py
@@ -256,7 +256,7 @@
         await connection.answer(answer.status, answer.headers, answer.body)
 
     def start_draining(self) -> None:
-        """Close each connection after its next answer, so that callers go elsewhere."""
+        """Close each connection after its next answer, so callers connect elsewhere."""
         self.draining = True
         for connection in self.connections:
             connection.last = True
--- a/ebonyhold/forwarding/_pool.py
+++ b/ebonyhold/forwarding/_pool.py
@@ -32,11 +32,11 @@
 
     Attributes:
         tasks: Starts the tasks that read connections.
-        connected: Called for each new connection attempt that succeeded or timed out,
-            with the server and whether it succeeded.
+        connected: Called with the server's name and whether a new connection was made
+            (True) or timed out (False).
         connect_timeout: Maximum time to wait for a new connection.
         unused: The unused connections of each server, the most recently used one last.
-        opened: Number of connections opened so far.
+        opened: Number of attempts to open a connection so far.
     """
 
     tasks: TaskStarter
@@ -92,10 +92,10 @@
         """Close expired and ended connections periodically; never return."""
         while True:
             await anyio.sleep(SWEEP)
-            # Requests take and return connections while one is being closed here. So
-            # the connections are first removed from the pool without awaiting: a
-            # request could otherwise take one that is about to be closed, and its later
-            # removal would raise an error and end this task.
+            # Requests use the pool while a connection is being closed here. The
+            # connections are therefore removed from the pool first, without awaiting.
+            # Otherwise a request could take one of them, and removing it later would
+            # raise an error and end this task.
             for channel in self.remove_unusable(anyio.current_time()):
                 await channel.close()
 
--- a/ebonyhold/forwarding/_refusals.py
+++ b/ebonyhold/forwarding/_refusals.py
@@ -56,8 +56,8 @@
     # Other routers hold the tokens, and the next attempt reaches another router.
     Refusal.BUDGET_UNREACHABLE: 0.05,
     Refusal.SLOW_REQUEST: 0.1,
-    # The next attempt reaches another router. With 0.8 s, after which neighbours that
-    # stop too might be back, callers are served no better, and later.
+    # The next attempt reaches another router. Waiting 0.8 s, when neighbouring routers
+    # that also stop might be back, served callers no better and delayed their answers.
     Refusal.STOPPING: 0.05,
 }
 """How long callers should wait before they retry, in seconds."""
--- a/ebonyhold/forwarding/_types.py
+++ b/ebonyhold/forwarding/_types.py
@@ -113,8 +113,8 @@
     Attributes:
         head_bytes: Maximum size of a request head.
         body_bytes: Maximum size of a request body.
-        head_timeout: Maximum time from the first byte of a head to its end.
-        idle_timeout: Maximum time without a request on a connection.
+        head_timeout: Maximum time from the first byte of a head to its end, in seconds.
+        idle_timeout: Maximum time without a request on a connection, in seconds.
     """
 
     head_bytes: int = 16_384
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -13,7 +13,7 @@
 from ebonyhold.types import Seconds, Tokens
 
 RESIDENT_WORK = 0.25
-"""Load of each token of a request in flight, in prompt tokens to be read.
+"""Load that each token of a request in flight adds, in equivalent unread prompt tokens.
 
 The token occupies memory until the request ends. A server that runs out of memory
 preempts requests and reads their prompts again.
@@ -68,7 +68,7 @@
 
     @property
     def waiting(self) -> float:
-        """The load that delays a prompt sent now, in prompt tokens to be read."""
+        """The load that a new prompt has to wait for, in prompt tokens to be read."""
         return self.unread + self.resident * RESIDENT_WORK
 
     def has_cached(self, key: str, now: Seconds) -> bool:
@@ -76,7 +76,7 @@
         return now - self.sent.get(key, -CACHED_FOR) < CACHED_FOR
 
     def begin(self, request: CallerRequest, now: Seconds) -> RequestWork:
-        """Add a request's load, and return the object that removes it again."""
+        """Add a request's load; end the returned object to remove it."""
         key = sharing_key(request)
         size = prompt_size(request)
         kept = shared_tokens(request) if key and self.has_cached(key, now) else 0
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -183,7 +183,7 @@
 
 
 def test_remembered_shared_parts_are_limited() -> None:
-    """The number is limited, since each caller may send prompt parts of its own."""
+    """Each caller may send prompt parts of its own, so their number is limited."""
     work = ServerWork()
     for number in range(MAX_KEYS + 50):
         work.begin(
@@ -193,7 +193,7 @@
 
 
 def test_plain_requests_prefer_the_own_failure_domain() -> None:
-    """They go to another failure domain only when the own one is busier."""
+    """Plain requests go to another failure domain only when the own one is busier."""
     servers = entries(0, 0, 0, 0)
     plain = CallerRequest("r")
     assert choose(plain, servers, "a", 0.0).backend.domain == "a"
--- a/tests/forwarding/test_departure.py
+++ b/tests/forwarding/test_departure.py
@@ -46,9 +46,9 @@
 ) -> None:
     """Guards against accepting streams that cannot end before the shutdown does.
 
-    Streams were accepted 3.2 to 4.1 s after the signal and cut at 7.1 s. The longest of
-    the last 64 durations was used as an upper bound, which it is not; after a restart
-    it was the longest of two.
+    Streams were accepted 3.2 to 4.1 s after the signal and cut at 7.1 s. The estimate
+    was the longest of the last 64 durations, which a stream can exceed; after a
+    restart, it was the longest of only two.
     """
     late = LateRequest("r", "stream", priced, left, estimate)
     assert accepts_late(stage, late) is taken
@@ -143,7 +143,7 @@
 
 
 def test_recorded_routes_are_limited() -> None:
-    """A router runs for months, and each configuration may name new routes."""
+    """Each configuration may name new routes, and memory must not grow for months."""
     times = RouteTimes()
     for number in range(3_000):
         times.record(f"route-{number}", 0.1)
--- a/tests/forwarding/test_faults.py
+++ b/tests/forwarding/test_faults.py
@@ -108,7 +108,10 @@
 
 
 async def test_a_reader_does_not_wait_for_a_reading_task_that_failed() -> None:
-    """Otherwise its request would hang until the deadline on a dead connection."""
+    """A failed reading task wakes its reader.
+
+    Otherwise the reader's request would hang until its deadline.
+    """
     inbox = Inbox(FailingStream())  # type: ignore[arg-type]
     with pytest.raises(RuntimeError, match="odd"):
         await inbox.fill()
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -142,10 +142,10 @@
 
 
 async def test_moved_server_is_reached_at_its_new_address() -> None:
-    """A server's address changes while a request to it is in progress.
+    """Guards against sending a request to a server's former address.
 
-    The connection was pooled under the server's name, and the next request was sent to
-    the old address, which may now belong to an engine of another service.
+    A connection was pooled under the server's name while its address changed. The next
+    request used it, although the address may belong to an engine of another service.
     """
     async with anyio.create_task_group() as tasks:
         pool = ChannelPool(tasks)
@@ -166,10 +166,10 @@
 
 
 async def test_close_ends_a_reader_with_a_full_buffer() -> None:
-    """A request is abandoned while its server sends more than the buffer holds.
+    """Guards against a reading task that never ends.
 
-    The task that reads the connection waited forever for its buffer to be read, so each
-    such request leaked a quarter of a megabyte.
+    A request was abandoned while its server sent more than the buffer holds. The task
+    waited forever for the buffer to be read, and leaked a quarter of a megabyte.
     """
 
     async def send_forever(stream: SocketStream) -> None:
@@ -208,10 +208,11 @@
 
 @pytest.mark.parametrize("after", ["another life", "gone", "the same life"])
 async def test_failure_counts_only_against_its_incarnation(after: str) -> None:
-    """A server restarts or is removed while a request still connects to it.
+    """Guards against counting a failed connection against another incarnation.
 
-    The failed connection counted against the new incarnation, which was healthy, or
-    left a failure record of the removed server, which was never deleted.
+    A server restarts or is removed while a request still connects to it. The failure
+    ejected the healthy new incarnation, or left a record of the removed server that was
+    never deleted.
     """
     table = BackendTable()
     old = Server("i-1", good).backend()
