--- a/ebonyhold/gateway/__init__.py
+++ b/ebonyhold/gateway/__init__.py
@@ -1,9 +1,8 @@
-"""A gateway: the daemon that forwards opaque requests on the users' platform."""
+"""The gateway process, which forwards callers' requests to backend servers."""
 
 from ebonyhold.gateway._explain import explain
 from ebonyhold.gateway._gateway import Gateway
-from ebonyhold.gateway._holds import GatewayHolders, PeerDesk
-from ebonyhold.gateway._knowledge import Knowledge
+from ebonyhold.gateway._holds import GatewayHolders, PeerHandler
 from ebonyhold.gateway._listening import ListenError, listen
 from ebonyhold.gateway._losses import find_losses
 from ebonyhold.gateway._losses import report as report_losses
@@ -15,20 +14,21 @@
 )
 from ebonyhold.gateway._presence import Presence
 from ebonyhold.gateway._renewals import Renewals
-from ebonyhold.gateway._signals import hold_signals
+from ebonyhold.gateway._routing_state import RoutingState
+from ebonyhold.gateway._signals import block_signals
 from ebonyhold.gateway._stop import GatewayStop, StopTimes
 from ebonyhold.gateway._supervision import (
     EXIT_FAULT,
+    EXIT_OK,
     EXIT_PORT,
-    EXIT_SOUND,
-    RULES,
-    Act,
+    TASK_RULES,
+    Action,
     GuardedTasks,
     Policy,
-    Rule,
     Supervisor,
+    TaskRule,
 )
-from ebonyhold.gateway._transfers import GatewayPeers, TransferDesk
+from ebonyhold.gateway._transfers import GatewayPeers, TransferHandler
 from ebonyhold.gateway._types import (
     Changes,
     GatewaySettings,
@@ -41,11 +41,11 @@
 
 __all__ = [
     "EXIT_FAULT",
+    "EXIT_OK",
     "EXIT_PORT",
-    "EXIT_SOUND",
-    "RULES",
     "STANDARD_OUTPUT",
-    "Act",
+    "TASK_RULES",
+    "Action",
     "BoundedOutput",
     "Changes",
     "Gateway",
@@ -55,25 +55,25 @@
     "GatewayStop",
     "GatewayStore",
     "GuardedTasks",
-    "Knowledge",
     "ListenError",
-    "PeerDesk",
+    "PeerHandler",
     "Peers",
     "Policy",
     "Presence",
     "RateLimit",
     "RawRow",
     "Renewals",
-    "Rule",
+    "RoutingState",
     "Snapshot",
     "StopTimes",
     "Supervisor",
-    "TransferDesk",
+    "TaskRule",
+    "TransferHandler",
     "Watcher",
+    "block_signals",
     "configure_output",
     "explain",
     "find_losses",
-    "hold_signals",
     "listen",
     "report_losses",
 ]
--- a/ebonyhold/gateway/__main__.py
+++ b/ebonyhold/gateway/__main__.py
@@ -6,8 +6,8 @@
 import sys
 import time
 
-# Before all other imports: they take most of a start, and a successor must not count
-# that time to its predecessor.
+# Read before the slow imports, which take most of the start. The time since then is not
+# counted as time in which the previous incarnation may still have run.
 BEGAN_AT = time.monotonic()
 
 import anyio  # noqa: E402
@@ -16,8 +16,8 @@
 from ebonyhold.gateway import (  # noqa: E402
     STANDARD_OUTPUT,
     Gateway,
+    block_signals,
     configure_output,
-    hold_signals,
 )
 from ebonyhold.platform import platform_peers  # noqa: E402
 
@@ -26,7 +26,7 @@
 
 def main() -> None:
     """Run one gateway until a signal stops it."""
-    hold_signals()
+    block_signals()
     try:
         peers = platform_peers()
     except SettingsError as error:
--- a/ebonyhold/gateway/_explain.py
+++ b/ebonyhold/gateway/_explain.py
@@ -1,4 +1,4 @@
-"""Puts the log lines of one request into a story, with what the router believed."""
+"""Collects the log lines that explain how one request was handled."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ebonyhold.gateway._loglines import LogLine, read_line
 
-BELIEFS = frozenset(
+CONTEXT_MESSAGES = frozenset(
     {
         "configuration in force",
         "configuration rejected",
@@ -30,42 +30,46 @@
         "stopping",
     }
 )
-"""Lines about what a router believes, which may explain what it decided."""
+"""Messages that record a change of a router's state: configuration, grants, servers."""
 
-LATEST = 12
-"""Lines about beliefs that are shown before a request's first line."""
+MAX_CONTEXT_LINES = 12
+"""Maximum number of state lines that are shown with the request's own lines."""
 
 
-def relevant(line: LogLine, workspaces: set[str]) -> bool:
-    """Tell whether a belief may have to do with a request of these workspaces."""
-    if line.message not in BELIEFS:
+def is_context(line: LogLine, workspaces: set[str]) -> bool:
+    """Return whether a line records a state that can affect these workspaces."""
+    if line.message not in CONTEXT_MESSAGES:
         return False
     workspace = line.fields.get("workspace")
     return workspace is None or workspace in workspaces
 
 
 def explain(request: str, lines: Iterable[str]) -> list[str]:
-    """Return the story of a request, in order.
+    """Return the log lines that explain one request, in order of time.
 
     Args:
         request: The request's identifier.
         lines: The logs of all routers, as written.
 
     Returns:
-        The last lines about beliefs of each router that met the request, then
-        the lines of the request itself.
+        The last state lines of the routers that handled the request, together with the
+        request's own lines.
     """
     read = [found for found in map(read_line, lines) if found is not None]
-    own = [line for line, name in read if name == request]
-    if not own:
+    request_lines = [line for line, name in read if name == request]
+    if not request_lines:
         return []
-    routers = {line.router for line in own}
-    workspaces = {str(line.fields.get("workspace", "")) for line in own}
-    until = max(line.time for line in own)
-    beliefs = [
+    routers = {line.router for line in request_lines}
+    workspaces = {str(line.fields.get("workspace", "")) for line in request_lines}
+    last_time = max(line.time for line in request_lines)
+    context = [
         line
         for line, _ in read
-        if line.router in routers and line.time <= until and relevant(line, workspaces)
+        if line.router in routers
+        and line.time <= last_time
+        and is_context(line, workspaces)
     ]
-    story = sorted([*beliefs[-LATEST:], *own], key=lambda line: line.time)
-    return [line.text for line in story]
+    selected = sorted(
+        [*context[-MAX_CONTEXT_LINES:], *request_lines], key=lambda line: line.time
+    )
+    return [line.text for line in selected]
--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: its tasks, its start and its end."""
+"""The gateway process: starts its tasks and listeners, and stops them."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
     RequestHead,
     Ruleset,
 )
-from ebonyhold.gateway._holds import GatewayHolders, PeerDesk
-from ebonyhold.gateway._knowledge import Knowledge
+from ebonyhold.gateway._holds import GatewayHolders, PeerHandler
 from ebonyhold.gateway._listening import listen
 from ebonyhold.gateway._meters import GatewayMeters
 from ebonyhold.gateway._presence import Presence
-from ebonyhold.gateway._pressure import Pressure
+from ebonyhold.gateway._pressure import PressureMonitor
 from ebonyhold.gateway._renewals import Renewals
+from ebonyhold.gateway._routing_state import RoutingState
 from ebonyhold.gateway._signals import watched_signals
 from ebonyhold.gateway._stop import GatewayStop
 from ebonyhold.gateway._supervision import GuardedTasks, Supervisor
 from ebonyhold.gateway._transfers import (
     PEER_LIMITS,
     GatewayPeers,
-    TransferDesk,
+    TransferHandler,
 )
 from ebonyhold.gateway._types import Peers
 from ebonyhold.gateway._watcher import Watcher
@@ -46,71 +46,71 @@
 log = logging.getLogger(__name__)
 
 METRICS_PORT = 9464
-"""The port that exporters of the exposition format commonly use."""
+"""The port that Prometheus exporters commonly use."""
 
-LAST_SETTLEMENTS: Seconds = 0.05
-"""How long a process that ends tells holders what its last requests cost."""
+FINAL_SETTLEMENT_TIMEOUT: Seconds = 0.05
+"""Time for reporting the cost of the last requests to their holders at the stop."""
 
-EXPIRY_TICK: Seconds = 0.25
-"""How often servers whose grace is over are looked for."""
+EXPIRY_INTERVAL: Seconds = 0.25
+"""Interval between two checks for servers whose grace period is over."""
 
 
 @define(eq=False)
 class Gateway:
-    """Serves callers from what the store says.
+    """Forwards callers' requests by the configuration and server list in the store.
 
     Attributes:
-        peers: What it talks to.
-        began_at: When the process began, by the monotonic clock.
-        incarnation: This life of the process.
-        departure: What requests are judged by once it has been told to stop.
-        draining: Whether it has been told to stop.
+        platform: Settings, store and decoders of the platform.
+        began_at: Start of the process, by the monotonic clock.
+        incarnation: Identifier of this run of the process.
+        departure: Decides which requests are accepted while the process stops.
+        draining: Whether the stop has begun.
     """
 
-    peers: Peers
+    platform: Peers
     began_at: Seconds
     incarnation: str = field(init=False)
-    knowledge: Knowledge = field(init=False)
+    routing: RoutingState = field(init=False)
     presence: Presence = field(init=False)
-    neighbours: GatewayPeers = field(init=False)
+    peers: GatewayPeers = field(init=False)
     holders: GatewayHolders = field(init=False)
     renewals: Renewals = field(init=False)
     treasury: Treasury = field(init=False)
     rules_watcher: Watcher = field(init=False)
     servers_watcher: Watcher = field(init=False)
     listener: CallerListener = field(init=False)
-    pressure: Pressure = field(init=False)
+    pressure: PressureMonitor = field(init=False)
     departure: Departure = field(init=False)
-    meters: GatewayMeters = field(factory=GatewayMeters)
+    metrics: GatewayMeters = field(factory=GatewayMeters)
     pool: ChannelPool | None = None
     draining: bool = False
 
     def __attrs_post_init__(self) -> None:
-        peers = self.peers
-        store = peers.store
-        self.incarnation = new_incarnation(peers.settings.name)
-        self.knowledge = Knowledge(peers)
-        self.departure = Departure(judged=self.meters.late)
-        name = peers.settings.name
-        port = peers.settings.peers_port
-        own_address = f"{peers.settings.host}:{port}" if port else ""
-        table = HolderTable(name, peers.settings.domain)
+        platform = self.platform
+        store = platform.store
+        self.incarnation = new_incarnation(platform.settings.name)
+        self.routing = RoutingState(platform)
+        self.departure = Departure(judged=self.metrics.count_late)
+        name = platform.settings.name
+        port = platform.settings.peers_port
+        own_address = f"{platform.settings.host}:{port}" if port else ""
+        table = HolderTable(name, platform.settings.domain)
         self.presence = Presence(
             store,
             name,
             self.incarnation,
             own_address,
-            peers.settings.domain,
+            platform.settings.domain,
             table.update,
         )
-        self.neighbours = GatewayPeers(
-            self.presence.others, holders=lambda name: table.holders(name).names
+        self.peers = GatewayPeers(
+            self.presence.peer_addresses, holders=lambda name: table.holders(name).names
         )
-        self.holders = GatewayHolders(self.neighbours, self.meters.held)
+        self.holders = GatewayHolders(self.peers, self.metrics.count_hold)
         self.renewals = Renewals(
             store,
             name,
-            peers.settings.host,
+            platform.settings.host,
             self.incarnation,
             lambda: self.treasury.wanted_limits(),
             self.began_at,
@@ -118,29 +118,29 @@
         self.treasury = Treasury(
             self.incarnation,
             store,
-            self.knowledge.prepaid,
-            self.knowledge.workspaces,
+            self.routing.prepaid,
+            self.routing.workspaces,
             self.presence.count,
             self.renewals.limits,
             self.renewals.renew_now,
             self.renewals.in_touch,
-            self.neighbours,
+            self.peers,
             self.holders,
             table,
             lambda: self.presence.settled,
         )
         self.rules_watcher = Watcher(
             store,
-            peers.rules_table,
-            self.knowledge.take_rules,
-            self.knowledge.take_rules,
+            platform.rules_table,
+            self.routing.apply_rules,
+            self.routing.apply_rules,
             self.presence.count,
         )
         self.servers_watcher = Watcher(
             store,
-            peers.servers_table,
-            self.knowledge.replace_servers,
-            self.knowledge.change_servers,
+            platform.servers_table,
+            self.routing.replace_servers,
+            self.routing.update_servers,
             self.presence.count,
         )
 
@@ -150,75 +150,75 @@
         Returns:
             The exit status.
         """
-        settings = self.peers.settings
+        settings = self.platform.settings
         log.info("starting", extra={"vm": settings.name, "domain": settings.domain})
         async with anyio.create_task_group() as tasks:
-            keep = self.supervise(tasks)
-            self.peers.store.start(GuardedTasks(keep, "server connection"))
-            self.neighbours.tasks = GuardedTasks(keep, "server connection")
-            keep.start("signals", self.await_signals, keep.stop)
-            keep.start("rules", self.rules_watcher.run)
-            keep.start("servers", self.servers_watcher.run)
-            keep.start("renewals", self.renewals.run)
-            keep.start("presence", self.presence.run)
-            keep.start("treasury", self.treasury.run)
-            keep.start("settlements", self.holders.run)
-            keep.start("expiry", self.expire_servers)
-            keep.start("reclaim", self.reclaim)
-            self.start_listeners(tasks, keep)
-        log.info("stopped", extra={"vm": settings.name, "status": keep.status})
-        return keep.status
+            supervisor = self.supervise(tasks)
+            self.platform.store.start(GuardedTasks(supervisor, "server connection"))
+            self.peers.tasks = GuardedTasks(supervisor, "server connection")
+            supervisor.start("signals", self.handle_signals, supervisor.stop)
+            supervisor.start("rules", self.rules_watcher.run)
+            supervisor.start("servers", self.servers_watcher.run)
+            supervisor.start("renewals", self.renewals.run)
+            supervisor.start("presence", self.presence.run)
+            supervisor.start("treasury", self.treasury.run)
+            supervisor.start("settlements", self.holders.run)
+            supervisor.start("expiry", self.expire_servers)
+            supervisor.start("reclaim", self.reclaim)
+            self.start_listeners(tasks, supervisor)
+        log.info("stopped", extra={"vm": settings.name, "status": supervisor.status})
+        return supervisor.status
 
     def supervise(self, tasks: TaskGroup) -> Supervisor:
-        """Return what runs this process's tasks, and stops it if it must."""
+        """Return the supervisor of this process's tasks."""
 
         def stop() -> None:
-            keep.start("stop", self.stop, tasks)
+            supervisor.start("stop", self.stop, tasks)
 
-        keep = Supervisor(tasks, self.meters.task_failed, stop)
-        self.treasury.guard = partial(keep.guard, "return")
-        return keep
+        supervisor = Supervisor(tasks, self.metrics.count_task_failure, stop)
+        self.treasury.guard = partial(supervisor.guard, "return")
+        return supervisor
 
-    def start_listeners(self, tasks: TaskGroup, keep: Supervisor) -> None:
-        """Listen for callers, and for questions of the platform."""
-        settings = self.peers.settings
-        self.pool = ChannelPool(GuardedTasks(keep, "server connection"))
+    def start_listeners(self, tasks: TaskGroup, supervisor: Supervisor) -> None:
+        """Listen for callers, readiness checks, metrics scrapes and other gateways."""
+        settings = self.platform.settings
+        self.pool = ChannelPool(GuardedTasks(supervisor, "server connection"))
         forwarder = Forwarder(
             domain=settings.domain,
-            dialect=self.peers.dialect,
-            backends=self.knowledge.backends,
+            dialect=self.platform.dialect,
+            backends=self.routing.backends,
             pool=self.pool,
             retries=FleetRetries(settings.retry_rules, self.presence.count),
             rules=self.current_rules,
             purse=self.treasury.purse,
-            ended=self.meters.ended,
+            ended=self.metrics.count_request,
             ages=self.ages,
             departure=self.departure,
         )
-        guard = partial(keep.guard, "caller connection")
+        guard = partial(supervisor.guard, "caller connection")
         self.listener = CallerListener(
-            forwarder.serve, self.knowledge.limits, guard, forwarder.identify
+            forwarder.serve, self.routing.limits, guard, forwarder.identify
         )
-        self.pressure = Pressure(self.listener.shed)
-        self.pool.connected = self.pressure.connected
-        keep.start("pressure", self.pressure.run)
-        readiness = CallerListener(self.tell_readiness, CallerLimits, guard)
-        metrics = CallerListener(self.tell_metrics, CallerLimits, guard)
+        self.pressure = PressureMonitor(self.listener.shed)
+        self.pool.connected = self.pressure.record_connect
+        supervisor.start("pressure", self.pressure.run)
+        readiness = CallerListener(self.answer_readiness, CallerLimits, guard)
+        metrics = CallerListener(self.answer_metrics, CallerLimits, guard)
         metrics_address = (settings.host, METRICS_PORT)
-        keep.start("sweep", self.pool.sweep)
-        keep.start("callers", listen, self.listener, settings.callers, tasks)
-        keep.start("readiness", listen, readiness, settings.readiness, tasks)
-        keep.start("metrics", listen, metrics, metrics_address, tasks)
+        supervisor.start("sweep", self.pool.sweep)
+        supervisor.start("callers", listen, self.listener, settings.callers, tasks)
+        supervisor.start("readiness", listen, readiness, settings.readiness, tasks)
+        supervisor.start("metrics", listen, metrics, metrics_address, tasks)
         if settings.peers_port:
-            lent = LentHolds(self.treasury.account, lambda: self.draining)
-            desk = PeerDesk(TransferDesk(self.treasury.account), lent)
-            questions = CallerListener(desk.serve, lambda: PEER_LIMITS, guard)
+            remote_holds = LentHolds(self.treasury.account, lambda: self.draining)
+            handler = PeerHandler(TransferHandler(self.treasury.account), remote_holds)
+            peer_listener = CallerListener(handler.serve, lambda: PEER_LIMITS, guard)
             address = (settings.host, settings.peers_port)
-            keep.start("transfers", listen, questions, address, tasks)
-            keep.start("lent holds", desk.expire)
+            supervisor.start("transfers", listen, peer_listener, address, tasks)
+            supervisor.start("lent holds", handler.expire)
 
     def ages(self) -> dict[str, Seconds]:
-        """Return how old what is believed of the rules and the servers is."""
+        """Return the time since the rules and the servers were last read, rounded."""
         now = anyio.current_time()
         return {
             "rules_age": round(self.rules_watcher.age(now), 2),
@@ -226,90 +226,90 @@
         }
 
     def current_rules(self) -> Ruleset | None:
-        """Return the rules in force, once the servers are known too."""
-        return self.knowledge.rules if self.servers_watcher.first.is_set() else None
+        """Return the rules in force; None until rules and servers have been read."""
+        return self.routing.rules if self.servers_watcher.first_read.is_set() else None
 
     @property
     def ready(self) -> bool:
-        """Whether new callers should be sent here."""
+        """Whether the load balancer should send new callers to this router."""
         known = self.current_rules() is not None
         return known and not self.draining and not self.pressure.high
 
-    async def tell_readiness(
+    async def answer_readiness(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer whether new callers should be sent here."""
+        """Answer a readiness check with 200 or 503."""
         del head, body
         await connection.answer(200 if self.ready else 503, [], b"")
 
-    async def tell_metrics(
+    async def answer_metrics(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer with the metrics."""
+        """Answer a scrape with the metrics."""
         del head, body
-        self.measure()
+        self.update_gauges()
         content = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-        await connection.answer(200, [content], self.meters.render())
+        await connection.answer(200, [content], self.metrics.render())
 
-    def measure(self) -> None:
-        """Bring the gauges up to date."""
-        rules = self.knowledge.rules
-        self.meters.rules_version.set(rules.version if rules else 0)
+    def update_gauges(self) -> None:
+        """Set the gauges to their current values."""
+        rules = self.routing.rules
+        self.metrics.rules_version.set(rules.version if rules else 0)
         now = anyio.current_time()
         for watcher in (self.rules_watcher, self.servers_watcher):
-            self.meters.store_age.labels(watcher.table).set(watcher.age(now))
-        self.meters.servers.clear()
-        for entry in self.knowledge.backends.entries.values():
+            self.metrics.store_age.labels(watcher.table).set(watcher.age(now))
+        self.metrics.servers.clear()
+        for entry in self.routing.backends.entries.values():
             backend = entry.backend
-            self.meters.servers.labels(backend.service, backend.state.value).inc()
+            self.metrics.servers.labels(backend.service, backend.state.value).inc()
         for account in self.treasury.accounts.values():
             ledger = account.grant.ledger
             name = account.workspace
-            self.meters.tokens.labels(name, "available").set(ledger.available)
-            self.meters.tokens.labels(name, "held").set(ledger.held)
-            self.meters.tokens.labels(name, "unfiled").set(ledger.unfiled)
-            self.meters.tokens.labels(name, "charged").set(account.grant.charged)
-        self.meters.loop_delay.set(self.pressure.gauge.mean)
+            self.metrics.tokens.labels(name, "available").set(ledger.available)
+            self.metrics.tokens.labels(name, "held").set(ledger.held)
+            self.metrics.tokens.labels(name, "unfiled").set(ledger.unfiled)
+            self.metrics.tokens.labels(name, "charged").set(account.grant.charged)
+        self.metrics.loop_delay.set(self.pressure.detector.mean_delay)
         if self.pool is not None:
-            self.meters.connections.set(self.pool.opened)
+            self.metrics.connections.set(self.pool.opened)
 
     async def reclaim(self) -> None:
-        """Return what the lives before this one left of their grants."""
+        """Reclaim the grants that earlier incarnations left behind."""
         await self.renewals.started.wait()
         for predecessor in self.renewals.unreclaimed:
             if await self.treasury.reclaim(predecessor):
                 self.renewals.reclaimed(predecessor.router)
 
     async def expire_servers(self) -> None:
-        """Drop servers that did not come back after an outage, for ever."""
+        """Drop servers that did not come back after an outage, until cancelled."""
         while True:
-            await anyio.sleep(EXPIRY_TICK)
-            self.knowledge.backends.expire(anyio.current_time())
+            await anyio.sleep(EXPIRY_INTERVAL)
+            self.routing.backends.expire(anyio.current_time())
 
-    async def await_signals(self, stop: Callable[[], None]) -> None:
-        """Act on signals, for ever; those that end processes begin the stop."""
+    async def handle_signals(self, stop: Callable[[], None]) -> None:
+        """Handle signals until cancelled; SIGTERM and SIGINT begin the stop."""
         with watched_signals() as signals:
             async for number in signals:
                 if number is signal.SIGHUP:
-                    # The listeners keep their addresses for the process's life, and
-                    # all else that can change comes from the store.
-                    log.info("reload asked for; nothing here is read again")
+                    # The listeners keep their addresses until the process ends, and all
+                    # other configuration comes from the store.
+                    log.info("SIGHUP ignored; settings are read only at the start")
                     continue
                 log.info("stopping", extra={"signal": number.name})
                 stop()
 
     async def stop(self, tasks: TaskGroup) -> None:
-        """End without cutting a request, as far as the grace allows."""
+        """Stop without cutting a request, as far as the grace period allows."""
         if self.draining:
             return
         self.draining = True
         stop = GatewayStop(self.listener, self.departure, self.treasury, self.leave)
-        await stop.run(self.peers.settings.grace)
-        with anyio.move_on_after(LAST_SETTLEMENTS):
-            await self.holders.tell_all()
+        await stop.run(self.platform.settings.grace)
+        with anyio.move_on_after(FINAL_SETTLEMENT_TIMEOUT):
+            await self.holders.send_all()
         tasks.cancel_scope.cancel()
 
     async def leave(self) -> None:
-        """Remove this router's rows."""
+        """Remove this router's rows from the store."""
         await self.renewals.leave()
         await self.presence.leave()
--- a/ebonyhold/gateway/_holds.py
+++ b/ebonyhold/gateway/_holds.py
@@ -1,8 +1,8 @@
-"""Holds of tokens at other gateways: the side that asks, and the one that answers.
+"""Holds of tokens at other gateways: the client side and the server side.
 
-A hold is a POST to `HOLDS` with a `WantedHold` as JSON, answered with a `HoldAnswer`.
-What ended holds cost goes to their holder in a POST to `SETTLEMENTS`, and again until
-the holder has answered.
+A hold is requested by a POST to `HOLDS_TARGET` with a `WantedHold` as JSON and answered
+with a `HoldAnswer`. The cost of ended holds is sent to their holder by a POST to
+`SETTLEMENTS_TARGET`, which is repeated until the holder has confirmed it.
 """
 
 from __future__ import annotations
@@ -18,64 +18,69 @@
 from ebonyhold.exceptions import MalformedMessageError
 from ebonyhold.forwarding import CallerConnection, RequestHead
 from ebonyhold.gateway._messages import read_message
-from ebonyhold.gateway._transfers import ANSWER, JSON, GatewayPeers, TransferDesk
+from ebonyhold.gateway._transfers import (
+    ANSWER_HEADERS,
+    JSON_HEADERS,
+    GatewayPeers,
+    TransferHandler,
+)
 from ebonyhold.prepaid import HoldOutcome, LentHolds, WantedHold
 from ebonyhold.types import HoldId, Seconds, Tokens
 
 log = logging.getLogger(__name__)
 
-HOLDS = b"/holds"
+HOLDS_TARGET = b"/holds"
 
-SETTLEMENTS = b"/settlements"
+SETTLEMENTS_TARGET = b"/settlements"
 
 HOLD_TIMEOUT: Seconds = 0.4
-"""The longest wait for a hold, for which the holder may have to ask the store."""
+"""Timeout of a hold request; the holder may have to call the store for it."""
 
 SETTLEMENT_TIMEOUT: Seconds = 0.4
-"""The longest wait for a holder to confirm settlements."""
+"""Timeout of a settlement message."""
 
-GATHER: Seconds = 0.1
-"""How long settlements are gathered into one message.
+BATCH_DELAY: Seconds = 0.1
+"""Time for which settlements are collected into one message.
 
-Until then a request's tokens are held at the most that it could have cost.
+Until a settlement arrives, the holder keeps the request's maximum cost on hold.
 """
 
-GIVEN_UP_AFTER: Seconds = 20.0
-"""How long a settlement is sent to a holder that does not answer.
+SETTLEMENT_EXPIRY: Seconds = 20.0
+"""Time after which an unconfirmed settlement is dropped.
 
-One that was killed has lost its holds, and one that is cut off for longer charges
+A holder that was killed has lost its holds, and one that is cut off for longer charges
 them in full.
 """
 
-RETRY: Seconds = 0.5
-"""Before settlements are sent again that a holder did not confirm."""
+RETRY_DELAY: Seconds = 0.5
+"""Delay before unconfirmed settlements are sent again."""
 
-EXPIRY_TICK: Seconds = 1.0
-"""How often holds that nobody settled are looked for."""
+EXPIRY_INTERVAL: Seconds = 1.0
+"""Interval between two checks for remote holds that were never settled."""
 
 
 @frozen
 class HoldAnswer:
-    """What a holder did about a hold."""
+    """A holder's answer to a hold request."""
 
     outcome: HoldOutcome
 
 
 @frozen
 class Settlements:
-    """What holds have cost, by their identifiers."""
+    """The cost of ended holds, by hold identifier."""
 
     charges: dict[HoldId, Tokens] = field(factory=dict)
 
 
 @frozen
 class Settled:
-    """A holder has taken settlements."""
+    """A holder's confirmation of settlements."""
 
 
 @frozen
-class Unsettled:
-    """A charge that a holder has not confirmed."""
+class PendingSettlement:
+    """The charge of an ended hold that its holder has not confirmed."""
 
     charge: Tokens
     since: Seconds
@@ -83,146 +88,146 @@
 
 @define(eq=False)
 class GatewayHolders:
-    """The holders at other gateways, as requests ask them for tokens.
+    """Client for holds at other gateways.
 
     Attributes:
-        peers: The way to the other gateways.
-        count: Is told of each answer.
-        unsettled: What each holder has to be told.
-        due: Set when there is something to tell.
+        peers: Sends messages to the other gateways.
+        count: Called with the outcome of each hold request.
+        pending: Unconfirmed settlements, by holder.
+        due: Set when there are settlements to send.
     """
 
     peers: GatewayPeers
     count: Callable[[HoldOutcome], None] = lambda outcome: None
-    unsettled: dict[str, dict[HoldId, Unsettled]] = field(factory=dict)
+    pending: dict[str, dict[HoldId, PendingSettlement]] = field(factory=dict)
     due: anyio.Event = field(factory=anyio.Event)
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Have a holder set tokens aside; without an answer it is unavailable."""
-        outcome = await self.ask(peer, wanted)
+        """Request a hold; the outcome is UNAVAILABLE if the holder does not answer."""
+        outcome = await self.request_hold(peer, wanted)
         self.count(outcome)
         return outcome
 
-    async def ask(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Ask a holder, unless it was silent just now."""
-        if not self.peers.is_able(peer, anyio.current_time()):
+    async def request_hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
+        """Request a hold from a holder unless it recently failed to answer."""
+        if not self.peers.is_available(peer, anyio.current_time()):
             return HoldOutcome.UNAVAILABLE
         answered = False
         try:
             answer = await self.peers.post(
-                peer, HOLDS, wanted, HoldAnswer, HOLD_TIMEOUT
+                peer, HOLDS_TARGET, wanted, HoldAnswer, HOLD_TIMEOUT
             )
             answered = answer is not None
         finally:
             if not answered:
-                # The question may arrive yet, and nobody would use its tokens.
+                # The request may still arrive; this settlement releases its hold.
                 self.settle(peer, wanted.hold, 0)
         return answer.outcome if answer is not None else HoldOutcome.UNAVAILABLE
 
     def settle(self, peer: str, hold: HoldId, charge: Tokens) -> None:
-        """Have a holder told soon what a hold cost, again until it has heard it."""
-        waiting = self.unsettled.setdefault(peer, {})
-        waiting[hold] = Unsettled(charge, anyio.current_time())
+        """Queue a settlement, which is sent until the holder has confirmed it."""
+        pending = self.pending.setdefault(peer, {})
+        pending[hold] = PendingSettlement(charge, anyio.current_time())
         self.due.set()
 
     async def run(self) -> None:
-        """Tell holders what their holds cost, for ever."""
+        """Send settlements to their holders until cancelled."""
         while True:
             await self.due.wait()
-            await anyio.sleep(GATHER)
+            await anyio.sleep(BATCH_DELAY)
             self.due = anyio.Event()
-            await self.tell_all()
-            if self.unsettled:
+            await self.send_all()
+            if self.pending:
                 self.due.set()
-                await anyio.sleep(RETRY)
+                await anyio.sleep(RETRY_DELAY)
 
-    async def tell_all(self) -> None:
-        """Tell each holder once what it has not confirmed."""
+    async def send_all(self) -> None:
+        """Send each holder its unconfirmed settlements once."""
         async with anyio.create_task_group() as tasks:
-            for peer in list(self.unsettled):
-                tasks.start_soon(self.tell, peer)
+            for peer in list(self.pending):
+                tasks.start_soon(self.send_pending, peer)
 
-    async def tell(self, peer: str) -> None:
-        """Tell one holder what it has not confirmed, unless it was silent just now."""
+    async def send_pending(self, peer: str) -> None:
+        """Send one holder its unconfirmed settlements unless it is being avoided."""
         now = anyio.current_time()
-        sent = self.drop_old(peer, now)
-        if not sent or not self.peers.is_able(peer, now):
+        sent = self.drop_expired(peer, now)
+        if not sent or not self.peers.is_available(peer, now):
             return
         charges = {hold: one.charge for hold, one in sent.items()}
         answer = await self.peers.post(
-            peer, SETTLEMENTS, Settlements(charges), Settled, SETTLEMENT_TIMEOUT
+            peer, SETTLEMENTS_TARGET, Settlements(charges), Settled, SETTLEMENT_TIMEOUT
         )
         if answer is None:
             return
-        waiting = self.unsettled.get(peer, {})
+        pending = self.pending.get(peer, {})
         for hold in sent:
-            waiting.pop(hold, None)
-        if not waiting:
-            self.unsettled.pop(peer, None)
-
-    def drop_old(self, peer: str, now: Seconds) -> dict[HoldId, Unsettled]:
-        """Give up what a holder was told in vain for long; return the rest."""
-        # Another task may just have told this holder all there was.
-        waiting = self.unsettled.get(peer, {})
+            pending.pop(hold, None)
+        if not pending:
+            self.pending.pop(peer, None)
+
+    def drop_expired(self, peer: str, now: Seconds) -> dict[HoldId, PendingSettlement]:
+        """Drop the expired settlements of a holder; return the others."""
+        # A concurrent call may have sent all settlements of this holder already.
+        pending = self.pending.get(peer, {})
         kept = {
             hold: one
-            for hold, one in waiting.items()
-            if now - one.since < GIVEN_UP_AFTER
+            for hold, one in pending.items()
+            if now - one.since < SETTLEMENT_EXPIRY
         }
-        if len(kept) < len(waiting):
-            lost = len(waiting) - len(kept)
-            log.warning("settlements given up", extra={"peer": peer, "holds": lost})
+        if len(kept) < len(pending):
+            lost = len(pending) - len(kept)
+            log.warning("settlements dropped", extra={"peer": peer, "holds": lost})
         if kept:
-            self.unsettled[peer] = kept
+            self.pending[peer] = kept
         else:
-            self.unsettled.pop(peer, None)
+            self.pending.pop(peer, None)
         return dict(kept)
 
 
 @define(eq=False)
-class PeerDesk:
-    """Answers the other gateways.
+class PeerHandler:
+    """Serves requests of other gateways.
 
     Attributes:
-        transfers: Passes tokens on.
-        lent: Holds tokens for their requests.
+        transfers: Serves transfers of tokens.
+        remote_holds: Holds tokens for requests of other gateways.
     """
 
-    transfers: TransferDesk
-    lent: LentHolds
+    transfers: TransferHandler
+    remote_holds: LentHolds
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer one message, by its target."""
+        """Serve one message, chosen by its target."""
         answer: HoldAnswer | Settled
         try:
-            if head.target == HOLDS:
+            if head.target == HOLDS_TARGET:
                 answer = await self.hold(body)
-            elif head.target == SETTLEMENTS:
+            elif head.target == SETTLEMENTS_TARGET:
                 answer = self.settle(body)
             else:
                 await self.transfers.serve(connection, head, body)
                 return
         except MalformedMessageError as error:
-            log.warning("peer misunderstood", extra={"detail": str(error)})
-            await connection.answer(400, JSON, b"{}")
+            log.warning("malformed message from peer", extra={"detail": str(error)})
+            await connection.answer(400, JSON_HEADERS, b"{}")
             return
         content = json.dumps(to_json(answer)).encode()
-        await connection.answer(200, ANSWER, content)
+        await connection.answer(200, ANSWER_HEADERS, content)
 
     async def hold(self, body: bytes) -> HoldAnswer:
-        """Set tokens aside for a request at another gateway."""
-        return HoldAnswer(await self.lent.hold(read_message(body, WantedHold)))
+        """Hold tokens for a request of another gateway."""
+        return HoldAnswer(await self.remote_holds.hold(read_message(body, WantedHold)))
 
     def settle(self, body: bytes) -> Settled:
-        """End holds."""
+        """Settle holds at the charges in a message."""
         for hold, charge in read_message(body, Settlements).charges.items():
-            self.lent.settle(hold, charge)
+            self.remote_holds.settle(hold, charge)
         return Settled()
 
     async def expire(self) -> None:
-        """End holds that nobody settled, for ever."""
+        """Charge holds that were never settled in time, until cancelled."""
         while True:
-            await anyio.sleep(EXPIRY_TICK)
-            self.lent.expire(anyio.current_time())
+            await anyio.sleep(EXPIRY_INTERVAL)
+            self.remote_holds.expire(anyio.current_time())
--- a/ebonyhold/gateway/_loglines.py
+++ b/ebonyhold/gateway/_loglines.py
@@ -1,4 +1,4 @@
-"""Lines of the routers' logs, read back."""
+"""Parses log lines of routers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from attrs import frozen
 
-HIDDEN = frozenset({"time", "level", "name", "message", "router", "request"})
-"""Fields that a line of the story does not repeat."""
+OMITTED_FIELDS = frozenset({"time", "level", "name", "message", "router", "request"})
+"""Fields that are left out of `LogLine.fields`."""
 
 
 @frozen
@@ -17,9 +17,9 @@
 
     Attributes:
         time: When it was written, by the VM's clock.
-        router: Who wrote it.
-        message: What kind of line it is.
-        fields: What it says besides.
+        router: The router that wrote it.
+        message: The message without its fields.
+        fields: The other fields of the line.
     """
 
     time: str
@@ -29,15 +29,15 @@
 
     @property
     def text(self) -> str:
-        """Return it for a reader."""
-        said = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.time} {self.router} {self.message}: {said}"
+        """The line as text, for output."""
+        details = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.time} {self.router} {self.message}: {details}"
 
 
 def read_line(text: str) -> tuple[LogLine, str] | None:
-    """Read a line and the request that it belongs to; None if it is no log line.
+    """Parse a log line and its request identifier; return None for other lines.
 
-    What another program put before the JSON, such as its own time, is passed over.
+    Text before the JSON, such as a timestamp that another program added, is ignored.
     """
     start = text.find("{")
     if start < 0:
@@ -48,7 +48,7 @@
             str(raw["time"]),
             str(raw["router"]),
             str(raw["message"]),
-            {key: value for key, value in raw.items() if key not in HIDDEN},
+            {key: value for key, value in raw.items() if key not in OMITTED_FIELDS},
         )
     except (ValueError, KeyError, TypeError):
         return None
--- a/ebonyhold/gateway/_losses.py
+++ b/ebonyhold/gateway/_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost, by cause, from the log lines of all routers."""
+"""Counts requests that were not served, by cause, from the log lines of all routers."""
 
 from __future__ import annotations
 
@@ -14,52 +14,52 @@
 from ebonyhold.gateway._loglines import LogLine, read_line
 from ebonyhold.types import RequestId, RouterId, Tokens, WorkspaceName
 
-WINDOW = 2
-"""Seconds of one row of the table by time."""
+WINDOW_SECONDS = 2
+"""Time that one row of the table by time covers, in seconds."""
 
 REFUSALS = frozenset(refusal.code for refusal in Refusal)
 
 
 class TokenCause(Enum):
-    """Why a request found no tokens, as far as the lines tell; the first that fits."""
+    """Why a request got no tokens; the first cause that applies counts."""
 
     ABOVE_LIMIT = "tokens here, above the limit"
-    STORE_AWAY = "tokens in the budget, store away"
+    STORE_UNREACHABLE = "tokens in the budget, store away"
     ELSEWHERE = "tokens with other routers"
     STRANDED = "tokens stranded by dead routers"
     NOWHERE = "tokens spent or held"
 
 
 @define
-class BudgetBooks:
-    """What the lines tell of one workspace's tokens.
+class BudgetTokens:
+    """One workspace's tokens, as far as the lines read so far show.
 
     Attributes:
-        prepaid: What was prepaid, as last seen.
-        spent: What was filed as spent, as last seen.
-        remaining: What the budget's row held, as last seen.
-        living: Free tokens of each router's present life, as last seen.
-        stranded: Tokens of dead lives that are neither filed nor proved unspent.
+        prepaid: Last logged prepaid tokens.
+        spent: Last logged tokens that were filed as spent.
+        remaining: Last logged tokens in the budget's row.
+        available: Available tokens by router, for current incarnations only.
+        stranded: Tokens of dead incarnations that were neither filed nor returned.
     """
 
     prepaid: Tokens = 0
     spent: Tokens = 0
     remaining: Tokens = 0
-    living: dict[RouterId, Tokens] = field(factory=dict)
+    available: dict[RouterId, Tokens] = field(factory=dict)
     stranded: Tokens = 0
 
     def cause(self, line: LogLine) -> TokenCause:
-        """Return why a request found no tokens."""
-        said = line.fields
-        amount = said["amount"]
-        elsewhere = sum(self.living.values()) - self.living.get(line.router, 0)
-        if said["room"] < amount <= said["available"]:
+        """Return why a request got no tokens."""
+        fields = line.fields
+        amount = fields["amount"]
+        elsewhere = sum(self.available.values()) - self.available.get(line.router, 0)
+        if fields["room"] < amount <= fields["available"]:
             return TokenCause.ABOVE_LIMIT
-        if not said["store_reachable"] and said["remaining"] >= amount:
-            return TokenCause.STORE_AWAY
-        if elsewhere + said["available"] >= amount:
+        if not fields["store_reachable"] and fields["remaining"] >= amount:
+            return TokenCause.STORE_UNREACHABLE
+        if elsewhere + fields["available"] >= amount:
             return TokenCause.ELSEWHERE
-        if self.stranded + said["available"] >= amount:
+        if self.stranded + fields["available"] >= amount:
             return TokenCause.STRANDED
         return TokenCause.NOWHERE
 
@@ -71,10 +71,11 @@
     Attributes:
         causes: By cause.
         routes: By cause and route.
-        workspaces: By cause and workspace, of refusals for tokens.
-        times: By cause and the time since the first line, in `WINDOW` seconds.
-        budgets: What is known of each workspace's tokens.
-        token_causes: Why requests found no tokens, until their refusal is read.
+        workspaces: By cause and workspace, for refusals for lack of tokens.
+        times: By cause and time since the first line, in units of `WINDOW_SECONDS`.
+        budgets: The tokens of each workspace.
+        token_causes: Why requests got no tokens, until the line of their refusal is
+            read.
         began: The time of the first line.
     """
 
@@ -82,39 +83,39 @@
     routes: Counter[tuple[str, str]] = field(factory=Counter)
     workspaces: Counter[tuple[str, str]] = field(factory=Counter)
     times: Counter[tuple[str, int]] = field(factory=Counter)
-    budgets: dict[WorkspaceName, BudgetBooks] = field(factory=dict)
+    budgets: dict[WorkspaceName, BudgetTokens] = field(factory=dict)
     token_causes: dict[RequestId, str] = field(factory=dict)
     began: datetime | None = None
 
     def read(self, line: LogLine, request: RequestId) -> None:
-        """Take one line in; lines come in the order of their times."""
+        """Process one line; lines must come in order of time."""
         if self.began is None:
             self.began = datetime.fromisoformat(line.time)
         reader = READERS.get(line.message)
         if reader is not None:
             reader(self, line, request)
 
-    def budget(self, line: LogLine) -> BudgetBooks:
-        """Return the books of the workspace that a line names."""
-        return self.budgets.setdefault(line.fields["workspace"], BudgetBooks())
+    def budget(self, line: LogLine) -> BudgetTokens:
+        """Return the tokens of the workspace that a line names."""
+        return self.budgets.setdefault(line.fields["workspace"], BudgetTokens())
 
     def count(self, line: LogLine, cause: str) -> None:
-        """Count one request that was lost."""
+        """Count one lost request."""
         assert self.began is not None
         seconds = (datetime.fromisoformat(line.time) - self.began).total_seconds()
         self.causes[cause] += 1
         self.routes[cause, line.fields.get("route", "")] += 1
-        self.times[cause, int(seconds // WINDOW)] += 1
+        self.times[cause, int(seconds // WINDOW_SECONDS)] += 1
 
 
 Reader: TypeAlias = Callable[[Losses, LogLine, RequestId], None]
 
 READERS: dict[str, Reader] = {}
-"""What each kind of line adds, by its message."""
+"""The function that processes a line, by its message."""
 
 
 def reads(*messages: str) -> Callable[[Reader], Reader]:
-    """Register what reads lines with these messages."""
+    """Register a function that processes lines with these messages."""
 
     def register(reader: Reader) -> Reader:
         READERS.update(dict.fromkeys(messages, reader))
@@ -125,37 +126,37 @@
 
 @reads("starting")
 def read_start(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Forget what the life before held; lines on its reclaim tell what became of it."""
+    """Forget the previous incarnation's tokens; reclaim lines account for the rest."""
     del request
-    for books in losses.budgets.values():
-        books.living.pop(line.router, None)
+    for tokens in losses.budgets.values():
+        tokens.available.pop(line.router, None)
 
 
 @reads("grant changed")
 def read_grant(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Note what a router holds, and the budget's row."""
+    """Store the tokens of a router and of the budget's row."""
     del request
-    books = losses.budget(line)
-    books.spent = line.fields["spent"]
-    books.remaining = line.fields["remaining"]
-    books.living[line.router] = line.fields["available"]
+    tokens = losses.budget(line)
+    tokens.spent = line.fields["spent"]
+    tokens.remaining = line.fields["remaining"]
+    tokens.available[line.router] = line.fields["available"]
 
 
 @reads("grant reclaimed", "grant not reclaimed")
 def read_reclaim(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Note what a dead life leaves that nobody can use."""
+    """Add the tokens of a dead incarnation that were neither returned nor filed."""
     del request
-    said = line.fields
-    left = said["granted"] - said["returned"] - said["filed"]
+    fields = line.fields
+    left = fields["granted"] - fields["returned"] - fields["filed"]
     losses.budget(line).stranded += max(0, left)
 
 
 @reads("tokens refused")
 def read_token_refusal(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Note why a request found no tokens."""
-    books = losses.budget(line)
-    books.prepaid = line.fields["prepaid"] or books.prepaid
-    cause = books.cause(line).value
+    """Store why a request got no tokens."""
+    tokens = losses.budget(line)
+    tokens.prepaid = line.fields["prepaid"] or tokens.prepaid
+    cause = tokens.cause(line).value
     losses.token_causes[request] = cause
     losses.workspaces[cause, line.fields["workspace"]] += 1
 
@@ -168,7 +169,7 @@
 
 @reads("request ended")
 def read_end(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count a request that ended badly; a refusal has a line of its own."""
+    """Count a request that failed; a refused request has its own "refused" line."""
     del request
     outcome = line.fields["outcome"]
     if outcome != DELIVERED and outcome not in REFUSALS:
@@ -176,7 +177,7 @@
 
 
 def find_losses(lines: Iterable[str]) -> Losses:
-    """Return where requests were lost.
+    """Return the requests that were not served, by cause.
 
     Args:
         lines: The logs of all routers, as written, in any order.
@@ -188,9 +189,11 @@
     return losses
 
 
-def table(title: str, heads: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
-    """Return the lines of a table, its columns aligned."""
-    cells = [[str(cell) for cell in row] for row in (heads, *rows)]
+def table(
+    title: str, headers: Sequence[str], rows: Iterable[Sequence[Any]]
+) -> list[str]:
+    """Return the lines of a table with aligned columns."""
+    cells = [[str(cell) for cell in row] for row in (headers, *rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
@@ -200,31 +203,42 @@
 
 
 def report(losses: Losses) -> list[str]:
-    """Return the account of what was lost, for a reader."""
+    """Return the lines of a report on lost requests."""
     routes = [(cause, route, n) for (cause, route), n in losses.routes.most_common()]
-    spaces = [(cause, name, n) for (cause, name), n in losses.workspaces.most_common()]
+    workspaces = [
+        (cause, name, n) for (cause, name), n in losses.workspaces.most_common()
+    ]
     times = [
-        (f"{window * WINDOW} s", cause, n)
+        (f"{window * WINDOW_SECONDS} s", cause, n)
         for (cause, window), n in sorted(
             losses.times.items(), key=lambda one: one[0][1]
         )
     ]
-    books = [
+    budgets = [
         (
             name,
             one.prepaid or "",
             one.spent,
             one.remaining,
-            sum(one.living.values()),
+            sum(one.available.values()),
             one.stranded,
         )
         for name, one in sorted(losses.budgets.items())
     ]
-    heads = ("workspace", "prepaid", "filed", "in the row", "with routers", "stranded")
+    headers = (
+        "workspace",
+        "prepaid",
+        "filed",
+        "in the row",
+        "with routers",
+        "stranded",
+    )
     return [
         *table("Lost, by cause", ("cause", "requests"), losses.causes.most_common()),
         *table("Lost, by route", ("cause", "route", "requests"), routes),
-        *table("No tokens, by workspace", ("cause", "workspace", "requests"), spaces),
+        *table(
+            "No tokens, by workspace", ("cause", "workspace", "requests"), workspaces
+        ),
         *table("Lost, by time", ("from", "cause", "requests"), times),
-        *table("Tokens, as last seen", heads, books),
+        *table("Tokens, as last seen", headers, budgets),
     ]
--- a/ebonyhold/gateway/_messages.py
+++ b/ebonyhold/gateway/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways, as JSON."""
+"""JSON messages between gateways."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def read_message(body: bytes, as_type: type[T]) -> T:
-    """Read a message of another gateway.
+    """Parse a message of another gateway.
 
     Raises:
-        MalformedMessageError: It does not have that form.
+        MalformedMessageError: It is not JSON or does not have the expected type.
     """
     try:
         raw = json.loads(body)
         if not isinstance(raw, Mapping):
-            raise MalformedMessageError(f"{body[:80]!r} is no object")
+            raise MalformedMessageError(f"{body[:80]!r} is not a JSON object")
         return from_json(raw, as_type)
     except DAMAGED as error:
         raise MalformedMessageError(f"{body[:80]!r}: {error!r}") from error
--- a/ebonyhold/gateway/_meters.py
+++ b/ebonyhold/gateway/_meters.py
@@ -14,14 +14,14 @@
 from ebonyhold.types import Seconds
 
 ANSWER_BUCKETS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 2.0, 5.0)
-"""Seconds; the bounds stand around the usual target latencies."""
+"""Bounds in seconds, chosen around the usual target latencies."""
 
-MOST_ROUTES = 60
-"""Routes with a label of their own; the others share one."""
+MAX_ROUTES = 60
+"""Maximum number of routes with their own label; all others share one."""
 
 
 class GatewayMeters:
-    """All metrics, in a registry of their own."""
+    """All metrics of a gateway, in their own registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -93,27 +93,27 @@
             registry=self.registry,
         )
 
-    def held(self, outcome: HoldOutcome) -> None:
-        """Count the answer of a holder at another router."""
+    def count_hold(self, outcome: HoldOutcome) -> None:
+        """Count a hold request to another router by its outcome."""
         self.holds.labels(outcome.value).inc()
 
-    def late(self, taken: bool) -> None:
-        """Count a request that came while the process was stopping."""
+    def count_late(self, taken: bool) -> None:
+        """Count a request that arrived while the process was stopping."""
         self.late_requests.labels("taken" if taken else "refused").inc()
 
-    def task_failed(self, task: str, then: str) -> None:
-        """Count a failure of one of the gateway's own tasks."""
+    def count_task_failure(self, task: str, then: str) -> None:
+        """Count a failure of one of the gateway's tasks."""
         self.failures.labels(task, then).inc()
 
-    def ended(self, route: str, outcome: str, length: Seconds) -> None:
-        """Count a request that has ended."""
-        if route not in self.routes and len(self.routes) >= MOST_ROUTES:
+    def count_request(self, route: str, outcome: str, length: Seconds) -> None:
+        """Count a request that ended, and record its duration."""
+        if route not in self.routes and len(self.routes) >= MAX_ROUTES:
             route = "other"
         self.routes.add(route)
         self.requests.labels(route, outcome).inc()
         self.seconds.labels(route).observe(length)
 
     def render(self) -> bytes:
-        """Return the exposition text."""
+        """Return the metrics in the Prometheus text format."""
         text: bytes = generate_latest(self.registry)
         return text
--- a/ebonyhold/gateway/_output.py
+++ b/ebonyhold/gateway/_output.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output: as JSON, bounded in number, never blocking."""
+"""Writes log lines as JSON to a descriptor, limited in rate and without blocking."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 log = logging.getLogger(__name__)
 
-MOST_WAITING = 262_144
-"""Bytes that wait for a reader that has fallen behind; beyond them lines drop."""
+MAX_BUFFERED_BYTES = 262_144
+"""Maximum number of buffered bytes; further lines are dropped."""
 
-LINES_A_SECOND = 100
-"""Lines of one kind that are written a second; the others are counted.
+MAX_LINES_PER_SECOND = 100
+"""Maximum number of lines of one kind per second; further ones are counted.
 
-A router has some 15 requests a second on an ordinary day.
+A router usually handles about 15 requests per second.
 """
 
 STANDARD_OUTPUT = 1
@@ -28,96 +28,96 @@
 
 @define(eq=False)
 class BoundedOutput:
-    """Writes to a descriptor that may be full, without ever waiting for it.
+    """A stream that writes to a non-blocking descriptor and never waits for it.
 
-    A reader of logs that stops reading would else stop the process at its next
-    line, and with it all requests.
+    With blocking writes, a log reader that stops reading would stop the process at its
+    next log line, and all requests with it.
 
     Attributes:
         descriptor: Where to write; it is made non-blocking.
-        waiting: Bytes that were not taken yet.
-        dropped: Lines that were not written.
+        buffer: Bytes that have not been written yet.
+        dropped: Number of times that output was lost: dropped lines and failed writes.
     """
 
     descriptor: int
-    waiting: bytearray = field(factory=bytearray)
+    buffer: bytearray = field(factory=bytearray)
     dropped: int = 0
 
     def __attrs_post_init__(self) -> None:
         os.set_blocking(self.descriptor, False)
 
     def write(self, text: str) -> None:
-        """Write a line, or drop it when too much is waiting."""
-        if len(self.waiting) > MOST_WAITING:
+        """Buffer a line, or drop it if the buffer is full."""
+        if len(self.buffer) > MAX_BUFFERED_BYTES:
             self.push()
-        if len(self.waiting) > MOST_WAITING:
+        if len(self.buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self.waiting += text.encode("utf-8", "replace")
+        self.buffer += text.encode("utf-8", "replace")
 
     def flush(self) -> None:
-        """Hand over what can be handed over now."""
+        """Write as much of the buffer as possible without waiting."""
         self.push()
 
     def push(self) -> None:
-        """Write what the descriptor takes."""
+        """Write until the buffer is empty or the descriptor is full."""
         try:
-            while self.waiting:
-                written = os.write(self.descriptor, self.waiting)
-                del self.waiting[:written]
+            while self.buffer:
+                written = os.write(self.descriptor, self.buffer)
+                del self.buffer[:written]
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone for good; there is nobody left to tell.
+            # The reader has closed its end, so the buffered lines cannot be delivered.
             self.dropped += 1
-            self.waiting.clear()
+            self.buffer.clear()
 
 
 @define(eq=False)
 class RateLimit(logging.Filter):
-    """Lets so many lines of each kind pass a second, and counts the others.
+    """Limits the lines of each kind per second, and counts those left out.
 
-    A kind is the message without its fields.  The first line that passes after
-    some were left out says how many.
+    The kind of a line is its message without fields. The first line that passes after
+    some were left out has their number in the field `left_out`.
 
     Attributes:
-        most: Lines of one kind a second.
-        clock: Tells the time.
+        max_lines: Maximum number of lines of one kind per second.
+        clock: Returns the time in seconds.
         second: The second that `passed` counts.
         passed: Lines that passed in it, by kind.
-        left_out: Lines that did not pass since the last that did, by kind.
+        suppressed: Lines left out since the last one that passed, by kind.
     """
 
-    most: int = LINES_A_SECOND
+    max_lines: int = MAX_LINES_PER_SECOND
     clock: Callable[[], float] = time.monotonic
     second: int = 0
     passed: dict[str, int] = field(factory=dict)
-    left_out: dict[str, int] = field(factory=dict)
+    suppressed: dict[str, int] = field(factory=dict)
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a line passes."""
+        """Return whether a line is written."""
         now = int(self.clock())
         if now != self.second:
             self.second = now
             self.passed.clear()
         kind = record.msg if isinstance(record.msg, str) else ""
         count = self.passed.get(kind, 0)
-        if count >= self.most:
-            self.left_out[kind] = self.left_out.get(kind, 0) + 1
+        if count >= self.max_lines:
+            self.suppressed[kind] = self.suppressed.get(kind, 0) + 1
             return False
         self.passed[kind] = count + 1
-        missing = self.left_out.pop(kind, 0)
-        if missing:
-            record.left_out = missing
+        omitted = self.suppressed.pop(kind, 0)
+        if omitted:
+            record.left_out = omitted
         return True
 
 
 def log_uncaught(
     kind: type[BaseException], error: BaseException, trace: TracebackType | None
 ) -> None:
-    """Log an error that ends the process, as a line like all others.
+    """Log an uncaught exception as one JSON line.
 
-    A bare traceback would be some thirty lines that no reader of the log can parse.
+    A plain traceback would be about thirty lines that log readers cannot parse.
     """
     log.critical("process failed", exc_info=(kind, error, trace))
 
@@ -126,8 +126,8 @@
     """Send all logs to a descriptor as JSON lines.
 
     Args:
-        level: The least severity that is written.
-        router: The incarnation that each line names.
+        level: The minimum severity that is written.
+        router: The router's name, which each line contains.
         descriptor: Where to write.
     """
     handler = logging.StreamHandler(BoundedOutput(descriptor))
--- a/ebonyhold/gateway/_pace.py
+++ b/ebonyhold/gateway/_pace.py
@@ -1,29 +1,31 @@
-"""How often a router calls the store unasked, by the size of its fleet.
+"""Scales the intervals of periodic store calls with the number of routers.
 
-The store's ceilings are those of the whole fleet.  This answers the load that a fleet
-makes by being there: its calls grow with the number of routers, and what each of them
-reads of all others with the square of it.
+The store's limits apply to all routers together. The number of periodic calls grows
+with the number of routers, and the rows that they read of all other routers with its
+square.
 """
 
 from __future__ import annotations
 
 from ebonyhold.types import Seconds
 
-UNHURRIED = 60
-"""The routers up to which each keeps to its usual pauses."""
+UNSCALED_ROUTERS = 60
+"""Number of routers up to which intervals are not scaled."""
 
 
-def stretch(pause: Seconds, routers: int, most: Seconds = float("inf")) -> Seconds:
-    """Return a pause in a fleet of so many routers.
+def scale_interval(
+    interval: Seconds, routers: int, max_interval: Seconds = float("inf")
+) -> Seconds:
+    """Return an interval, scaled to the number of routers.
 
     Args:
-        pause: The usual one.
-        routers: How many there are.
-        most: The longest that what waits for the call can bear.
+        interval: The usual interval.
+        routers: The number of routers.
+        max_interval: The longest interval that is acceptable for this call.
 
-    >>> [stretch(4.0, routers) for routers in (9, 60, 84, 195)]
+    >>> [scale_interval(4.0, routers) for routers in (9, 60, 84, 195)]
     [4.0, 4.0, 5.6, 13.0]
-    >>> stretch(0.35, 330, most=1.2)
+    >>> scale_interval(0.35, 330, max_interval=1.2)
     1.2
     """
-    return min(most, pause * max(1.0, routers / UNHURRIED))
+    return min(max_interval, interval * max(1.0, routers / UNSCALED_ROUTERS))
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -1,4 +1,4 @@
-"""This router among all routers: it shows itself to the others, and counts them."""
+"""Announces this router to the other routers, and counts them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     to_json,
 )
 from ebonyhold.exceptions import DamagedRowError, PlatformError
-from ebonyhold.gateway._pace import stretch
+from ebonyhold.gateway._pace import scale_interval
 from ebonyhold.gateway._types import GatewayStore
 from ebonyhold.prepaid import Fleet
 from ebonyhold.types import RouterId, Seconds
@@ -25,56 +25,57 @@
 log = logging.getLogger(__name__)
 
 TABLE = "routers"
-"""The table of the small rows by which routers count each other, in one part."""
+"""The table of the presence rows by which routers count each other, in one part."""
 
-COUNT: Seconds = 4.0
-"""Between two counts of the routers, in a fleet that is not large."""
+COUNT_INTERVAL: Seconds = 4.0
+"""Interval between two counts of the routers, before scaling to a large fleet."""
 
-FIRST_COUNT: Seconds = 1.5
-"""Between the first two counts.
+FIRST_COUNT_INTERVAL: Seconds = 1.5
+"""Interval between the first two counts.
 
-Routers that start together see few of the others at first.
+Routers that start at the same time find few of the others at first.
 """
 
-SETTLED = 2
-"""Counts after which the fleet is known well enough to draw tokens ahead."""
+SETTLED_COUNTS = 2
+"""Number of counts after which the fleet is known well enough to draw tokens ahead."""
 
-GONE_AFTER = 4
-"""Readings in a row without a change of its row after which a router is no holder.
+GONE_AFTER_READINGS = 4
+"""A router is no holder after this many readings in a row that found its row unchanged.
 
-Readings and not seconds: in an outage of the store no row changes and none is read.
+They are counted in readings, not seconds: during an outage of the store no row changes
+and none is read.
 """
 
-MISSED_COUNTS = 3.5
-"""A router whose row has not changed for so many counts is not counted any more."""
+MAX_MISSED_COUNTS = 3.5
+"""A router is not counted if its row has not changed for this many count intervals."""
 
-ASSUMED = 8
-"""Routers that are assumed before the first reading.
+ASSUMED_ROUTERS = 8
+"""The number of routers that is assumed before the first reading.
 
-Too many makes a router spend too little of shared budgets for a moment, too few
-too much.
+If it is too high, a router spends too little of shared budgets for a moment; if it is
+too low, too much.
 """
 
-FORGOTTEN: Seconds = 60.0
-"""A router whose row has not changed for this long is not asked any more.
+FORGET_AFTER: Seconds = 60.0
+"""A router is sent no requests if its row has not changed for this long.
 
-Longer than the store is usually away, since its rows do not change meanwhile.
+It is longer than usual outages of the store, during which no row changes.
 """
 
-FLOOR_SHARE = 0.5
-"""The part of the most routers ever seen below which the count does not fall.
+MIN_COUNT_SHARE = 0.5
+"""The count does not fall below this share of the highest count so far.
 
-During an outage of the store no row changes, and all would seem missing.
+During an outage of the store no row changes, and all routers would seem to be missing.
 """
 
 
 @frozen
 class PresenceRow:
-    """What a router shows of itself, at ``routers//{vm}``.
+    """A router's stored row, at ``routers//{vm}``.
 
     Attributes:
-        router: Which life of the VM's router.
-        address: Where other routers ask it, as "host:port"; empty if they cannot.
+        router: The incarnation that wrote it.
+        address: Where other routers reach it, as "host:port"; empty if they cannot.
         domain: Its failure domain.
     """
 
@@ -84,14 +85,14 @@
 
 
 @define
-class Sighting:
-    """A router's row as last seen to change.
+class RowObservation:
+    """The last observed change of a router's row.
 
     Attributes:
         version: The version of the row.
-        at: When that was first seen.
-        row: What it says.
-        unchanged: Readings since, of which none showed a change.
+        at: When this version was first read.
+        row: The content of the row.
+        unchanged: Number of later readings with the same version.
     """
 
     version: int
@@ -101,34 +102,36 @@
 
 
 def read_presence(row: Row) -> PresenceRow:
-    """Return what a router shows of itself; nothing if its row cannot be read."""
+    """Return the content of a presence row; an empty one if the row is damaged."""
     try:
         return read_row(row, PresenceRow)
     except DamagedRowError as error:
-        log.warning("presence damaged", extra={"row": row.key, "detail": str(error)})
+        log.warning(
+            "presence row damaged", extra={"row": row.key, "detail": str(error)}
+        )
         return PresenceRow()
 
 
 def vm_of(key: str) -> str:
-    """Return the VM whose row has a key."""
+    """Return the VM name in the key of a presence row."""
     return key.removeprefix(f"{TABLE}//")
 
 
 @define(eq=False)
 class Presence:
-    """Writes the own row now and then, and counts those of the others.
+    """Writes this router's presence row regularly, and counts those of the others.
 
     Attributes:
         store: The store.
         name: This VM's name.
-        incarnation: This life of it.
-        address: Where other routers ask this one, as "host:port".
+        incarnation: This router's incarnation.
+        address: Where other routers reach this one, as "host:port".
         domain: Its failure domain.
-        fleet_seen: Is given the failure domains of all routers after each count.
-        seen: The rows of all routers.
-        most: The most routers that were counted.
-        counts: How often they were counted.
-        pause: Between two counts.
+        on_count: Called after each count with the routers' failure domains.
+        observed: The last observed change of each router's row, by key.
+        max_counted: The highest count so far.
+        counts: The number of counts so far.
+        interval: Time between two counts.
         leaving: Whether the process is about to end.
     """
 
@@ -137,96 +140,99 @@
     incarnation: RouterId
     address: str = ""
     domain: str = ""
-    fleet_seen: Callable[[Fleet], None] = lambda fleet: None
-    seen: dict[str, Sighting] = field(factory=dict)
-    most: int = 0
+    on_count: Callable[[Fleet], None] = lambda fleet: None
+    observed: dict[str, RowObservation] = field(factory=dict)
+    max_counted: int = 0
     counts: int = 0
-    pause: Seconds = COUNT
+    interval: Seconds = COUNT_INTERVAL
     leaving: bool = False
 
     @property
     def key(self) -> str:
-        """Return the key of the own row."""
+        """The key of this router's row."""
         return f"{TABLE}//{self.name}"
 
     def count(self) -> int:
-        """Return how many routers there are, this one among them."""
-        if not self.seen:
-            return ASSUMED
+        """Return the number of routers, including this one."""
+        if not self.observed:
+            return ASSUMED_ROUTERS
         now = anyio.current_time()
-        missing = MISSED_COUNTS * self.pause
-        alive = sum(1 for s in self.seen.values() if now - s.at < missing)
-        self.most = max(self.most, alive)
-        return max(1, alive, int(self.most * FLOOR_SHARE))
+        missing = MAX_MISSED_COUNTS * self.interval
+        alive = sum(1 for s in self.observed.values() if now - s.at < missing)
+        self.max_counted = max(self.max_counted, alive)
+        return max(1, alive, int(self.max_counted * MIN_COUNT_SHARE))
 
     async def run(self) -> None:
-        """Show this router to the others and count them, for ever."""
+        """Write this router's row and count the others, until cancelled."""
         while True:
             try:
                 await self.count_routers()
             except PlatformError as error:
                 fields = {"error": error.code, "counted": self.count()}
                 log.info("routers not counted", extra=fields)
-            self.pause = stretch(COUNT, self.count())
-            await anyio.sleep(self.pause if self.settled else FIRST_COUNT)
+            self.interval = scale_interval(COUNT_INTERVAL, self.count())
+            await anyio.sleep(self.interval if self.settled else FIRST_COUNT_INTERVAL)
 
     async def count_routers(self) -> None:
-        """Write the row that others count, and read theirs."""
+        """Write this router's row and read those of all routers."""
         if self.leaving:
-            # The row was removed; others would go on counting this router.
+            # The row was removed; if it were written again, others would go on counting
+            # this router.
             return
         own = PresenceRow(self.incarnation, self.address, self.domain)
-        sign = Put(self.key, to_json(own))
-        await self.store.commit(Transaction((), (sign,)))
-        self.note(await self.store.scan(f"{TABLE}//"))
+        put = Put(self.key, to_json(own))
+        await self.store.commit(Transaction((), (put,)))
+        self.observe(await self.store.scan(f"{TABLE}//"))
 
     @property
     def settled(self) -> bool:
-        """Whether the fleet is known well enough to draw tokens ahead."""
-        return self.counts >= SETTLED
+        """Whether the fleet is known well enough to draw tokens in advance."""
+        return self.counts >= SETTLED_COUNTS
 
-    def note(self, rows: list[Row]) -> None:
-        """Note which rows have changed."""
+    def observe(self, rows: list[Row]) -> None:
+        """Record which rows have changed, and report the fleet."""
         now = anyio.current_time()
         self.counts += 1
         for row in rows:
-            known = self.seen.get(row.key)
+            known = self.observed.get(row.key)
             if known is None or known.version != row.version:
-                self.seen[row.key] = Sighting(row.version, now, read_presence(row))
+                self.observed[row.key] = RowObservation(
+                    row.version, now, read_presence(row)
+                )
             else:
                 known.unchanged += 1
-        self.fleet_seen(self.fleet({row.key for row in rows}))
+        self.on_count(self.fleet({row.key for row in rows}))
 
     def fleet(self, listed: Container[str]) -> Fleet:
-        """Return the failure domains of the routers that live and can be asked.
+        """Return the failure domains of the routers that are alive and have an address.
 
         Args:
-            listed: The keys of the rows that there are; a router that stops removes
-                its own.
+            listed: The keys of the rows in the last reading; a router that stops
+                removes its row.
         """
         return {
-            vm_of(key): sighting.row.domain
-            for key, sighting in self.seen.items()
+            vm_of(key): observation.row.domain
+            for key, observation in self.observed.items()
             if key in listed
-            and sighting.row.address
-            and sighting.unchanged < GONE_AFTER
+            and observation.row.address
+            and observation.unchanged < GONE_AFTER_READINGS
         }
 
-    def others(self) -> dict[str, str]:
-        """Return the addresses of the other routers, by the names of their VMs."""
+    def peer_addresses(self) -> dict[str, str]:
+        """Return the addresses of the other routers, by VM name."""
         now = anyio.current_time()
         return {
-            vm_of(key): sighting.row.address
-            for key, sighting in self.seen.items()
+            vm_of(key): observation.row.address
+            for key, observation in self.observed.items()
             if key != self.key
-            and sighting.row.address
-            and now - sighting.at < FORGOTTEN
+            and observation.row.address
+            and now - observation.at < FORGET_AFTER
         }
 
     async def leave(self) -> None:
-        """Remove the own row, as the process ends."""
+        """Remove this router's row when the process ends."""
         self.leaving = True
         try:
             await self.store.commit(Transaction((), (Delete(self.key),)))
         except PlatformError as error:
-            log.info("presence not removed", extra={"error": error.code})
+            log.info("presence row not removed", extra={"error": error.code})
--- a/ebonyhold/gateway/_pressure.py
+++ b/ebonyhold/gateway/_pressure.py
@@ -1,9 +1,10 @@
-"""Whether a router has more callers than it can serve, and what it does then.
+"""Detects that a router has more callers than it can serve, and sheds some of them.
 
-The platform spreads callers by a hash, unevenly: of 82 VMs one got a hundred requests a
-second, twenty times the mean.  Its processor or its link is full then, while those of
-its neighbours are idle.  Such a router leaves the rotation for a while and lets its
-callers' connections end with their next answers; the callers come back elsewhere.
+The load balancer spreads callers by a hash, and so unevenly: with 82 VMs, one got a
+hundred requests per second, twenty times the mean. Its processor or its network link is
+then saturated, while other routers are idle. An overloaded router therefore fails its
+readiness checks for a while and closes callers' connections after their next answers,
+so that callers reconnect to other routers.
 """
 
 from __future__ import annotations
@@ -19,141 +20,155 @@
 
 log = logging.getLogger(__name__)
 
-TICK: Seconds = 0.05
-"""How often the delay of the event loop is measured."""
+MEASURE_INTERVAL: Seconds = 0.05
+"""Interval between two measurements of the event loop's delay."""
 
 SMOOTHING = 0.15
-"""The weight of a new measurement; a mean over some 0.3 s, so that one large
-configuration, which takes some 0.1 s to decode, does not count as pressure."""
+"""The weight of a new measurement, which gives a mean over about 0.3 s. A single large
+configuration, which takes about 0.1 s to decode, then does not count as pressure."""
 
-HIGH: Seconds = 0.1
-"""The mean delay from which callers are sent away: a third of the usual target for a
-first event, and a request meets the delay several times."""
+HIGH_DELAY: Seconds = 0.1
+"""The mean delay above which callers are shed. It is a third of the usual target for
+the first event, and one request is delayed several times."""
 
-LOW: Seconds = 0.02
-"""The mean delay at which callers are welcome again."""
+LOW_DELAY: Seconds = 0.02
+"""The mean delay below which callers are accepted again."""
 
-LEAVE: Seconds = 2.6
-"""From the first refusal of readiness until no new caller is sent here: two questions a
-second apart, and some time for the second answer to take effect.  Connections that
-ended earlier would come straight back."""
+LEAVE_ROTATION: Seconds = 2.6
+"""Time from the first failed readiness check until the load balancer sends no new
+callers: two checks a second apart, and some time for the second result to take effect.
+Callers whose connections were closed earlier would be sent back here."""
 
-LEAST: Seconds = 5.0
-"""The shortest time out of rotation; the hash sends the same callers back after it."""
+MIN_OUT_OF_ROTATION: Seconds = 5.0
+"""The minimum time out of rotation, after which the hash sends the same callers
+again."""
 
 
-WINDOW: Seconds = 2.0
-"""How long a new connection to a server counts as evidence on the link."""
+CONNECT_WINDOW: Seconds = 2.0
+"""Time for which a connection attempt to a server counts as evidence about the link."""
 
-LEAST_TRIES = 8
-"""New connections within the window that make evidence."""
+MIN_CONNECTS = 8
+"""Minimum number of connection attempts in the window, below which the link is not
+judged."""
 
-LEAST_SERVERS = 3
-"""Servers that must fail to answer: fewer may be down themselves."""
+MIN_FAILED_SERVERS = 3
+"""Minimum number of servers with failed attempts; fewer may be down themselves."""
 
-FAILED_SHARE = 0.5
-"""The part of new connections, failed in time, from which the link is taken for full
-or cut.  A connection takes some 5 ms, and its limit is 0.25 s."""
+MAX_FAILED_SHARE = 0.5
+"""The link counts as saturated or cut if more than this share of the attempts failed. A
+connection takes about 5 ms, and its timeout is 0.25 s."""
 
 
 @define
-class LinkGauge:
-    """Tells from new connections to servers whether the way to them is open.
+class LinkMonitor:
+    """Decides from connection attempts to servers whether the network link works.
 
     Attributes:
-        tries: When each was tried, with which server, and whether it was made.
+        connects: Time, server and success of each attempt.
     """
 
-    tries: deque[tuple[Seconds, BackendName, bool]] = field(factory=deque)
+    connects: deque[tuple[Seconds, BackendName, bool]] = field(factory=deque)
 
-    def note(self, server: BackendName, made: bool, now: Seconds) -> None:
-        """Take one new connection, or one that was not made in time."""
-        self.tries.append((now, server, made))
+    def record(self, server: BackendName, made: bool, now: Seconds) -> None:
+        """Record a connection attempt and whether it succeeded."""
+        self.connects.append((now, server, made))
 
-    def blocked(self, now: Seconds) -> bool:
-        """Tell whether most servers cannot be reached from here."""
-        while self.tries and self.tries[0][0] < now - WINDOW:
-            self.tries.popleft()
-        failed = [server for _, server, made in self.tries if not made]
-        enough = len(self.tries) >= LEAST_TRIES and len(set(failed)) >= LEAST_SERVERS
-        return enough and len(failed) > FAILED_SHARE * len(self.tries)
+    def is_blocked(self, now: Seconds) -> bool:
+        """Return whether most servers cannot be reached from this router."""
+        while self.connects and self.connects[0][0] < now - CONNECT_WINDOW:
+            self.connects.popleft()
+        failed = [server for _, server, made in self.connects if not made]
+        enough = (
+            len(self.connects) >= MIN_CONNECTS
+            and len(set(failed)) >= MIN_FAILED_SERVERS
+        )
+        return enough and len(failed) > MAX_FAILED_SHARE * len(self.connects)
 
 
 @define
-class PressureGauge:
-    """Tells from what was measured when to leave the rotation and when to return.
+class PressureDetector:
+    """Decides from measurements when to leave the rotation and when to return.
 
     Attributes:
-        mean: The smoothed delay of the event loop.
-        link: What new connections to servers say of the link.
-        high_since: When the router left the rotation; None while it is in it.
+        mean_delay: The smoothed delay of the event loop.
+        link: Decides whether the network link works.
+        high_since: When the router left the rotation; None while it is in rotation.
     """
 
-    mean: Seconds = 0.0
-    link: LinkGauge = field(factory=LinkGauge)
+    mean_delay: Seconds = 0.0
+    link: LinkMonitor = field(factory=LinkMonitor)
     high_since: Seconds | None = None
 
     @property
     def high(self) -> bool:
-        """Whether callers should go elsewhere."""
+        """Whether new callers should go to other routers."""
         return self.high_since is not None
 
-    def note(self, delay: Seconds, now: Seconds) -> None:
-        """Take one measurement."""
-        self.mean += (delay - self.mean) * SMOOTHING
-        blocked = self.link.blocked(now)
+    def record(self, delay: Seconds, now: Seconds) -> None:
+        """Record a measurement of the event loop's delay."""
+        self.mean_delay += (delay - self.mean_delay) * SMOOTHING
+        blocked = self.link.is_blocked(now)
         if self.high_since is None:
-            if self.mean > HIGH or blocked:
+            if self.mean_delay > HIGH_DELAY or blocked:
                 self.high_since = now
-        elif self.mean < LOW and not blocked and now - self.high_since > LEAST:
+        elif (
+            self.mean_delay < LOW_DELAY
+            and not blocked
+            and now - self.high_since > MIN_OUT_OF_ROTATION
+        ):
             self.high_since = None
 
-    def sheds(self, now: Seconds) -> bool:
-        """Tell whether connections should end: new callers go elsewhere by now."""
-        return self.high_since is not None and now - self.high_since > LEAVE
+    def should_shed(self, now: Seconds) -> bool:
+        """Return whether callers' connections should be closed.
+
+        This begins when the load balancer sends no new callers any more.
+        """
+        return self.high_since is not None and now - self.high_since > LEAVE_ROTATION
 
 
 @define(eq=False)
-class Pressure:
-    """Measures the event loop and the link, and acts on both.
+class PressureMonitor:
+    """Measures the event loop and the network link, and sheds callers under pressure.
 
     Attributes:
-        shed: Is told whether connections should end with their next answers.
-        gauge: What was measured.
+        shed: Called with whether connections should close after their next answers.
+        detector: Decides when to leave the rotation.
     """
 
     shed: Callable[[bool], None]
-    gauge: PressureGauge = field(factory=PressureGauge)
+    detector: PressureDetector = field(factory=PressureDetector)
 
     @property
     def high(self) -> bool:
-        """Whether callers should go elsewhere."""
-        return self.gauge.high
+        """Whether new callers should go to other routers."""
+        return self.detector.high
 
-    def connected(self, server: BackendName, made: bool) -> None:
-        """Take one new connection to a server, or one that was not made in time."""
-        self.gauge.link.note(server, made, anyio.current_time())
+    def record_connect(self, server: BackendName, made: bool) -> None:
+        """Record a connection attempt to a server and whether it succeeded."""
+        self.detector.link.record(server, made, anyio.current_time())
 
     async def run(self) -> None:
-        """Measure, for ever."""
+        """Measure until cancelled."""
         while True:
             before = anyio.current_time()
-            await anyio.sleep(TICK)
+            await anyio.sleep(MEASURE_INTERVAL)
             now = anyio.current_time()
-            self.step(now - before - TICK, now)
+            self.step(now - before - MEASURE_INTERVAL, now)
 
     def step(self, delay: Seconds, now: Seconds) -> None:
-        """Take one measurement, and act if it changes anything."""
-        was = self.gauge.high
-        self.gauge.note(delay, now)
-        if self.gauge.high is not was:
-            message = "too many callers" if self.gauge.high else "callers welcome again"
-            link = self.gauge.link
+        """Record a measurement, and log and act on a change."""
+        was_high = self.detector.high
+        self.detector.record(delay, now)
+        if self.detector.high is not was_high:
+            message = (
+                "too many callers" if self.detector.high else "callers welcome again"
+            )
+            link = self.detector.link
             fields = {
-                "loop_delay": round(self.gauge.mean, 3),
-                "connects": len(link.tries),
-                "connects_failed": sum(not made for _, _, made in link.tries),
+                "loop_delay": round(self.detector.mean_delay, 3),
+                "connects": len(link.connects),
+                "connects_failed": sum(not made for _, _, made in link.connects),
             }
             log.warning(message, extra=fields)
-        if was or self.gauge.high:
-            self.shed(self.gauge.sheds(now))
+        if was_high or self.detector.high:
+            self.shed(self.detector.should_shed(now))
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -1,4 +1,4 @@
-"""This router's row of limits: renewed often, and at once when a request needs it."""
+"""Renews this router's row of limits, at intervals and when a request needs it."""
 
 from __future__ import annotations
 
@@ -33,64 +33,65 @@
 log = logging.getLogger(__name__)
 
 TABLE = "limits"
-"""The table of what routers may have used, each in a part of its own.
+"""The table of the routers' spending limits, with one part per router.
 
-One part would not take the renewals of a large fleet.
+A single part could not take the renewals of a large fleet.
 """
 
-BEAT: Seconds = 0.4
-"""Between two renewals.
+RENEWAL_INTERVAL: Seconds = 0.4
+"""Interval between two renewals.
 
-What a killed router may have used grows until its successor starts, so a longer beat
-costs tokens; a shorter one costs calls, of which the store takes so many for the whole
-fleet.
+The tokens that a killed router may have used grow until its successor starts, so a
+longer interval costs tokens. A shorter one costs store calls, whose number is limited
+for the whole fleet.
 """
 
-UNUSED_BEAT: Seconds = 2.0
-"""Between two renewals of a router without a grant: they show only whether the store is
-in touch."""
+UNUSED_RENEWAL_INTERVAL: Seconds = 2.0
+"""Interval between two renewals of a router without a grant, which only check whether
+the store is reachable."""
 
-LEAST_WAIT: Seconds = 0.1
-"""The shortest wait for the answer to a renewal; it usually takes 12 ms.
+MIN_RENEWAL_TIMEOUT: Seconds = 0.1
+"""The minimum timeout of a renewal; its answer usually takes 12 ms.
 
-Requests above their limit wait 0.25 s for a renewal: an answer that was lost must show
-in time for a second one.
+Requests above their limit wait 0.25 s for a renewal. A lost answer must be detected
+early enough for a second renewal within that time.
 """
 
-MOST_WAIT: Seconds = 0.6
-"""The longest wait; a store that is slow by sixty times takes 0.5 s."""
+MAX_RENEWAL_TIMEOUT: Seconds = 0.6
+"""The maximum timeout of a renewal; a store that is sixty times slower takes 0.5 s."""
 
-WAIT_FACTOR = 8.0
-"""The wait in usual times of an answer; each answer that does not come doubles it."""
+TIMEOUT_FACTOR = 8.0
+"""The timeout as a multiple of the usual answer time; each timeout doubles it."""
 
-WEIGHT = 0.2
-"""The weight of the last answer's time in the usual one."""
+LATENCY_WEIGHT = 0.2
+"""The weight of the last answer's time in the smoothed answer time."""
 
-MOST_MISSES = 2
-"""Renewals in a row without an answer that mean that the store is out of reach.
+MAX_MISSES = 2
+"""Unanswered renewals in a row after which the store counts as unreachable.
 
-One is an answer that was lost, of which the next renewal tells.
+A single one may be a lost answer, which the next renewal detects.
 """
 
-LONG_AGO: Seconds = 1e6
-"""How long a life went on of which that is not known yet: nothing is proved of it."""
+UNKNOWN_ELAPSED: Seconds = 1e6
+"""The assumed elapsed time of a predecessor until the real one is known. With it, none
+of the predecessor's tokens count as unspent."""
 
-MOST_UNRECLAIMED = 4
-"""Lives that a row remembers; four kills in a row within one reclaim are rare, and a
-row has 64 KB."""
+MAX_UNRECLAIMED = 4
+"""Maximum number of predecessors that the row of limits names. Four kills before a
+reclaim are rare, and a row is limited to 64 KB."""
 
 
 @frozen
 class LimitsRow:
-    """What a life of a VM's router may have used, at ``limits/{vm}/row``.
+    """What an incarnation of a VM's router may have used, at ``limits/{vm}/row``.
 
     Attributes:
-        router: Which life of the VM's router.
-        address: Where the VM is; another VM may bear its name later.
-        renewed_at: The store's clock when this was sent, or earlier.
-        number: Which renewal of this life it is.
+        router: The incarnation.
+        address: The VM's address; another VM may get the same name later.
+        renewed_at: The store's clock when the row was sent, or earlier.
+        number: The number of this renewal, within the incarnation.
         limits: How much of its grants the router may have used.
-        unreclaimed: Lives before this one whose grants were not returned yet.
+        unreclaimed: Earlier incarnations whose grants were not returned yet.
     """
 
     router: RouterId
@@ -103,16 +104,16 @@
 
 @define
 class StoreClock:
-    """The store's steady clock as of now, or earlier, never later.
+    """An estimate of the store's monotonic clock that is never ahead of it.
 
-    A VM that freezes does not count the time, so the estimate stays behind.
+    While a VM is frozen its clock stands still, so the estimate falls behind.
     """
 
     reading: Seconds = 0.0
     at: Seconds = 0.0
 
-    def heard(self, reading: Seconds) -> None:
-        """Note the clock in an answer that has just arrived."""
+    def update(self, reading: Seconds) -> None:
+        """Set the clock from an answer that has just arrived."""
         self.reading = reading
         self.at = anyio.current_time()
 
@@ -125,24 +126,25 @@
 
 @define(eq=False)
 class Renewals:
-    """Renews the row that says what this router may have used of its grants.
+    """Renews the row that states how much of its grants this router may have used.
 
     Attributes:
         store: The store.
         name: This VM's name.
-        address: Where it is.
-        incarnation: This life of it.
-        wanted: Returns what the next renewal should say of each grant.
-        began_at: When this process began, as near as it can tell.
-        limits: The renewals that count.
-        replaced: The row that this life took over; None if there was none.
-        unreclaimed: The lives before this one whose grants are not returned yet.
-        started: Set once the VM's row is this life's.
-        version: The version of the own row.
-        misses: Renewals in a row that failed.
-        wait: How long the next one is waited for.
-        asked: Set when a renewal should not wait for its turn.
-        renewed: Set when the next renewal to be sent has ended, well or not.
+        address: This VM's address.
+        incarnation: This router's incarnation.
+        wanted: Returns the limits that the next renewal should state.
+        began_at: When this process began, as early as it could be measured.
+        limits: The renewals whose limits apply.
+        previous_row: The row of the previous incarnation; None if there was none.
+        unreclaimed: Earlier incarnations whose grants are not returned yet.
+        started: Set when this incarnation has written the VM's row.
+        version: The version of this router's row.
+        misses: The number of failed renewals in a row; a certain failure counts as
+            `MAX_MISSES`.
+        timeout: The timeout of the next renewal.
+        requested: Set to send a renewal at once.
+        renewal_ended: Set when the next renewal to be sent has succeeded or failed.
     """
 
     store: GatewayStore
@@ -152,86 +154,87 @@
     wanted: Callable[[], Limits]
     began_at: Seconds = field(factory=anyio.current_time)
     limits: LimitBook = field(factory=LimitBook)
-    replaced: LimitsRow | None = None
+    previous_row: LimitsRow | None = None
     unreclaimed: tuple[Predecessor, ...] = ()
     started: anyio.Event = field(factory=anyio.Event)
     version: int = 0
     misses: int = 0
-    wait: Seconds = LEAST_WAIT
+    timeout: Seconds = MIN_RENEWAL_TIMEOUT
     clock: StoreClock = field(factory=StoreClock)
-    asked: anyio.Event = field(factory=anyio.Event)
-    renewed: anyio.Event = field(factory=anyio.Event)
+    requested: anyio.Event = field(factory=anyio.Event)
+    renewal_ended: anyio.Event = field(factory=anyio.Event)
 
     @property
     def key(self) -> str:
-        """Return the key of the own row of limits."""
+        """The key of this router's row of limits."""
         return f"{TABLE}/{self.name}/row"
 
     @property
-    def beat(self) -> Seconds:
-        """Return the time to the next renewal that nobody asks for."""
+    def interval(self) -> Seconds:
+        """The time until the next renewal unless one is requested."""
         confirmed = self.limits.confirmed
         unused = confirmed is not None and not confirmed.limits and not self.misses
-        return UNUSED_BEAT if unused else BEAT
+        return UNUSED_RENEWAL_INTERVAL if unused else RENEWAL_INTERVAL
 
     def in_touch(self) -> bool:
-        """Tell whether renewals arrive, but for one whose answer may be lost."""
-        return self.started.is_set() and self.misses < MOST_MISSES
+        """Return whether the store is reachable, tolerating a single lost answer."""
+        return self.started.is_set() and self.misses < MAX_MISSES
 
     async def run(self) -> None:
-        """Renew, for ever.
+        """Renew until cancelled.
 
-        The first renewal waits for nothing: until it is acknowledged, no token may
-        be used, and after a power cut of all VMs nobody else serves either.
+        The first renewal is sent at once: no token may be used until it is
+        acknowledged, and after a power cut of all VMs no other router can serve
+        meanwhile.
         """
         while True:
-            self.asked = anyio.Event()
-            renewed, self.renewed = self.renewed, anyio.Event()
+            self.requested = anyio.Event()
+            renewal_ended, self.renewal_ended = self.renewal_ended, anyio.Event()
             try:
                 await self.step()
                 self.note_renewed()
             except PlatformError as error:
                 self.note_missed(error)
             finally:
-                renewed.set()
-            with anyio.move_on_after(self.beat):
-                await self.asked.wait()
+                renewal_ended.set()
+            with anyio.move_on_after(self.interval):
+                await self.requested.wait()
 
     async def renew_now(self) -> None:
-        """Have a renewal sent at once, and return when it has ended.
+        """Send a renewal at once, and return when it has ended.
 
-        One that is under way does not say yet what its caller needs, so the next
-        one is waited for; all who wait meanwhile share it.
+        A renewal that is already being sent does not contain this caller's limit, so
+        this waits for the next one. Concurrent callers share it.
         """
-        renewed = self.renewed
-        self.asked.set()
-        await renewed.wait()
+        renewal_ended = self.renewal_ended
+        self.requested.set()
+        await renewal_ended.wait()
 
     def note_renewed(self) -> None:
-        """Log that renewals work again, if they did not."""
+        """Reset the count of failed renewals, and log that they succeed again."""
         if self.misses:
             log.info("limits renewed again", extra={"life": self.incarnation})
         self.misses = 0
 
     def note_missed(self, error: PlatformError) -> None:
-        """Count a renewal that failed, and log the first of several."""
+        """Count a failed renewal, and log the first of several."""
         if not self.misses:
             fields = {"error": error.code, "detail": str(error)}
             log.warning("limits not renewed", extra=fields)
         refused = not isinstance(error, UnknownOutcomeError)
-        self.misses += MOST_MISSES if refused else 1
+        self.misses += MAX_MISSES if refused else 1
 
     async def step(self) -> None:
-        """Take the VM's row over, or renew it."""
+        """Take over the VM's row, or renew it."""
         if not self.started.is_set():
             await self.start()
         else:
             if self.limits.doubtful or self.misses:
-                await self.look()
+                await self.read_own_row()
             await self.write(AtVersion(self.key, self.version))
 
     async def start(self) -> None:
-        """Take over the VM's row from the life before, and remember that one."""
+        """Take over the VM's row, and record the previous incarnation in it."""
         rows = await self.store.scan(self.key)
         found = next((row for row in rows if row.key == self.key), None)
         check: Check = Absent(self.key)
@@ -239,55 +242,55 @@
             check = AtVersion(self.key, found.version)
             self.take_over_from(found)
         await self.write(check)
-        self.judge()
+        self.compute_elapsed()
         self.started.set()
 
     def take_over_from(self, row: Row) -> None:
-        """Take over from the life that wrote the VM's row.
+        """Take over a row that was found at this VM's key.
 
-        Of a row that somebody else wrote nothing can be proved.  It is written anew;
-        else this VM would never start.
+        Nothing is known about the grants of a damaged row. It is overwritten, since
+        this router could never start otherwise.
         """
         try:
             self.take_over(read_row(row, LimitsRow))
         except DamagedRowError as error:
-            log.error("limits damaged", extra={"detail": str(error)})
+            log.error("limits row damaged", extra={"detail": str(error)})
 
-    def take_over(self, before: LimitsRow) -> None:
-        """Note the lives before this one whose grants have to be returned."""
-        if before.router == self.incarnation:
-            # A first write of this life, whose answer was lost.
-            self.limits.took_effect(before.number)
+    def take_over(self, previous: LimitsRow) -> None:
+        """Record the earlier incarnations whose grants have to be returned."""
+        if previous.router == self.incarnation:
+            # The row is this incarnation's first write, whose answer was lost.
+            self.limits.took_effect(previous.number)
             return
-        if before.address != self.address:
+        if previous.address != self.address:
             return
-        self.replaced = before
-        life = Predecessor(before.router, LONG_AGO, before.limits)
-        self.unreclaimed = (*before.unreclaimed, life)[-MOST_UNRECLAIMED:]
-
-    def judge(self) -> None:
-        """Find out how long the life before this one can have gone on."""
-        before = self.replaced
-        if before is None or not before.renewed_at:
+        self.previous_row = previous
+        predecessor = Predecessor(previous.router, UNKNOWN_ELAPSED, previous.limits)
+        self.unreclaimed = (*previous.unreclaimed, predecessor)[-MAX_UNRECLAIMED:]
+
+    def compute_elapsed(self) -> None:
+        """Compute how long the predecessor may have run after its last renewal."""
+        previous = self.previous_row
+        if previous is None or not previous.renewed_at:
             return
-        # The other life had ended when this one began.  The time since then is not
-        # its; a store that was away at the start would else count against it.
-        since = self.clock.reading - before.renewed_at
+        # The previous process had ended when this one began, so the time since then is
+        # subtracted. Otherwise an outage of the store at the start would count too.
+        since = self.clock.reading - previous.renewed_at
         elapsed = since - (self.clock.at - self.began_at)
-        fields = {"predecessor": before.router, "elapsed": round(elapsed, 2)}
+        fields = {"predecessor": previous.router, "elapsed": round(elapsed, 2)}
         log.info("predecessor found", extra=fields)
-        life = Predecessor(before.router, elapsed, before.limits)
-        self.unreclaimed = (*self.unreclaimed[:-1], life)
+        predecessor = Predecessor(previous.router, elapsed, previous.limits)
+        self.unreclaimed = (*self.unreclaimed[:-1], predecessor)
 
     def reclaimed(self, router: RouterId) -> None:
-        """Forget a life whose grants were returned; the next renewal says so."""
+        """Drop a predecessor whose grants were returned; the next renewal omits it."""
         self.unreclaimed = tuple(p for p in self.unreclaimed if p.router != router)
 
     async def write(self, check: Check) -> None:
-        """Write the own row, and note whether that may have had an effect.
+        """Write this router's row, and record whether the write may have taken effect.
 
         Raises:
-            PlatformError: The store did not do what was asked.
+            PlatformError: The write failed, or its outcome is unknown.
         """
         renewal = self.limits.propose(self.wanted(), anyio.current_time())
         row = LimitsRow(
@@ -306,31 +309,34 @@
             self.limits.had_no_effect(renewal.number)
             raise
         self.version = committed.version
-        self.clock.heard(committed.now)
+        self.clock.update(committed.now)
         self.limits.took_effect(renewal.number)
 
     async def commit_in_time(self, transaction: Transaction) -> Committed:
-        """Commit, and wait for the answer for as long as answers take of late.
+        """Commit a transaction, with a timeout that follows recent answer times.
 
         Raises:
-            PlatformError: The store did not do what was asked, or no answer came.
+            PlatformError: The commit failed, or no answer came within the timeout.
         """
         began = anyio.current_time()
-        with anyio.move_on_after(self.wait):
+        with anyio.move_on_after(self.timeout):
             committed = await self.store.commit(transaction)
             taken = anyio.current_time() - began
-            self.limits.delay += (taken - self.limits.delay) * WEIGHT
-            self.wait = min(MOST_WAIT, max(LEAST_WAIT, WAIT_FACTOR * self.limits.delay))
+            self.limits.delay += (taken - self.limits.delay) * LATENCY_WEIGHT
+            self.timeout = min(
+                MAX_RENEWAL_TIMEOUT,
+                max(MIN_RENEWAL_TIMEOUT, TIMEOUT_FACTOR * self.limits.delay),
+            )
             return committed
-        waited = self.wait
-        self.wait = min(MOST_WAIT, 2 * self.wait)
+        waited = self.timeout
+        self.timeout = min(MAX_RENEWAL_TIMEOUT, 2 * self.timeout)
         raise UnknownOutcomeError(f"no answer to a renewal in {waited:.2f} s")
 
-    async def look(self) -> None:
-        """Read the own row after a renewal that was left in doubt.
+    async def read_own_row(self) -> None:
+        """Read this router's row after a renewal with an unknown outcome.
 
         Raises:
-            ConflictError: Another router has this VM's row.
+            ConflictError: The row is damaged or belongs to another router.
         """
         for row in await self.store.scan(self.key):
             if row.key != self.key:
@@ -338,24 +344,26 @@
             try:
                 found = read_row(row, LimitsRow)
             except DamagedRowError as error:
-                raise ConflictError("somebody wrote this VM's row") from error
+                raise ConflictError("this VM's row of limits is damaged") from error
             if found.router != self.incarnation:
-                raise ConflictError("another router has this VM's row", (self.key,))
+                raise ConflictError(
+                    "another router wrote this VM's row of limits", (self.key,)
+                )
             self.version = row.version
             self.limits.took_effect(found.number)
 
     async def leave(self) -> None:
-        """Remove the own row, as the process ends, if it tells of nobody else.
+        """Remove this router's row when the process ends, unless it is still needed.
 
-        Until this life has taken the VM's row over, that is its predecessor's; and as
-        long as a life's grants were not returned, only this row tells of them.  Without
-        it nobody would ever look for those tokens.
+        Before this incarnation has taken over the VM's row, the row is its
+        predecessor's. While a predecessor's grants are not returned, only this row
+        names them, and without it their tokens would be lost.
         """
         if not self.started.is_set() or self.unreclaimed:
-            lives = [life.router for life in self.unreclaimed]
-            log.info("limits kept for a successor", extra={"lives": lives})
+            lives = [predecessor.router for predecessor in self.unreclaimed]
+            log.info("limits row kept for a successor", extra={"lives": lives})
             return
         try:
             await self.store.commit(Transaction((), (Delete(self.key),)))
         except PlatformError as error:
-            log.info("limits not removed", extra={"error": error.code})
+            log.info("limits row not removed", extra={"error": error.code})
--- a/ebonyhold/gateway/_knowledge.py
+++ b/ebonyhold/gateway/_routing_state.py
@@ -1,4 +1,4 @@
-"""What a gateway believes: the rules in force and the backend servers."""
+"""The configuration and the backend servers that a gateway routes by."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 @define(eq=False)
-class Knowledge:
-    """Takes rows from the watchers and keeps what they mean.
+class RoutingState:
+    """Decodes rows from the watchers and keeps the current state.
 
     Attributes:
-        peers: Decodes the rows.
+        platform: Decodes the rows.
         rules: The rules in force; None before the first ones.
         backends: The backend servers.
     """
 
-    peers: Peers
+    platform: Peers
     rules: Ruleset | None = None
     backends: BackendTable = field(factory=BackendTable)
 
-    def take_rules(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
-        """Put a newer configuration into force; an older one never."""
+    def apply_rules(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
+        """Put the configuration into force if its version is newer."""
         del after_outage
         for row in rows:
-            if row.key != self.peers.rules_key or row.deleted:
+            if row.key != self.platform.rules_key or row.deleted:
                 continue
             try:
-                rules = self.peers.read_rules(row.value)
+                rules = self.platform.read_rules(row.value)
             except ConfigurationError as error:
                 log.error("configuration rejected", extra={"detail": str(error)})
                 continue
@@ -48,44 +48,44 @@
             log.info("configuration in force", extra=fields)
 
     def replace_servers(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
-        """Take the whole list of servers."""
+        """Replace the list of servers by the rows of a snapshot."""
         listed: dict[BackendName, Backend] = {}
         for row in rows:
-            backend = self.read(row)
+            backend = self.read_entry(row)
             if backend is not None:
                 listed[row.key] = backend
         self.backends.replace(listed, anyio.current_time(), after_outage)
 
-    def change_servers(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
-        """Take changes of the list of servers.
+    def update_servers(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
+        """Apply changes to the list of servers.
 
-        An entry that cannot be read names no server, so it counts as removed; it
-        was written just now and has not lapsed.
+        A malformed entry counts as a removed server. It was written just now, so it did
+        not lapse in an outage.
         """
         now = anyio.current_time()
         for row in rows:
-            backend = None if row.deleted else self.read(row)
+            backend = None if row.deleted else self.read_entry(row)
             if backend is not None:
                 self.backends.update(backend)
             else:
                 lapsed = row.deleted and after_outage
                 self.backends.remove(row.key, now, lapsed)
 
-    def read(self, row: RawRow) -> Backend | None:
-        """Decode a server's entry; None if it names no server to use."""
+    def read_entry(self, row: RawRow) -> Backend | None:
+        """Decode a server's entry; return None if it is malformed."""
         try:
-            return self.peers.read_backend(row.key, row.value)
+            return self.platform.read_backend(row.key, row.value)
         except MalformedEntryError as error:
             fields = {"backend": row.key, "detail": str(error)}
             log.warning("server entry ignored", extra=fields)
             return None
 
     def limits(self) -> CallerLimits:
-        """Return what callers are held to."""
+        """Return the limits on callers' requests and connections."""
         return self.rules.limits if self.rules else CallerLimits()
 
     def prepaid(self, workspace: WorkspaceName) -> tuple[int, Tokens | None]:
-        """Return the version in force and a workspace's prepaid tokens."""
+        """Return the configuration version and a workspace's prepaid tokens."""
         if self.rules is None:
             return 0, None
         known = self.rules.workspaces.get(workspace)
--- a/ebonyhold/gateway/_signals.py
+++ b/ebonyhold/gateway/_signals.py
@@ -1,4 +1,4 @@
-"""The signals of a gateway, also in the last moments of its process."""
+"""Signal handling of a gateway, from the start of its process to its exit."""
 
 from __future__ import annotations
 
@@ -11,30 +11,29 @@
 WATCHED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def hold_signals() -> None:
-    """Let signals wait until somebody watches for them.
+def block_signals() -> None:
+    """Block signals until `watched_signals` receives them.
 
-    One that came between the first line of a process and the handlers of its event loop
-    would end it with an error's status; it leads to an orderly stop instead.  Threads
-    that are started before that would take such signals; there are none.
+    Otherwise a signal between the process's first line and the event loop's handlers
+    would end it with an error status, where an orderly stop is due. Threads that are
+    started earlier would receive such signals; there are none.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, WATCHED)
 
 
 @contextmanager
 def watched_signals() -> Iterator[AsyncIterator[signal.Signals]]:
-    """Receive signals; those that come after the end of this change nothing.
+    """Receive signals; ignore those that arrive after this has ended.
 
-    Between the end of the event loop and that of the interpreter none of its handlers
-    stands any more, and a signal that comes then, as a second one of an operator, would
-    end an orderly stop with an error's status.
+    Between the end of the event loop and that of the interpreter its handlers are gone.
+    A second signal of an operator would then end an orderly stop with an error status.
     """
     try:
         with anyio.open_signal_receiver(*WATCHED) as signals:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, WATCHED)
             yield signals
     except Exception:
-        # Whoever watches starts again, and until then a signal has its usual effect.
+        # The caller starts to watch again; until then a signal has its default effect.
         raise
     except BaseException:
         ignore_signals()
@@ -42,6 +41,6 @@
 
 
 def ignore_signals() -> None:
-    """Let signals pass without effect from here on."""
+    """Ignore the watched signals from now on."""
     for number in WATCHED:
         signal.signal(number, signal.SIG_IGN)
--- a/ebonyhold/gateway/_stop.py
+++ b/ebonyhold/gateway/_stop.py
@@ -1,4 +1,4 @@
-"""The orderly stop of a gateway: what happens between the signal and the exit."""
+"""The orderly stop of a gateway, from the signal to the exit."""
 
 from __future__ import annotations
 
@@ -16,87 +16,94 @@
 log = logging.getLogger(__name__)
 
 LEAVE_ROTATION: Seconds = 2.6
-"""From the signal until the balancer sends no new caller here, unless it needs every VM
-of the domain: two questions a second apart, and some time for the second answer to take
-effect."""
+"""Time until the load balancer sends no new callers, unless it needs every VM of the
+failure domain: two readiness checks a second apart, and some time for the second result
+to take effect."""
 
 END_MARGIN: Seconds = 0.9
-"""From the last answer to the kill: returning what the last requests held, which takes
-12 ms while the store answers, and `LEAVE_TIMEOUT`, `LAST_LOOK` and `EXIT_TIME`."""
+"""Time from the last answer to the kill. It covers returning the last requests' tokens,
+which takes 12 ms while the store answers, and `LEAVE_TIMEOUT`, `LAST_REQUEST_TIMEOUT`
+and `EXIT_TIME`."""
 
 RETURN_LEAD: Seconds = 0.6
-"""How long before the last answer grants begin to go back, with requests still open: as
-long as the slowest answers of the store take."""
+"""Grants are returned this long before the last answer, although requests are still
+open. It is as long as the slowest answers of the store take."""
 
 LEAVE_TIMEOUT: Seconds = 0.2
-"""How long a stopping process tries to remove its rows."""
+"""Timeout for removing this router's rows."""
 
-LAST_LOOK: Seconds = 0.05
-"""How long callers who have just connected may take to send their request: some ten
-times the way from the farthest of them."""
+LAST_REQUEST_TIMEOUT: Seconds = 0.05
+"""Time for callers that have just connected to send their request: about ten times the
+network delay of the farthest caller."""
 
-LAST_ANSWERS: Seconds = 0.1
-"""How long the last answers, all of them short, may take to be written."""
+LAST_ANSWERS_TIMEOUT: Seconds = 0.1
+"""Timeout for writing the last answers, all of which are short."""
 
 EXIT_TIME: Seconds = 0.2
-"""What the interpreter takes to end, before the kill."""
+"""Time that the interpreter needs to exit before the kill."""
 
 
 class Grants(Protocol):
-    """The grants of a router, as its stop needs them."""
+    """The grants of a router, as far as its stop uses them."""
 
     async def close(self, timeout: Seconds) -> bool:
-        """Return what is free within so many seconds; tell whether all went back."""
+        """Give free tokens back to the budgets; return whether this is complete."""
         ...
 
 
 @frozen
 class StopTimes:
-    """When the steps of a stop end at the latest.
+    """The times of the steps of a stop.
 
     Attributes:
-        told_at: When the signal came.
-        grace: From there to the kill.
+        signalled_at: When the signal arrived.
+        grace: Time from the signal to the kill.
     """
 
-    told_at: Seconds
+    signalled_at: Seconds
     grace: Seconds
 
     @property
     def kill_at(self) -> Seconds:
-        """When the platform kills what is left."""
-        return self.told_at + self.grace
+        """When the platform kills the process."""
+        return self.signalled_at + self.grace
 
     @property
     def last_answer_at(self) -> Seconds:
-        """When the last answer has to be out."""
+        """When the last answer must have been sent."""
         return self.kill_at - END_MARGIN
 
     @property
-    def return_from(self) -> Seconds:
-        """When grants go back although requests are open."""
+    def early_return_at(self) -> Seconds:
+        """When grants are returned although requests are still open."""
         return self.last_answer_at - RETURN_LEAD
 
     @property
-    def returned_by(self) -> Seconds:
+    def return_deadline(self) -> Seconds:
         """When returning grants is given up."""
-        return self.kill_at - LEAVE_TIMEOUT - LAST_LOOK - LAST_ANSWERS - EXIT_TIME
+        return (
+            self.kill_at
+            - LEAVE_TIMEOUT
+            - LAST_REQUEST_TIMEOUT
+            - LAST_ANSWERS_TIMEOUT
+            - EXIT_TIME
+        )
 
 
 @define(eq=False)
 class GatewayStop:
-    """Leads a gateway from serving to its end.
+    """Stops a gateway in order.
 
-    The listener stays open until the process ends.  A connection that is refused before
-    costs its caller a try, and where stops overlap the balancer goes on sending callers
-    here; a request that is read and then cut gets no answer at all.  So each is either
-    taken because it can end, or refused at once, and the process waits for all of them
-    before its last step.
+    The listener stays open until the process ends. A refused connection would cost its
+    caller an attempt, and the load balancer goes on sending callers here where stops
+    overlap. A request that is read and then cut would get no answer at all. So each
+    request is either accepted, because it can finish in time, or refused at once, and
+    the process waits for all of them before its last step.
 
     Attributes:
-        listener: The callers' side.
-        departure: What late requests are judged by.
-        grants: What goes back before the end.
+        listener: Serves the callers' connections.
+        departure: Decides which late requests are accepted.
+        grants: The grants, which are returned before the exit.
         leave: Removes this router's rows.
     """
 
@@ -106,30 +113,30 @@
     leave: Callable[[], Awaitable[None]]
 
     async def run(self, grace: Seconds) -> None:
-        """Stop within the grace, in seconds."""
+        """Stop within the grace period, in seconds."""
         times = StopTimes(anyio.current_time(), grace)
         self.departure.begin(times.last_answer_at)
         self.listener.start_draining()
         await anyio.sleep(min(LEAVE_ROTATION, grace / 2))
         self.departure.stage = Stage.LEAVING
-        with anyio.CancelScope(deadline=times.return_from):
+        with anyio.CancelScope(deadline=times.early_return_at):
             await self.listener.until_idle()
         await self.return_early(times)
         await self.end_requests(times)
-        await self.settle(times)
+        await self.return_grants(times)
         await self.close_listener()
 
     async def return_early(self, times: StopTimes) -> None:
-        """Return what no open request may need, while these go on."""
+        """Return the tokens that no open request can need."""
         self.departure.stage = Stage.RETURNING
         await self.grants.close(times.last_answer_at - anyio.current_time())
 
     async def end_requests(self, times: StopTimes) -> None:
-        """Wait for the requests that were taken; refuse all others from here on."""
+        """Wait for accepted requests, and refuse all others from then on."""
         with anyio.CancelScope(deadline=times.last_answer_at):
             await self.listener.until_idle()
         self.departure.stage = Stage.OVER
-        with anyio.move_on_after(LAST_ANSWERS):
+        with anyio.move_on_after(LAST_ANSWERS_TIMEOUT):
             await self.listener.until_idle()
         fields = {
             "left": self.listener.begun,
@@ -138,29 +145,31 @@
         }
         log.info("requests ended", extra=fields)
 
-    async def settle(self, times: StopTimes) -> None:
-        """Return what the last requests left of their holds, and the own rows.
+    async def return_grants(self, times: StopTimes) -> None:
+        """Return the tokens of the last requests, and remove this router's rows.
 
-        While the rows stand, a successor knows whose grants to reclaim; that of a
-        request that goes on is not back, whatever has been returned.
+        While the rows exist, a successor can reclaim the grants that they name. They
+        are kept while a request is open, since its tokens have not been returned.
         """
-        returned = await self.grants.close(times.returned_by - anyio.current_time())
+        returned = await self.grants.close(times.return_deadline - anyio.current_time())
         if returned and not self.listener.begun:
             with anyio.move_on_after(LEAVE_TIMEOUT):
                 await self.leave()
 
     async def close_listener(self) -> None:
-        """Close the door, and answer those who came through it just before."""
+        """Stop accepting, and answer the callers that connected just before."""
         self.listener.stop_accepting()
-        with anyio.move_on_after(LAST_LOOK):
-            # Until then a connection may be accepted that nobody counts yet.
+        with anyio.move_on_after(LAST_REQUEST_TIMEOUT):
+            # Until the listener is closed it may accept a connection that is not
+            # counted yet.
             await self.listener.until_closed()
             await self.listener.until_empty()
         self.listener.close_idle()
         self.listener.interrupt_reading()
-        # A request whose first bytes came in this very step begins with the next one.
+        # A request whose first bytes arrived in this step of the event loop begins to
+        # be read in the next one.
         await anyio.lowlevel.checkpoint()
         self.listener.interrupt_reading()
-        with anyio.move_on_after(LAST_ANSWERS):
+        with anyio.move_on_after(LAST_ANSWERS_TIMEOUT):
             await self.listener.until_empty()
         log.info("listener closed", extra={"open": len(self.listener.connections)})
--- a/ebonyhold/gateway/_supervision.py
+++ b/ebonyhold/gateway/_supervision.py
@@ -1,8 +1,7 @@
-"""What a gateway does when one of its tasks fails: which task, and with what error.
+"""Supervision of the gateway's tasks: what happens when one of them fails.
 
-All tasks share one process with every request, stream and hold in it.  None of them
-may end it by an error of its own, and none may fail without a line in the log and a
-count in the metrics.
+All tasks share one process with every request, stream and hold. An error in one task
+must not end the process by itself, and each failure is logged and counted.
 """
 
 from __future__ import annotations
@@ -27,38 +26,40 @@
 
 Args = TypeVarTuple("Args")
 
-FIRST_PAUSE: Seconds = 0.25
-"""Before the first restart of a task that asks the store or opens a port: what it ran
-into takes some 12 ms of a call to be asked again, and may pass by itself."""
+FIRST_RESTART_DELAY: Seconds = 0.25
+"""Delay before the first restart of a task that calls the store or opens a port. A
+retry costs a store call of about 12 ms, and the cause may be transient."""
 
-NEXT_PAUSE: Seconds = 0.05
-"""Before the second restart of a task that is restarted at once; then it doubles."""
+SECOND_RESTART_DELAY: Seconds = 0.05
+"""Delay before the second restart of a task that is restarted at once; it doubles with
+each further one."""
 
-MOST_PAUSE: Seconds = 2.0
-"""The longest pause: changes must be in force within two seconds."""
+MAX_RESTART_DELAY: Seconds = 2.0
+"""The maximum delay; changes must be in force within two seconds."""
 
-SELDOM: Seconds = 30.0
-"""Between two tries of what no request needs; a scrape comes each 15 s or so."""
+RARE_RETRY_DELAY: Seconds = 30.0
+"""Delay before a task is restarted that no request needs; metrics are scraped about
+every 15 s."""
 
-STEADY: Seconds = 10.0
-"""A task that ran for this long without a failure counts as sound again."""
+STABLE_AFTER: Seconds = 10.0
+"""A task that ran this long before it failed starts again with the first delay."""
 
-MOST_DOUBLINGS = 8
-"""Doublings of a pause that are counted; the longest pause comes before."""
+MAX_DOUBLINGS = 8
+"""Maximum number of doublings of a delay; the maximum delay is reached earlier."""
 
-EXIT_SOUND = 0
+EXIT_OK = 0
 """The exit status of a process that was told to stop."""
 
 EXIT_PORT = 3
-"""The exit status of a process that could not listen where callers or the platform's
-questions of readiness go; 2 is that of settings that cannot be used."""
+"""The exit status of a process that could not listen at its port for callers or for
+readiness checks; 2 means unusable settings."""
 
 EXIT_FAULT = 4
-"""The exit status of a process that stopped in order for a fault of its own."""
+"""The exit status after an orderly stop that a fault of the process caused."""
 
 
-class Act(Enum):
-    """What is done about a task that failed."""
+class Action(Enum):
+    """The action that follows a task's failure."""
 
     RESTART = "restart"
     LEAVE = "leave"
@@ -68,201 +69,209 @@
 
 @frozen
 class Policy:
-    """What is done about a task that failed, and when.
+    """The action that follows a task's failure, and its delays.
 
     Attributes:
-        name: What the log calls it.
-        act: What is done.
-        first: The pause before the first restart.
-        next: The pause before the second one, which doubles with each further one.
-        most: The longest pause.
+        name: The policy's name in logs and metrics.
+        action: The action.
+        first: The delay before the first restart.
+        next: The delay before the second one, which doubles with each further one.
+        max_delay: The longest delay.
     """
 
     name: str
-    act: Act
+    action: Action
     first: Seconds = 0.0
-    next: Seconds = NEXT_PAUSE
-    most: Seconds = MOST_PAUSE
+    next: Seconds = SECOND_RESTART_DELAY
+    max_delay: Seconds = MAX_RESTART_DELAY
 
-    def pause(self, failures: int) -> Seconds:
-        """Return the pause after so many failures in a row, the last one counted.
+    def delay(self, failures: int) -> Seconds:
+        """Return the delay after this many failures in a row.
 
-        >>> [AT_ONCE.pause(failures) for failures in (1, 2, 3, 4, 20)]
+        >>> [AT_ONCE.delay(failures) for failures in (1, 2, 3, 4, 20)]
         [0.0, 0.05, 0.1, 0.2, 2.0]
-        >>> [AFTER_PAUSE.pause(failures) for failures in (1, 2, 3, 4, 5, 20)]
+        >>> [AFTER_PAUSE.delay(failures) for failures in (1, 2, 3, 4, 5, 20)]
         [0.25, 0.25, 0.5, 1.0, 2.0, 2.0]
         """
         if failures <= 1:
             return self.first
-        doubled: Seconds = self.next * 2 ** min(failures - 2, MOST_DOUBLINGS)
-        return min(self.most, doubled)
+        doubled: Seconds = self.next * 2 ** min(failures - 2, MAX_DOUBLINGS)
+        return min(self.max_delay, doubled)
 
 
-AT_ONCE = Policy("restart at once", Act.RESTART)
+AT_ONCE = Policy("restart at once", Action.RESTART)
 AFTER_PAUSE = Policy(
-    "restart after a pause", Act.RESTART, first=FIRST_PAUSE, next=FIRST_PAUSE
+    "restart after a pause",
+    Action.RESTART,
+    first=FIRST_RESTART_DELAY,
+    next=FIRST_RESTART_DELAY,
 )
-NOW_AND_THEN = Policy(
-    "try again seldom", Act.RESTART, first=SELDOM, next=SELDOM, most=SELDOM
+RETRY_RARELY = Policy(
+    "try again seldom",
+    Action.RESTART,
+    first=RARE_RETRY_DELAY,
+    next=RARE_RETRY_DELAY,
+    max_delay=RARE_RETRY_DELAY,
 )
-ALONE = Policy("ends alone", Act.LEAVE)
-ORDERLY_STOP = Policy("orderly stop", Act.STOP)
-EXIT_NOW = Policy("exit at once", Act.EXIT)
+FAIL_ALONE = Policy("ends alone", Action.LEAVE)
+ORDERLY_STOP = Policy("orderly stop", Action.STOP)
+EXIT_NOW = Policy("exit at once", Action.EXIT)
 
 
 @frozen
-class Rule:
-    """What is done about one task.
+class TaskRule:
+    """How one task's failures are handled.
 
     Attributes:
-        task: Which one.
-        failure: What its failure means.
-        policy: What is done about it.
-        because: Why that.
-        no_port: What is done instead if it cannot listen at its address.
+        task: The task's name.
+        failure: The effect of its failure.
+        policy: The policy that is applied.
+        reason: Why this policy.
+        port_policy: The policy if the task cannot listen at its address; None for the
+            same.
     """
 
     task: str
     failure: str
     policy: Policy
-    because: str
-    no_port: Policy | None = None
+    reason: str
+    port_policy: Policy | None = None
 
     def policy_for(self, error: Exception) -> Policy:
-        """Return what is done about an error."""
-        if self.no_port is not None and isinstance(error, ListenError):
-            return self.no_port
+        """Return the policy for an error."""
+        if self.port_policy is not None and isinstance(error, ListenError):
+            return self.port_policy
         return self.policy
 
 
-RULES: dict[str, Rule] = {
+TASK_RULES: dict[str, TaskRule] = {
     rule.task: rule
     for rule in (
-        Rule(
+        TaskRule(
             "signals",
             "the next signal would end the process without a stop in order",
             AT_ONCE,
             "it keeps nothing, and until it is back a signal cuts requests",
         ),
-        Rule(
+        TaskRule(
             "rules",
             "the configuration in force grows old",
             AFTER_PAUSE,
             "requests are served by what is known; the next call goes on from the "
             "last version",
         ),
-        Rule(
+        TaskRule(
             "servers",
             "the list of servers grows old",
             AFTER_PAUSE,
             "the same; servers that left show by failed connections",
         ),
-        Rule(
+        TaskRule(
             "renewals",
             "what a successor may assume of this life is not what it does",
             ORDERLY_STOP,
             "an error that is not the store's leaves in doubt which limit binds",
         ),
-        Rule(
+        TaskRule(
             "presence",
             "other routers count one less after a few counts, and ask others for "
             "tokens",
             AFTER_PAUSE,
             "only shares of budgets and their holders follow from the count",
         ),
-        Rule(
+        TaskRule(
             "treasury",
             "rows, ledger and changes in doubt may not agree",
             ORDERLY_STOP,
             "an error that is not the store's came in the middle of a change; what "
             "is not returned by the stop counts as spent",
         ),
-        Rule(
+        TaskRule(
             "settlements",
             "holders do not hear what requests cost",
             AFTER_PAUSE,
             "what was not confirmed is sent again; a holder charges in full what it "
             "never hears of",
         ),
-        Rule(
+        TaskRule(
             "lent holds",
             "holds of routers that were killed stay open",
             AFTER_PAUSE,
             "they keep tokens from others and give none twice",
         ),
-        Rule(
+        TaskRule(
             "expiry",
             "servers that did not come back stay listed",
             AT_ONCE,
             "it keeps nothing, and such servers cost failed connections",
         ),
-        Rule(
+        TaskRule(
             "reclaim",
             "what a predecessor left stays out",
             AFTER_PAUSE,
             "each grant is taken in one transaction, which cannot count twice",
         ),
-        Rule(
+        TaskRule(
             "pressure",
             "too many callers are not seen",
             AT_ONCE,
             "it keeps only measurements",
         ),
-        Rule(
+        TaskRule(
             "sweep",
             "unused connections stay open",
             AFTER_PAUSE,
             "requests look at a connection themselves before they take it",
         ),
-        Rule(
+        TaskRule(
             "callers",
             "no new caller is accepted",
             AFTER_PAUSE,
             "open connections go on; a full table of files passes by itself",
-            no_port=ORDERLY_STOP,
+            port_policy=ORDERLY_STOP,
         ),
-        Rule(
+        TaskRule(
             "readiness",
             "the platform sends no callers here",
             AFTER_PAUSE,
             "the same as with callers",
-            no_port=ORDERLY_STOP,
+            port_policy=ORDERLY_STOP,
         ),
-        Rule(
+        TaskRule(
             "metrics",
             "this router shows no metrics",
-            NOW_AND_THEN,
+            RETRY_RARELY,
             "no request needs them",
-            no_port=NOW_AND_THEN,
+            port_policy=RETRY_RARELY,
         ),
-        Rule(
+        TaskRule(
             "transfers",
             "other gateways get no tokens from here",
             AFTER_PAUSE,
             "they do without, as with one that does not answer; its port is taken: it "
             "is tried again seldom",
-            no_port=NOW_AND_THEN,
+            port_policy=RETRY_RARELY,
         ),
-        Rule(
+        TaskRule(
             "caller connection",
             "one caller gets 500, or a cut if its answer had begun",
-            ALONE,
+            FAIL_ALONE,
             "500 says nothing of whether the request ran, so it is true in any case",
         ),
-        Rule(
+        TaskRule(
             "server connection",
             "the request on it counts as lost",
-            ALONE,
+            FAIL_ALONE,
             "its end shows like that of a connection that broke",
         ),
-        Rule(
+        TaskRule(
             "return",
             "one workspace's grant is not returned at the stop",
-            ALONE,
+            FAIL_ALONE,
             "all others are, and what stays counts as spent until a successor proves "
             "it unspent",
         ),
-        Rule(
+        TaskRule(
             "stop",
             "grants that were not returned yet stay out",
             EXIT_NOW,
@@ -274,29 +283,29 @@
 """The tasks of a gateway; docs/design-platform.md shows the same table."""
 
 
-async def caught(run: Run) -> Exception | None:
-    """Run something, and return the error that ended it; None if it just ended.
+async def run_caught(run: Run) -> Exception | None:
+    """Run a task; return the error that ended it, or None if it ended normally.
 
-    This is the one place where every error is caught, for the supervisor to log and
-    count; the end of a task by cancellation is none and goes on.
+    Only here is every exception caught, so that the supervisor can log and count it.
+    Cancellation is not an error and is passed on.
     """
     found: list[Exception] = []
     try:
         await run()
     except* Exception as group:
-        found.append(single(group))
+        found.append(unwrap_group(group))
     return found[0] if found else None
 
 
-def single(error: Exception) -> Exception:
+def unwrap_group(error: Exception) -> Exception:
     """Return the only error of a group, or the group if it has several."""
     while isinstance(error, ExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
     return error
 
 
-def fields_of(error: Exception) -> dict[str, object]:
-    """Return what a log line says of an error."""
+def error_fields(error: Exception) -> dict[str, object]:
+    """Return the log fields that describe an error."""
     known = isinstance(error, EbonyholdError)
     return {
         "error": error.code if known else type(error).__name__,  # type: ignore[attr-defined]
@@ -307,78 +316,80 @@
 
 @define(eq=False)
 class Supervisor:
-    """Runs the tasks of a gateway, and acts by its rules when one fails.
+    """Runs the tasks of a gateway, and applies their rules when they fail.
 
     Attributes:
-        tasks: Where they run.
-        count: Is told of each failure: which task, and what was done.
+        tasks: The task group that runs them.
+        count: Called with the task and the policy's name for each failure.
         stop: Begins the orderly stop.
-        status: The exit status of the process, if it ended now.
+        status: The exit status that the process would have if it ended now.
     """
 
     tasks: TaskGroup
     count: Callable[[str, str], None]
     stop: Callable[[], None]
-    status: int = EXIT_SOUND
+    status: int = EXIT_OK
 
     def start(
         self, task: str, run: Callable[..., Awaitable[None]], *args: object
     ) -> None:
-        """Start one of the tasks that have a rule."""
-        self.tasks.start_soon(self.keep, RULES[task], partial(run, *args))
+        """Start a task that has a rule."""
+        self.tasks.start_soon(self.run_task, TASK_RULES[task], partial(run, *args))
 
-    async def keep(self, rule: Rule, run: Run) -> None:
-        """Run a task until it ends by itself, or a failure ends it."""
+    async def run_task(self, rule: TaskRule, run: Run) -> None:
+        """Run a task until it ends normally or its policy does not restart it."""
         failures = 0
         while True:
             began = anyio.current_time()
-            error = await caught(run)
+            error = await run_caught(run)
             if error is None:
                 return
-            steady = anyio.current_time() - began >= STEADY
-            failures = 1 if steady else failures + 1
+            stable = anyio.current_time() - began >= STABLE_AFTER
+            failures = 1 if stable else failures + 1
             policy = rule.policy_for(error)
-            self.tell(rule, policy, error, failures)
-            if policy.act is not Act.RESTART:
-                self.act(policy, error)
+            self.report(rule, policy, error, failures)
+            if policy.action is not Action.RESTART:
+                self.apply(policy, error)
                 return
-            await anyio.sleep(policy.pause(failures))
+            await anyio.sleep(policy.delay(failures))
 
-    def act(self, policy: Policy, error: Exception) -> None:
-        """Do what a failure leads to, beyond the end of its task."""
-        if policy.act is Act.LEAVE:
+    def apply(self, policy: Policy, error: Exception) -> None:
+        """Apply a policy that does not restart the task."""
+        if policy.action is Action.LEAVE:
             return
-        if self.status == EXIT_SOUND:
+        if self.status == EXIT_OK:
             self.status = EXIT_PORT if isinstance(error, ListenError) else EXIT_FAULT
-        if policy.act is Act.STOP:
+        if policy.action is Action.STOP:
             self.stop()
         else:
             self.tasks.cancel_scope.cancel()
 
-    def tell(self, rule: Rule, policy: Policy, error: Exception, failures: int) -> None:
+    def report(
+        self, rule: TaskRule, policy: Policy, error: Exception, failures: int
+    ) -> None:
         """Log and count a failure."""
         fields = {"task": rule.task, "then": policy.name, "failures": failures}
-        log.error("task failed", extra={**fields, **fields_of(error)})
+        log.error("task failed", extra={**fields, **error_fields(error)})
         self.count(rule.task, policy.name)
 
     async def guard(self, task: str, run: Run) -> bool:
-        """Run one of many alike, and tell whether it ended without a failure."""
-        rule = RULES[task]
-        error = await caught(run)
+        """Run one of many similar tasks; return whether it ended without an error."""
+        rule = TASK_RULES[task]
+        error = await run_caught(run)
         if error is None:
             return True
-        self.tell(rule, rule.policy, error, 1)
-        self.act(rule.policy, error)
+        self.report(rule, rule.policy, error, 1)
+        self.apply(rule.policy, error)
         return False
 
 
 @define(eq=False)
 class GuardedTasks:
-    """Starts tasks that may each fail alone, where a task group would end them all.
+    """Starts tasks that can fail independently, unlike tasks of a plain task group.
 
     Attributes:
-        supervisor: Is told of failures.
-        task: Which rule they have.
+        supervisor: Runs the tasks and handles their failures.
+        task: The name of their rule.
     """
 
     supervisor: Supervisor
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -1,8 +1,8 @@
-"""Transfers of tokens between gateways: the side that asks, and the one that answers.
+"""Transfers of tokens between gateways: the client side and the server side.
 
-Gateways reach each other also while the store is out of reach of some or all of them.
-A question is a POST to `TARGET` with a `TransferRequest` as JSON, and the answer a
-`TransferAnswer`.  Only tokens in the body of a whole answer count as received.
+Gateways can reach each other while some or all of them cannot reach the store. A
+request is a POST to `TRANSFERS_TARGET` with a `TransferRequest` as JSON, and the answer
+is a `TransferAnswer`. Tokens count as received only if the whole answer was read.
 """
 
 from __future__ import annotations
@@ -35,67 +35,68 @@
 
 T = TypeVar("T")
 
-TARGET = b"/transfers"
+TRANSFERS_TARGET = b"/transfers"
 
-JSON = [(b"content-type", b"application/json")]
+JSON_HEADERS = [(b"content-type", b"application/json")]
 
-KEPT_SECONDS = 40
-"""How long a connection between two gateways is kept without a question on it.
+KEEP_ALIVE_SECONDS = 40
+"""Time for which an idle connection between two gateways is kept.
 
-In a large fleet two gateways speak once in many seconds, and a new connection takes as
-much processor time as a question.
+In a large fleet two gateways exchange messages only once in many seconds, and a new
+connection takes as much processor time as a request.
 """
 
-PEER_LIMITS = CallerLimits(idle_timeout=KEPT_SECONDS)
-"""What other gateways may send."""
+PEER_LIMITS = CallerLimits(idle_timeout=KEEP_ALIVE_SECONDS)
+"""The limits on other gateways' requests and connections."""
 
-ANSWER = [*JSON, (b"keep-alive", b"timeout=%d" % KEPT_SECONDS)]
+ANSWER_HEADERS = [*JSON_HEADERS, (b"keep-alive", b"timeout=%d" % KEEP_ALIVE_SECONDS)]
 """The headers of an answer to another gateway."""
 
 OFFER_TIMEOUT: Seconds = 0.08
-"""The longest wait for the offers of all others; one takes some 4 ms."""
+"""Timeout of a request for an offer; an answer takes about 4 ms."""
 
 TRANSFER_TIMEOUT: Seconds = 0.4
-"""The longest wait for a transfer, for which the giver may have to ask the store.
+"""Timeout of a transfer, for which the giver may have to call the store.
 
-Tokens whose answer comes later are lost, so it is longer than what the giver waits.
+Tokens in a later answer are lost, so this is longer than the giver waits for the store.
 """
 
 CONNECT_TIMEOUT: Seconds = 0.1
-"""The longest wait for a connection to a gateway; the farthest one answers within some
-5 ms, and one without power never does."""
+"""Timeout of a connection to a gateway. The farthest one answers within about 5 ms, and
+one without power never does."""
 
-AVOIDED_FOR: Seconds = 1.0
-"""How long a gateway that did not answer is not asked again.
+MIN_AVOIDANCE: Seconds = 1.0
+"""Time for which a gateway that did not answer is not sent requests.
 
-One without power would else hold up each request that lacks tokens.
+Otherwise a gateway without power would delay each request that lacks tokens.
 """
 
-MOST_AVOIDED: Seconds = 4.0
-"""The longest time that such a gateway is not asked; a VM that restarts is back sooner,
-and each try costs a request the wait for an answer."""
+MAX_AVOIDANCE: Seconds = 4.0
+"""The maximum time for which such a gateway is not sent requests. A VM that restarts is
+back sooner, and each attempt costs a request the wait for an answer."""
 
-MOST_ASKED = 8
-"""Gateways that are asked at once.
+MAX_PEERS_ASKED = 8
+"""Maximum number of gateways that are asked at once.
 
-In a shortage each gateway asks at each lack of tokens; all of a large fleet would spend
-its time on answers.
+In a shortage each gateway asks others whenever tokens are missing. In a large fleet,
+gateways that asked all others would spend their time on answers.
 """
 
-NOTHING_FOR: Seconds = 0.1
-"""How long offers are believed that did not help.
+OFFER_CACHE_TIME: Seconds = 0.1
+"""Time for which offers are reused.
 
-In a shortage each request would else cost a question to all other gateways.
+Otherwise, in a shortage, each request would cause a message to each of the other
+gateways.
 """
 
 
 @frozen
 class TransferRequest:
-    """A gateway asks another one for tokens.
+    """A request for tokens of another gateway.
 
     Attributes:
-        workspace: Whose tokens.
-        amount: How many; 0 asks only what there is.
+        workspace: The workspace of the tokens.
+        amount: The number of tokens; 0 requests only an offer.
     """
 
     workspace: WorkspaceName
@@ -104,11 +105,11 @@
 
 @frozen
 class TransferAnswer:
-    """What a gateway passes on, and what it has besides.
+    """The tokens that a gateway transfers, and those that it has left.
 
     Attributes:
-        given: Tokens that are the asking gateway's from now on.
-        left: Tokens that may be asked for next.
+        given: Tokens that belong to the requesting gateway from now on.
+        left: Tokens that can be requested next.
     """
 
     given: Tokens = field(default=0, validator=ge(0))
@@ -117,15 +118,15 @@
 
 @frozen
 class Avoidance:
-    """A gateway that did not answer: until when it is not asked, and for how long."""
+    """Until when a gateway that did not answer is avoided, and for how long in all."""
 
     until: Seconds
     pause: Seconds
 
 
 @define
-class Heard:
-    """The last offers for a workspace, and when they came."""
+class CachedOffers:
+    """The last offers for a workspace, and when they arrived."""
 
     offers: Sequence[Offer]
     at: Seconds
@@ -133,79 +134,85 @@
 
 @define(eq=False)
 class GatewayPeers:
-    """The other gateways, as accounts ask them for tokens.
+    """Client for the other gateways.
 
     Attributes:
-        addresses: Returns where the others are, by the names of their VMs.
-        tasks: Starts the tasks in which connections are read; None before the start.
-        holders: Returns which of them have tokens of a workspace; None if all may.
+        addresses: Returns the addresses of the others, by VM name.
+        tasks: Starts the tasks that read from connections; None before the start.
+        holders: Returns the VMs that hold tokens of a workspace; None if all may.
         calls: The connections, by address.
-        avoided: The VMs that did not answer when they were last asked.
-        heard: The last offers for each workspace.
+        avoidances: The VMs that did not answer their last request.
+        cached: The last offers for each workspace.
     """
 
     addresses: Callable[[], dict[str, str]]
     tasks: TaskStarter | None = None
     holders: Callable[[WorkspaceName], Collection[str]] | None = None
     calls: dict[str, HttpCalls] = field(factory=dict)
-    avoided: dict[str, Avoidance] = field(factory=dict)
-    heard: dict[WorkspaceName, Heard] = field(factory=dict)
+    avoidances: dict[str, Avoidance] = field(factory=dict)
+    cached: dict[WorkspaceName, CachedOffers] = field(factory=dict)
 
     async def offers(self, workspace: WorkspaceName) -> Sequence[Offer]:
-        """Ask others what they have; those that do not answer have nothing."""
+        """Request offers from other gateways; no answer counts as an offer of 0."""
         now = anyio.current_time()
-        heard = self.heard.get(workspace)
-        if heard is not None and now < heard.at + NOTHING_FOR:
-            return heard.offers
+        cached = self.cached.get(workspace)
+        if cached is not None and now < cached.at + OFFER_CACHE_TIME:
+            return cached.offers
         found: list[Offer] = []
         async with anyio.create_task_group() as tasks:
-            for peer in self.sample(now, self.among(workspace)):
+            for peer in self.sample(now, self.candidates(workspace)):
                 tasks.start_soon(self.add_offer, peer, workspace, found)
-        self.heard[workspace] = Heard(found, anyio.current_time())
+        self.cached[workspace] = CachedOffers(found, anyio.current_time())
         return found
 
-    def among(self, workspace: WorkspaceName) -> Collection[str]:
-        """Return the others that may have tokens of a workspace."""
+    def candidates(self, workspace: WorkspaceName) -> Collection[str]:
+        """Return the VMs that may have tokens of a workspace."""
         known = self.addresses()
         if self.holders is None:
             return known
         return [peer for peer in self.holders(workspace) if peer in known]
 
-    def sample(self, now: Seconds, among: Collection[str] | None = None) -> list[str]:
-        """Return whom to ask, chosen by chance where there are many."""
-        peers = self.addresses() if among is None else among
-        able = [peer for peer in peers if self.is_able(peer, now)]
-        return random.sample(able, min(len(able), MOST_ASKED))
-
-    def is_able(self, peer: str, now: Seconds) -> bool:
-        """Tell whether a VM may be asked, as far as its last answers show."""
-        avoidance = self.avoided.get(peer)
+    def sample(
+        self, now: Seconds, candidates: Collection[str] | None = None
+    ) -> list[str]:
+        """Return the VMs to ask: a random sample if there are many."""
+        peers = self.addresses() if candidates is None else candidates
+        able = [peer for peer in peers if self.is_available(peer, now)]
+        return random.sample(able, min(len(able), MAX_PEERS_ASKED))
+
+    def is_available(self, peer: str, now: Seconds) -> bool:
+        """Return whether a VM may be sent requests, judging by its last answers."""
+        avoidance = self.avoidances.get(peer)
         return avoidance is None or now >= avoidance.until
 
     async def add_offer(
         self, peer: str, workspace: WorkspaceName, found: list[Offer]
     ) -> None:
-        """Add what one other gateway has."""
-        answer = await self.ask(peer, TransferRequest(workspace), OFFER_TIMEOUT)
+        """Request and add the offer of one other gateway."""
+        answer = await self.request_tokens(
+            peer, TransferRequest(workspace), OFFER_TIMEOUT
+        )
         found.append(Offer(peer, answer.left))
 
     async def transfer(
         self, peer: str, workspace: WorkspaceName, amount: Tokens
     ) -> Tokens:
-        """Have one other gateway pass tokens on; return how many arrived, or 0."""
-        # What was heard before is not true any more.
-        self.heard.pop(workspace, None)
+        """Request a transfer from another gateway; return the tokens received, or 0."""
+        # The transfer makes the cached offers invalid.
+        self.cached.pop(workspace, None)
         request = TransferRequest(workspace, amount)
-        answer = await self.ask(peer, request, TRANSFER_TIMEOUT)
+        answer = await self.request_tokens(peer, request, TRANSFER_TIMEOUT)
         fields = {"workspace": workspace, "asked": amount, "received": answer.given}
         log.info("tokens received", extra={"peer": peer, **fields})
         return answer.given
 
-    async def ask(
+    async def request_tokens(
         self, peer: str, request: TransferRequest, timeout: Seconds
     ) -> TransferAnswer:
-        """Ask one other gateway; one that does not answer has nothing."""
-        answer = await self.post(peer, TARGET, request, TransferAnswer, timeout)
+        """Send a request for tokens; no answer counts as an offer of 0 tokens."""
+        answer = await self.post(
+            peer, TRANSFERS_TARGET, request, TransferAnswer, timeout
+        )
         return answer or TransferAnswer()
 
     async def post(
@@ -216,12 +223,12 @@
         answer_type: type[T],
         timeout: Seconds,
     ) -> T | None:
-        """Send a message to another gateway; return its answer, None without one."""
+        """Send a message to another gateway; return its answer, or None without one."""
         address = self.addresses().get(peer)
         if address is None or self.tasks is None:
             return None
         content = json.dumps(to_json(request)).encode()
-        message = Outbound(b"POST", target, JSON, content, True)
+        message = Outbound(b"POST", target, JSON_HEADERS, content, True)
         try:
             answer = await self.calls_to(address, self.tasks).call(message, timeout)
             read = read_message(answer.body, answer_type)
@@ -230,25 +237,26 @@
             log.info("peer silent", extra={"peer": peer, "detail": str(error)})
         except MalformedMessageError as error:
             log.warning(
-                "peer misunderstood", extra={"peer": peer, "detail": str(error)}
+                "malformed message from peer",
+                extra={"peer": peer, "detail": str(error)},
             )
         else:
-            self.avoided.pop(peer, None)
+            self.avoidances.pop(peer, None)
             return read
         return None
 
     def avoid(self, peer: str, now: Seconds) -> None:
-        """Ask a VM that did not answer no more for a while, longer each time."""
-        before = self.avoided.get(peer)
+        """Stop sending requests to a VM that did not answer, for longer each time."""
+        before = self.avoidances.get(peer)
         if before is not None and now < before.until:
-            # Questions that were under way together count once.
+            # Concurrent requests that failed count once.
             return
-        pause = AVOIDED_FOR if before is None else before.pause * 2
-        pause = min(pause, MOST_AVOIDED)
-        self.avoided[peer] = Avoidance(now + pause, pause)
+        pause = MIN_AVOIDANCE if before is None else before.pause * 2
+        pause = min(pause, MAX_AVOIDANCE)
+        self.avoidances[peer] = Avoidance(now + pause, pause)
 
     def calls_to(self, address: str, tasks: TaskStarter) -> HttpCalls:
-        """Return the connections to an address."""
+        """Return the connections to an address, opened on first use."""
         calls = self.calls.get(address)
         if calls is None:
             host, _, port = address.rpartition(":")
@@ -259,11 +267,12 @@
 
 
 @define
-class TransferDesk:
-    """Answers other gateways that ask for tokens.
+class TransferHandler:
+    """Serves other gateways' requests for tokens.
 
     Attributes:
-        account: Returns a workspace's account; None if it has no bound.
+        account: Returns a workspace's grant; None if the workspace has no prepaid
+            budget.
     """
 
     account: Callable[[WorkspaceName], Account | None]
@@ -271,19 +280,21 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer one question."""
+        """Serve one request."""
         del head
         try:
             request = read_message(body, TransferRequest)
         except MalformedMessageError as error:
-            log.warning("peer misunderstood", extra={"detail": str(error)})
-            await connection.answer(400, JSON, b"{}")
+            log.warning("malformed message from peer", extra={"detail": str(error)})
+            await connection.answer(400, JSON_HEADERS, b"{}")
             return
         answer = await self.answer(request)
-        await connection.answer(200, ANSWER, json.dumps(to_json(answer)).encode())
+        await connection.answer(
+            200, ANSWER_HEADERS, json.dumps(to_json(answer)).encode()
+        )
 
     async def answer(self, request: TransferRequest) -> TransferAnswer:
-        """Pass on what is asked for, as far as it is here."""
+        """Transfer the requested tokens as far as they are available here."""
         account = self.account(request.workspace)
         if account is None:
             return TransferAnswer()
--- a/ebonyhold/gateway/_types.py
+++ b/ebonyhold/gateway/_types.py
@@ -1,4 +1,4 @@
-"""What a gateway is given: its settings, and the store's rows and changes."""
+"""The settings, store interface and platform parts that a gateway uses."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
     Attributes:
         name: The VM's name.
-        domain: Its failure domain.
-        callers: Where callers connect.
-        readiness: Where it is asked whether it takes callers.
-        host: The address of its other listeners.
-        store: Where the store is called.
-        peers_port: Where other gateways ask this one, at `host`; the same port at all
-            of them.  0 if they cannot.
-        grace: From the signal to stop to the kill.
-        retry_ratio: Retries that all routers together may make for each request.
-        retry_extra: Retries that they may make beside those.
-        retry_window: Over how long both are counted.
-        log_level: The least severity that is logged.
+        domain: The VM's failure domain.
+        callers: The address for callers.
+        readiness: The address for readiness checks.
+        host: The host of its other listeners.
+        store: The address of the store.
+        peers_port: The port for other gateways at `host`, the same at all of them; 0
+            for none.
+        grace: Time from the stop signal to the kill.
+        retry_ratio: Retries per request that all routers together may make.
+        retry_extra: Retries that they may make in addition.
+        retry_window: The time over which both are counted.
+        log_level: The minimum severity that is logged.
     """
 
     name: str
@@ -47,19 +47,19 @@
 
     @property
     def retry_rules(self) -> RetryRules:
-        """Return the retry budget of all routers together."""
+        """The retry budget of all routers together."""
         return RetryRules(self.retry_ratio, self.retry_extra, self.retry_window)
 
 
 @frozen
 class RawRow:
-    """One row, whoever wrote it, with its value unread.
+    """One row with its undecoded value.
 
     Attributes:
         key: Its key within its table.
         version: The version of its last write.
         value: Its bytes; empty if it was deleted.
-        deleted: Whether this tells of its deletion.
+        deleted: Whether the row was deleted.
     """
 
     key: str
@@ -70,7 +70,7 @@
 
 @frozen
 class Snapshot:
-    """All rows of a table at one moment, and the version to go on from."""
+    """All rows of a table at one moment, and the version from which changes follow."""
 
     rows: tuple[RawRow, ...]
     version: int
@@ -78,17 +78,17 @@
 
 @frozen
 class Changes:
-    """What changed in a table, in order, and the version to go on from."""
+    """Changes of a table in order, and the version from which the next ones follow."""
 
     rows: tuple[RawRow, ...]
     version: int
 
 
 class GatewayStore(PrepaidStore, Protocol):
-    """The store, as a gateway needs it."""
+    """The store interface that a gateway uses."""
 
     def start(self, tasks: TaskStarter) -> None:
-        """Take what starts the tasks in which connections are read."""
+        """Set what starts the tasks that read from connections."""
         ...
 
     async def snapshot(self, table: str, part: str = "") -> Snapshot:
@@ -103,7 +103,7 @@
         """Wait for the changes of a table after a version.
 
         Raises:
-            HistoryLostError: They are no longer kept; read everything again.
+            HistoryLostError: The store no longer has them; take a new snapshot.
             UnavailableError: The store cannot be reached.
         """
         ...
@@ -111,15 +111,15 @@
 
 @frozen
 class Peers:
-    """Everything that a gateway talks to, behind our own types.
+    """The parts of a platform that a gateway uses.
 
     Attributes:
         settings: The settings of this process.
         dialect: The headers of callers and servers.
         store: The store.
         rules_table: The table that holds the operator's configuration.
-        rules_key: Its row there.
-        servers_table: The table in which servers list themselves.
+        rules_key: The key of the configuration's row.
+        servers_table: The table in which servers register.
         read_rules: Decodes the configuration.
         read_backend: Decodes a server's entry.
     """
--- a/ebonyhold/gateway/_watcher.py
+++ b/ebonyhold/gateway/_watcher.py
@@ -1,4 +1,4 @@
-"""Follows one table of the store: a whole reading, then its changes."""
+"""Follows one table of the store: a snapshot first, then its changes."""
 
 from __future__ import annotations
 
@@ -9,101 +9,105 @@
 from attrs import define, field
 
 from ebonyhold.exceptions import HistoryLostError, PlatformError
-from ebonyhold.gateway._pace import stretch
+from ebonyhold.gateway._pace import scale_interval
 from ebonyhold.gateway._types import GatewayStore, RawRow
 from ebonyhold.types import Seconds
 
 log = logging.getLogger(__name__)
 
-WAIT: Seconds = 0.6
-"""How long the store may hold a call for changes.
+LONG_POLL_WAIT: Seconds = 0.6
+"""Time for which the store may hold a call for changes open.
 
-A connection that went silent shows as a call that is not answered after this and
-a margin; changes must be in force within two seconds all the same.
+A dead connection is detected when a call is not answered after this time and a margin,
+and changes must nevertheless be in force within two seconds.
 """
 
-PAUSE: Seconds = 0.35
-"""Between two calls for changes, so that many small changes share a call."""
+POLL_PAUSE: Seconds = 0.35
+"""Pause between two calls for changes, so that many small changes share one call."""
 
-MOST_PAUSE: Seconds = 1.2
-"""The same in a fleet of any size: changes must be in force within two seconds."""
+MAX_POLL_PAUSE: Seconds = 1.2
+"""The longest pause in a large fleet; changes must be in force within two seconds."""
 
-RETRY: Seconds = 0.15
-"""Before the next try after a failed one."""
+RETRY_DELAY: Seconds = 0.15
+"""Delay before the next attempt after a failed call."""
 
-OUTAGE: Seconds = 1.5
-"""Without an answer for this long, entries may have lapsed for the store's fault."""
+OUTAGE_AFTER: Seconds = 1.5
+"""Without an answer for this long, entries may have lapsed because the store was
+down."""
 
 
 @define(eq=False)
 class Watcher:
-    """Follows one table, through outages and lost history.
+    """Follows one table, also through outages and lost history.
 
     Attributes:
         store: The store.
         table: The table to follow.
-        replaced: Is given all rows, and whether an outage came before.
-        changed: Is given the rows that changed, and the same.
-        routers: Returns how many routers follow it.
-        version: The version to go on from; None if all must be read again.
-        answered_at: When the store answered last.
+        on_snapshot: Called with all rows, and whether they follow an outage.
+        on_changes: Called with the changed rows, and whether they follow an outage.
+        count_routers: Returns the number of routers that follow the table.
+        version: The version of the last read; None if a snapshot is needed.
+        answered_at: When the store last answered.
         reachable: Whether the last call was answered.
+        first_read: Set after the first snapshot.
     """
 
     store: GatewayStore
     table: str
-    replaced: Callable[[tuple[RawRow, ...], bool], None]
-    changed: Callable[[tuple[RawRow, ...], bool], None]
-    routers: Callable[[], int] = lambda: 1
+    on_snapshot: Callable[[tuple[RawRow, ...], bool], None]
+    on_changes: Callable[[tuple[RawRow, ...], bool], None]
+    count_routers: Callable[[], int] = lambda: 1
     version: int | None = None
     answered_at: Seconds | None = None
     reachable: bool = True
-    first: anyio.Event = field(factory=anyio.Event)
+    first_read: anyio.Event = field(factory=anyio.Event)
 
     async def run(self) -> None:
-        """Follow the table, for ever."""
+        """Follow the table until cancelled."""
         while True:
             try:
                 await self.step()
-                await anyio.sleep(stretch(PAUSE, self.routers(), MOST_PAUSE))
+                await anyio.sleep(
+                    scale_interval(POLL_PAUSE, self.count_routers(), MAX_POLL_PAUSE)
+                )
             except HistoryLostError:
                 log.info("history lost", extra={"table": self.table})
                 self.version = None
             except PlatformError as error:
-                self.note_lost(error)
-                await anyio.sleep(RETRY)
+                self.record_failure(error)
+                await anyio.sleep(RETRY_DELAY)
 
     async def step(self) -> None:
-        """Read the table or wait for its changes, once."""
+        """Read a snapshot, or wait for changes once."""
         if self.version is None:
             snapshot = await self.store.snapshot(self.table)
-            self.replaced(snapshot.rows, self.note_answer())
+            self.on_snapshot(snapshot.rows, self.record_answer())
             self.version = snapshot.version
-            self.first.set()
+            self.first_read.set()
             return
-        changes = await self.store.changes(self.table, self.version, WAIT)
-        after_outage = self.note_answer()
+        changes = await self.store.changes(self.table, self.version, LONG_POLL_WAIT)
+        after_outage = self.record_answer()
         if changes.rows:
-            self.changed(changes.rows, after_outage)
+            self.on_changes(changes.rows, after_outage)
         self.version = changes.version
 
-    def note_answer(self) -> bool:
-        """Note an answer; tell whether there had been none for long."""
+    def record_answer(self) -> bool:
+        """Record an answer; return whether it follows an outage."""
         now = anyio.current_time()
         before = self.answered_at
         self.answered_at = now
         if not self.reachable:
             log.info("store regained", extra={"table": self.table})
             self.reachable = True
-        return before is not None and now - before > OUTAGE
+        return before is not None and now - before > OUTAGE_AFTER
 
-    def note_lost(self, error: PlatformError) -> None:
-        """Log the first of several failed calls."""
+    def record_failure(self, error: PlatformError) -> None:
+        """Record a failed call, and log the first of several."""
         if self.reachable:
             fields = {"table": self.table, "error": error.code, "detail": str(error)}
             log.warning("store lost", extra=fields)
         self.reachable = False
 
     def age(self, now: Seconds) -> Seconds:
-        """Return how old what is known of the table is."""
+        """Return the time since the store's last answer for this table."""
         return now - self.answered_at if self.answered_at is not None else float("inf")
--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -38,27 +38,27 @@
 from ebonyhold.standins import MemoryRows, RowHistory
 from tests.forwarding.kit import GONE, answer, chunk, event, request, stream_head, value
 
-LENGTH = 6.0
+DURATION = 6.0
 """Seconds of the virtual clock that callers ask for."""
 
-SWEEP = 0.05
+SWEEP_INTERVAL = 0.05
 """Seconds between two sweeps: more of them meet what they can meet."""
 
 GRACE = 6.0
 """Seconds from the signal to the kill."""
 
 Signals: TypeAlias = AsyncIterator[signal.Signals]
-LONGEST_STOP = 2 * GRACE
+MAX_STOP_TIME = 2 * GRACE
 
 CALLERS = 8
-HERD_SHARE = 0.4
+BURST_SHARE = 0.4
 """The part of the requests that begin together with others."""
 
 SERVERS = ("i-1", "i-2", "i-3")
 PREPAID = {"acme": 400_000, "blue": 30_000}
 COST = "X-Ebonyhold-Token-Counts: 100,40\r\n"
 PATHS = ("safe", "unsafe", "stream")
-MOST_SWITCHES = 3
+MAX_SWITCHES = 3
 
 ENTRY: dict[str, Any] = {
     "service": "svc",
@@ -103,7 +103,7 @@
         closed: Whether this end is closed.
     """
 
-    luck: random.Random
+    rng: random.Random
     inbound: bytearray = field(factory=bytearray)
     other: Pipe = field(init=False)
     finished: bool = False
@@ -111,100 +111,100 @@
     changed: anyio.Event = field(factory=anyio.Event)
 
     @classmethod
-    def pair(cls, luck: random.Random) -> tuple[Pipe, Pipe]:
+    def pair(cls, rng: random.Random) -> tuple[Pipe, Pipe]:
         """Return both ends of a new connection."""
-        one, two = cls(luck), cls(luck)
+        one, two = cls(rng), cls(rng)
         one.other, two.other = two, one
         return one, two
 
-    async def give_way(self) -> None:
+    async def yield_to_tasks(self) -> None:
         """Let other tasks run."""
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Wake whoever reads here."""
         self.changed.set()
         self.changed = anyio.Event()
 
-    async def receive(self, most: int = 65_536) -> bytes:
+    async def receive(self, max_bytes: int = 65_536) -> bytes:
         """Return what has come."""
-        await self.give_way()
+        await self.yield_to_tasks()
         while not self.inbound:
             if self.closed:
                 raise anyio.ClosedResourceError
             if self.other.finished or self.other.closed:
                 raise anyio.EndOfStream
             await self.changed.wait()
-        data = bytes(self.inbound[:most])
-        del self.inbound[:most]
+        data = bytes(self.inbound[:max_bytes])
+        del self.inbound[:max_bytes]
         return data
 
     async def send(self, data: bytes) -> None:
         """Send to the other end."""
-        await self.give_way()
+        await self.yield_to_tasks()
         if self.closed:
             raise anyio.ClosedResourceError
         if self.other.closed:
             raise anyio.BrokenResourceError
         self.other.inbound += data
-        self.other.tell()
-        await self.give_way()
+        self.other.notify()
+        await self.yield_to_tasks()
 
     async def send_eof(self) -> None:
         """Send nothing any more."""
         self.finished = True
-        self.other.tell()
-        await self.give_way()
+        self.other.notify()
+        await self.yield_to_tasks()
 
     async def aclose(self) -> None:
         """Close this end."""
         self.closed = True
-        self.tell()
-        self.other.tell()
-        await self.give_way()
+        self.notify()
+        self.other.notify()
+        await self.yield_to_tasks()
 
 
-async def give_way(luck: random.Random) -> None:
+async def yield_to_tasks(rng: random.Random) -> None:
     """Let other tasks run, a few times or not at all."""
-    for _ in range(luck.randrange(MOST_SWITCHES)):
+    for _ in range(rng.randrange(MAX_SWITCHES)):
         await anyio.lowlevel.checkpoint()
 
 
 @define
-class SwitchingRows(MemoryRows):
+class YieldingRows(MemoryRows):
     """A store whose every call gives way, before and after it takes effect."""
 
-    luck: random.Random = field(kw_only=True)
+    rng: random.Random = field(kw_only=True)
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
         """Read rows."""
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         rows = await MemoryRows.scan(self, prefix, after, limit)
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         return rows
 
     async def commit(self, transaction: Transaction) -> Committed:
         """Commit a transaction."""
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         committed = await MemoryRows.commit(self, transaction)
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         return committed
 
     async def snapshot(self, table: str, part: str = "") -> Snapshot:
         """Read a table."""
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         return await MemoryRows.snapshot(self, table, part)
 
     async def changes(self, table: str, after: int, wait: float) -> Changes:
         """Wait for changes."""
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         changes = await MemoryRows.changes(self, table, after, wait)
-        await give_way(self.luck)
+        await yield_to_tasks(self.rng)
         return changes
 
 
 @define(eq=False)
-class World:
+class Simulation:
     """One seed: a gateway, its callers, its servers and its store.
 
     Attributes:
@@ -219,23 +219,23 @@
         mixed: What came on a connection before the last request on it was answered.
     """
 
-    luck: random.Random
+    rng: random.Random
     patch: pytest.MonkeyPatch
     history: RowHistory = field(factory=RowHistory)
-    doors: dict[int, CallerListener] = field(factory=dict)
+    listeners: dict[int, CallerListener] = field(factory=dict)
     open: set[Pipe] = field(factory=set)
     ends: list[int] = field(factory=list)
     runs: dict[str, int] = field(factory=dict)
-    mixed: list[str] = field(factory=list)
-    asked: int = 0
+    overlapping: list[str] = field(factory=list)
+    request_count: int = 0
     gateway: Gateway = field(init=False)
-    store: SwitchingRows = field(init=False)
-    told: anyio.Event = field(factory=anyio.Event)
+    store: YieldingRows = field(init=False)
+    stop_signal: anyio.Event = field(factory=anyio.Event)
     status: int | None = None
     ended: anyio.Event = field(factory=anyio.Event)
 
     def __attrs_post_init__(self) -> None:
-        self.store = SwitchingRows(self.history, luck=self.luck)
+        self.store = YieldingRows(self.history, rng=self.rng)
         settings = GatewaySettings(
             "vm-1", "a", ("h", 1), ("h", 2), "h", ("h", 3), grace=GRACE
         )
@@ -256,12 +256,12 @@
         """Stand in for the signals of the process: one that ends it, once."""
         del watched
 
-        async def come() -> Signals:
-            await self.told.wait()
+        async def deliver() -> Signals:
+            await self.stop_signal.wait()
             yield signal.SIGTERM
             await anyio.sleep_forever()
 
-        yield come()
+        yield deliver()
 
     async def listen(
         self, listener: CallerListener, address: tuple[str, int], tasks: TaskGroup
@@ -269,9 +269,9 @@
         """Stand in for listening at an address."""
         del tasks
         with listener.accepting:
-            self.doors[address[1]] = listener
+            self.listeners[address[1]] = listener
             await anyio.sleep_forever()
-        del self.doors[address[1]]
+        del self.listeners[address[1]]
 
     async def connect(
         self,
@@ -282,10 +282,10 @@
     ) -> _channel.Channel:
         """Stand in for connecting to a server."""
         del timeout
-        await give_way(self.luck)
-        if self.luck.random() < 0.02:
+        await yield_to_tasks(self.rng)
+        if self.rng.random() < 0.02:
             raise BackendLostError("no connection")
-        near, far = Pipe.pair(self.luck)
+        near, far = Pipe.pair(self.rng)
         tasks.start_soon(self.serve, far)
         channel = _channel.Channel(near, starter, address)  # type: ignore[arg-type]
         starter.start_soon(channel.inbox.fill)
@@ -301,7 +301,7 @@
                     rest += await stream.receive()
                 head, _, rest = rest.partition(b"\r\n\r\n")
                 if rest:
-                    self.mixed.append(head.decode())
+                    self.overlapping.append(head.decode())
                 await self.answer(stream, head.decode())
         except GONE:
             await stream.aclose()
@@ -312,8 +312,8 @@
         """Answer one request; now and then break off."""
         name = value(head, "x-ebonyhold-request-id")
         self.runs[name] = self.runs.get(name, 0) + 1
-        await anyio.sleep(self.luck.choice((0, 0.001, 0.02)))
-        if self.luck.random() < 0.02:
+        await anyio.sleep(self.rng.choice((0, 0.001, 0.02)))
+        if self.rng.random() < 0.02:
             await stream.aclose()
         last = answer(head)
         if head.startswith("GET /stream/"):
@@ -323,18 +323,18 @@
             last = chunk(b"")
         # From the last byte on the next request may come; before it none may.
         if stream.inbound:
-            self.mixed.append(head)
+            self.overlapping.append(head)
         await stream.send(last)
 
-    async def ask(self, tasks: TaskGroup) -> None:
+    async def send_requests(self, tasks: TaskGroup) -> None:
         """Ask one request after the other, on one connection while it lasts."""
         stream: Pipe | None = None
-        while 1 in self.doors:
+        while 1 in self.listeners:
             if stream is None:
-                stream, far = Pipe.pair(self.luck)
-                tasks.start_soon(self.doors[1].handle, far)  # type: ignore[arg-type]
-            self.asked += 1
-            kept = await self.ask_once(stream, f"r{self.asked}")
+                stream, far = Pipe.pair(self.rng)
+                tasks.start_soon(self.listeners[1].handle, far)  # type: ignore[arg-type]
+            self.request_count += 1
+            kept = await self.send_request(stream, f"r{self.request_count}")
             if not kept:
                 await stream.aclose()
                 stream = None
@@ -346,58 +346,58 @@
         Such herds meet the sweep, which runs at the same moments.
         """
         now = anyio.current_time() - self.gateway.began_at
-        if self.luck.random() < HERD_SHARE:
-            await anyio.sleep(SWEEP - now % SWEEP)
+        if self.rng.random() < BURST_SHARE:
+            await anyio.sleep(SWEEP_INTERVAL - now % SWEEP_INTERVAL)
         else:
-            await anyio.sleep(self.luck.choice((0.0, 0.001, 0.01)))
+            await anyio.sleep(self.rng.choice((0.0, 0.001, 0.01)))
 
-    async def ask_once(self, stream: Pipe, name: str) -> bool:
+    async def send_request(self, stream: Pipe, name: str) -> bool:
         """Ask one request; tell whether its connection lasts."""
-        path = self.luck.choice(PATHS)
-        owner = self.luck.choice(list(PREPAID))
+        path = self.rng.choice(PATHS)
+        owner = self.rng.choice(list(PREPAID))
         text = request(f"/{path}/x", extra=COST, close=False)
         text = text.replace(b": r1\r\n", f": {name}\r\n".encode())
-        got = b""
+        received = b""
         try:
             await stream.send(text.replace(b": k1\r\n", f": key-{owner}\r\n".encode()))
-            while not whole(got):
-                got += await stream.receive()
+            while not is_complete(received):
+                received += await stream.receive()
         except GONE:
             self.ends.append(0)
             return False
-        self.ends.append(int(got[9:12]))
-        return b"connection: close" not in got.lower()
+        self.ends.append(int(received[9:12]))
+        return b"connection: close" not in received.lower()
 
     async def end_connections(self) -> None:
         """Have servers end all their connections at once, again and again."""
         while True:
-            await anyio.sleep(self.luck.uniform(0.02, 0.2))
+            await anyio.sleep(self.rng.uniform(0.02, 0.2))
             for stream in list(self.open):
                 stream.closed = True
-                stream.tell()
-                stream.other.tell()
+                stream.notify()
+                stream.other.notify()
 
     async def change_servers(self) -> None:
         """Have servers leave, drain, move and come back, again and again."""
         while True:
-            await anyio.sleep(self.luck.uniform(0.05, 0.8))
-            name = self.luck.choice(SERVERS[1:])
-            if self.luck.random() < 0.3:
+            await anyio.sleep(self.rng.uniform(0.05, 0.8))
+            name = self.rng.choice(SERVERS[1:])
+            if self.rng.random() < 0.3:
                 self.write(Delete(f"servers//{name}"))
                 continue
-            state = self.luck.choice(("ready", "ready", "draining"))
-            born = self.luck.choice((1, 2))
+            state = self.rng.choice(("ready", "ready", "draining"))
+            born = self.rng.choice((1, 2))
             self.list_server(name, state=state, born=born)
 
-    async def hurt_store(self) -> None:
+    async def disturb_store(self) -> None:
         """Have the store refuse, and lose requests and answers, for short times."""
         faults = self.store.faults
         while True:
-            await anyio.sleep(self.luck.uniform(0.2, 1.0))
-            switch = self.luck.choice(("throttled", "lose_answers", "lose_requests"))
-            setattr(faults, switch, self.luck.randrange(1, 4))
-            faults.answer_delay = self.luck.choice((0.0, 0.012, 0.05))
-            if self.luck.random() < 0.1:
+            await anyio.sleep(self.rng.uniform(0.2, 1.0))
+            switch = self.rng.choice(("throttled", "lose_answers", "lose_requests"))
+            setattr(faults, switch, self.rng.randrange(1, 4))
+            faults.answer_delay = self.rng.choice((0.0, 0.012, 0.05))
+            if self.rng.random() < 0.1:
                 self.history.compact()
 
     def write(self, change: Put | Delete) -> None:
@@ -415,7 +415,7 @@
         self.status = await self.gateway.run()
         self.ended.set()
 
-    async def play(self) -> list[str]:
+    async def run_scenario(self) -> list[str]:
         """Play the seed, and return what was broken."""
         self.write(Put("op//config", CONFIGURATION))
         for name in SERVERS:
@@ -426,42 +426,46 @@
             await anyio.sleep(0.5)
             async with anyio.create_task_group() as callers:
                 for _ in range(CALLERS):
-                    callers.start_soon(self.ask, tasks)
-                async with anyio.create_task_group() as troubles:
-                    troubles.start_soon(self.end_connections)
-                    troubles.start_soon(self.change_servers)
-                    troubles.start_soon(self.hurt_store)
-                    await anyio.sleep(LENGTH)
-                    troubles.cancel_scope.cancel()
+                    callers.start_soon(self.send_requests, tasks)
+                async with anyio.create_task_group() as disturbances:
+                    disturbances.start_soon(self.end_connections)
+                    disturbances.start_soon(self.change_servers)
+                    disturbances.start_soon(self.disturb_store)
+                    await anyio.sleep(DURATION)
+                    disturbances.cancel_scope.cancel()
                 self.store.faults.answer_delay = 0.0
-                self.told.set()
+                self.stop_signal.set()
                 # A fault that keeps it from its end must not keep the play going.
-                callers.cancel_scope.deadline = anyio.current_time() + LONGEST_STOP
-            with anyio.move_on_after(LONGEST_STOP):
+                callers.cancel_scope.deadline = anyio.current_time() + MAX_STOP_TIME
+            with anyio.move_on_after(MAX_STOP_TIME):
                 await self.ended.wait()
             tasks.cancel_scope.cancel()
-        return self.judge()
+        return self.find_violations()
 
-    def judge(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """Return what was broken."""
-        broken = []
-        for metric in self.gateway.meters.failures.collect():
+        violations = []
+        for metric in self.gateway.metrics.failures.collect():
             totals = (s for s in metric.samples if s.name.endswith("_total"))
-            broken += [f"{s.labels} {s.value}" for s in totals]
+            violations += [f"{s.labels} {s.value}" for s in totals]
         if self.status != 0:
-            broken.append(f"it ended with status {self.status}")
-        odd = [end for end in self.ends if end in (0, 500)]
+            violations.append(f"it ended with status {self.status}")
+        failed = [end for end in self.ends if end in (0, 500)]
         # A connection to a server that breaks in mid-stream cuts its caller's too.
-        cut = sum(1 for end in odd if end == 0)
-        broken += [f"{len(odd) - cut} requests got 500"] if len(odd) > cut else []
-        broken += [f"two requests on one connection: {m}" for m in self.mixed]
-        if len(self.ends) != self.asked:
-            broken.append(f"{self.asked - len(self.ends)} requests never ended")
+        cut = sum(1 for end in failed if end == 0)
+        violations += (
+            [f"{len(failed) - cut} requests got 500"] if len(failed) > cut else []
+        )
+        violations += [f"two requests on one connection: {m}" for m in self.overlapping]
+        if len(self.ends) != self.request_count:
+            violations.append(
+                f"{self.request_count - len(self.ends)} requests never ended"
+            )
         for name, prepaid in PREPAID.items():
-            broken += self.judge_budget(name, prepaid)
-        return broken
+            violations += self.check_budget(name, prepaid)
+        return violations
 
-    def judge_budget(self, name: str, prepaid: int) -> list[str]:
+    def check_budget(self, name: str, prepaid: int) -> list[str]:
         """Return what is wrong with a budget after the end."""
         row = self.history.rows.get(budget_row_key(name))
         if row is None:
@@ -469,18 +473,18 @@
         budget = from_json(row.value, PrepaidRow).budget
         account = self.gateway.treasury.accounts[name]
         charged = account.grant.charged
-        broken = []
+        violations = []
         if budget.outstanding:
-            broken.append(f"{name}: {budget.outstanding} were not returned")
+            violations.append(f"{name}: {budget.outstanding} were not returned")
         if budget.spent != charged or charged > prepaid:
             figures = f"{charged} of {prepaid} charged, {budget.spent} filed"
-            broken.append(f"{name}: {figures}")
-        return broken
+            violations.append(f"{name}: {figures}")
+        return violations
 
 
-def whole(got: bytes) -> bool:
+def is_complete(received: bytes) -> bool:
     """Tell whether an answer has come whole."""
-    head, found, body = got.partition(b"\r\n\r\n")
+    head, found, body = received.partition(b"\r\n\r\n")
     if not found:
         return False
     if b"chunked" in head.lower():
@@ -488,12 +492,12 @@
     return len(body) >= int(value(head.decode(), "content-length") or 0)
 
 
-def leave_whole(patch: pytest.MonkeyPatch) -> None:
+def no_weakening(patch: pytest.MonkeyPatch) -> None:
     """Leave no guard out."""
 
 
-def play_seed(
-    seed: int, weaken: Callable[[pytest.MonkeyPatch], None] = leave_whole
+def run_seed(
+    seed: int, weaken: Callable[[pytest.MonkeyPatch], None] = no_weakening
 ) -> list[str]:
     """Play one seed, and return what was broken.
 
@@ -504,19 +508,21 @@
     core = trio._core._run
     clock = trio.testing.MockClock(autojump_threshold=0)
 
-    async def play(patch: pytest.MonkeyPatch) -> list[str]:
-        world = World(random.Random(seed), patch)
-        patch.setattr(_gateway, "listen", world.listen)
-        patch.setattr(anyio, "open_signal_receiver", world.signals)
+    async def run_scenario(patch: pytest.MonkeyPatch) -> list[str]:
+        simulation = Simulation(random.Random(seed), patch)
+        patch.setattr(_gateway, "listen", simulation.listen)
+        patch.setattr(anyio, "open_signal_receiver", simulation.signals)
         # The signals of the process that plays are its own.
         patch.setattr(_signals, "ignore_signals", lambda: None)
-        return await world.play()
+        return await simulation.run_scenario()
 
     with pytest.MonkeyPatch.context() as patch:
         # The scheduler of trio then runs what is ready in an order of its own chance.
         patch.setattr(core, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
         core._r.seed(seed)
         random.seed(seed)
-        patch.setattr(_pool, "SWEEP", SWEEP)
+        patch.setattr(_pool, "SWEEP", SWEEP_INTERVAL)
         weaken(patch)
-        return anyio.run(play, patch, backend="trio", backend_options={"clock": clock})
+        return anyio.run(
+            run_scenario, patch, backend="trio", backend_options={"clock": clock}
+        )
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -49,24 +49,24 @@
     os.close(writer)
 
 
-async def test_cut_in_mid_stream_by_an_engine(lines: list[str]) -> None:
+async def test_explains_stream_cut_by_backend(lines: list[str]) -> None:
     async with rig(Server("engine-1", broken_stream)) as router:
         await router.ask(request("/once/x"))
-    story = "\n".join(explain("r1", lines))
-    assert "dispatched: backend=engine-1 attempt=1" in story
-    assert "outcome=cut: server_lost" in story
-    assert "engine-1: the answer ended early" in story or "engine-1: no answer" in story
+    text = "\n".join(explain("r1", lines))
+    assert "dispatched: backend=engine-1 attempt=1" in text
+    assert "outcome=cut: server_lost" in text
+    assert "engine-1: the answer ended early" in text or "engine-1: no answer" in text
 
 
-async def test_refused_under_overload(lines: list[str]) -> None:
+async def test_explains_refusal_under_overload(lines: list[str]) -> None:
     async with rig(Server("engine-1", declines)) as router:
         await router.ask(request("/unsafe/x"))
-    story = "\n".join(explain("r1", lines))
-    assert "refused: code=servers_full" in story
-    assert "engine-1: declined with 503" in story
+    text = "\n".join(explain("r1", lines))
+    assert "refused: code=servers_full" in text
+    assert "engine-1: declined with 503" in text
 
 
-async def test_refused_for_tokens_in_a_cut(lines: list[str]) -> None:
+async def test_explains_refusal_while_store_unreachable(lines: list[str]) -> None:
     history = RowHistory()
     one = Router(history, "vm-1", "vm-1.a", [100_000])
     await one.renewals.step()
@@ -74,20 +74,20 @@
     one.account.reachable = False
     with pytest.raises(BudgetUnreachableError):
         await one.account.hold(90_000, "r1")
-    story = explain("r1", lines)
-    assert "grant changed" in story[0]
-    assert "tokens refused: workspace=acme amount=90000" in story[-1]
-    assert "store_reachable=False" in story[-1]
+    text = explain("r1", lines)
+    assert "grant changed" in text[0]
+    assert "tokens refused: workspace=acme amount=90000" in text[-1]
+    assert "store_reachable=False" in text[-1]
 
 
-def test_the_command(tmp_path: Path) -> None:
+def test_explain_command(tmp_path: Path) -> None:
     log = tmp_path / "log"
     log.write_text(
         'noise\n7.1 vm-1 {"time": "t1", "router": "vm-1", "message": "refused",'
         ' "request": "r9", "code": "no_route"}\n{"broken\n'
     )
-    told = CliRunner().invoke(app, ["explain", "r9", str(log)])
-    assert told.exit_code == 0
-    assert told.stdout == "t1 vm-1 refused: code=no_route\n"
+    result = CliRunner().invoke(app, ["explain", "r9", str(log)])
+    assert result.exit_code == 0
+    assert result.stdout == "t1 vm-1 refused: code=no_route\n"
     unknown = CliRunner().invoke(app, ["explain", "r8", str(log)])
     assert unknown.exit_code == 1
