--- a/ebonyhold/gateway/__main__.py
+++ b/ebonyhold/gateway/__main__.py
@@ -6,8 +6,8 @@
 import sys
 import time
 
-# Read before the slow imports, which take most of the start. The time since then is not
-# counted as time in which the previous incarnation may still have run.
+# The imports below take most of the start, so the time is read before them.
+# The previous incarnation cannot have run after this time.
 BEGAN_AT = time.monotonic()
 
 import anyio  # noqa: E402
--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -291,8 +291,8 @@
         with watched_signals() as signals:
             async for number in signals:
                 if number is signal.SIGHUP:
-                    # The listeners keep their addresses until the process ends, and all
-                    # other configuration comes from the store.
+                    # The listeners keep their addresses until the process ends.
+                    # All other configuration comes from the store.
                     log.info("SIGHUP ignored; settings are read only at the start")
                     continue
                 log.info("stopping", extra={"signal": number.name})
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -176,8 +176,7 @@
     async def count_routers(self) -> None:
         """Write this router's row and read those of all routers."""
         if self.leaving:
-            # The row was removed; if it were written again, others would go on counting
-            # this router.
+            # Others would go on counting this router if its row were written again.
             return
         own = PresenceRow(self.incarnation, self.address, self.domain)
         put = Put(self.key, to_json(own))
--- a/ebonyhold/gateway/_pressure.py
+++ b/ebonyhold/gateway/_pressure.py
@@ -48,8 +48,7 @@
 """Time for which a connection attempt to a server counts as evidence about the link."""
 
 MIN_CONNECTS = 8
-"""Minimum number of connection attempts in the window, below which the link is not
-judged."""
+"""With fewer connection attempts in the window, the link does not count as blocked."""
 
 MIN_FAILED_SERVERS = 3
 """Minimum number of servers with failed attempts; fewer may be down themselves."""
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -47,7 +47,7 @@
 """
 
 UNUSED_RENEWAL_INTERVAL: Seconds = 2.0
-"""Interval between two renewals of a router without a grant, which only check whether
+"""Interval between two renewals of a router without a grant. These only check whether
 the store is reachable."""
 
 MIN_RENEWAL_TIMEOUT: Seconds = 0.1
@@ -273,8 +273,8 @@
         previous = self.previous_row
         if previous is None or not previous.renewed_at:
             return
-        # The previous process had ended when this one began, so the time since then is
-        # subtracted. Otherwise an outage of the store at the start would count too.
+        # The previous process had ended when this one began.
+        # The time since then, such as an outage at the start, does not count.
         since = self.clock.reading - previous.renewed_at
         elapsed = since - (self.clock.at - self.began_at)
         fields = {"predecessor": previous.router, "elapsed": round(elapsed, 2)}
--- a/ebonyhold/gateway/_stop.py
+++ b/ebonyhold/gateway/_stop.py
@@ -160,14 +160,12 @@
         """Stop accepting, and answer the callers that connected just before."""
         self.listener.stop_accepting()
         with anyio.move_on_after(LAST_REQUEST_TIMEOUT):
-            # Until the listener is closed it may accept a connection that is not
-            # counted yet.
+            # An accepted connection may not be counted until the listener is closed.
             await self.listener.until_closed()
             await self.listener.until_empty()
         self.listener.close_idle()
         self.listener.interrupt_reading()
-        # A request whose first bytes arrived in this step of the event loop begins to
-        # be read in the next one.
+        # Requests that have just arrived are read in the next step of the event loop.
         await anyio.lowlevel.checkpoint()
         self.listener.interrupt_reading()
         with anyio.move_on_after(LAST_ANSWERS_TIMEOUT):
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -188,7 +188,7 @@
     async def add_offer(
         self, peer: str, workspace: WorkspaceName, found: list[Offer]
     ) -> None:
-        """Request and add the offer of one other gateway."""
+        """Request the offer of one other gateway, and add it to `found`."""
         answer = await self.request_tokens(
             peer, TransferRequest(workspace), OFFER_TIMEOUT
         )
--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -438,8 +438,7 @@
                     disturbances.cancel_scope.cancel()
                 self.store.faults.answer_delay = 0.0
                 self.stop_signal.set()
-                # A fault that keeps the gateway from ending must not keep the
-                # simulation running.
+                # The simulation must end even if a fault keeps the gateway running.
                 callers.cancel_scope.deadline = anyio.current_time() + MAX_STOP_TIME
             with anyio.move_on_after(MAX_STOP_TIME):
                 await self.ended.wait()
@@ -455,8 +454,7 @@
         if self.status != 0:
             violations.append(f"it ended with status {self.status}")
         failed = [end for end in self.ends if end in (0, 500)]
-        # A server's connection that breaks during a stream cuts the caller's connection
-        # too.
+        # A server connection that breaks during a stream cuts the caller's too.
         cut = sum(1 for end in failed if end == 0)
         violations += (
             [f"{len(failed) - cut} requests got 500"] if len(failed) > cut else []
--- a/tests/gateway/test_renewals.py
+++ b/tests/gateway/test_renewals.py
@@ -43,10 +43,10 @@
 
 
 async def test_third_incarnation_knows_unreturned_grants() -> None:
-    """A router is killed, and its successor before it returned the first one's grants.
+    """A router is killed, and its successor is killed before it reclaimed the grants.
 
-    The second incarnation overwrites the VM's only row. If it dropped the first one,
-    the first one's tokens would be lost.
+    The second incarnation overwrites the VM's only row. It must keep the record of the
+    first one, whose tokens would be lost otherwise.
     """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
