--- a/ebonyhold/coordination/__init__.py
+++ b/ebonyhold/coordination/__init__.py
@@ -1,6 +1,6 @@
 """Decision logic of the routers, without I/O and without a clock of its own.
 
-Every part takes typed messages and returns typed messages or transactions.
+The functions take and return typed messages, rows and transactions.
 Nothing here imports a web server, a client or another package of ebonyhold.
 
 The public names are listed in ``__init__.pyi`` and imported on first use, so a program
--- a/ebonyhold/coordination/_admission.py
+++ b/ebonyhold/coordination/_admission.py
@@ -1,7 +1,7 @@
 """Admission queue: which requests start now, wait, or are refused immediately.
 
 An `AdmissionQueue` belongs to one task.  It has no clock and does no I/O: its owner
-passes in the time and starts the requests that it returns.
+passes in the time and starts the requests that `AdmissionQueue.start` returns.
 """
 
 from __future__ import annotations
@@ -17,7 +17,10 @@
 """Weight of the latest completion in the moving average of the completion rate."""
 
 MIN_RETRY_AFTER: Seconds = 0.2
+"""The shortest delay that is suggested to the caller of a refused request."""
+
 MAX_RETRY_AFTER: Seconds = 30.0
+"""The longest delay that is suggested to the caller of a refused request."""
 
 
 @frozen
@@ -25,8 +28,8 @@
     """Limits of one workspace at one router.
 
     Attributes:
-        concurrency: Requests that may run at once.
-        queue: Requests that may wait.
+        concurrency: The maximum number of requests running at the same time.
+        queue: The maximum number of waiting requests.
         weight: Weight in the fair queueing between waiting workspaces.
     """
 
@@ -43,7 +46,7 @@
         number: Unique in the queue.
         workspace: The workspace that it belongs to.
         priority: Requests with a larger value start first.
-        deadline: When it is too late to start it, on the owner's clock.
+        deadline: The time from which it may no longer start, on the owner's clock.
         arrived: When it arrived, on the owner's clock.
         shed_after: The longest wait while the queue is standing, in seconds.
     """
@@ -63,8 +66,10 @@
     Attributes:
         ticket: The request.
         retry_after: Suggested delay before a retry, in seconds.
-        workspace_bound: Whether a limit of its workspace is the reason.
-        expired: Whether its deadline passed while it waited.
+        workspace_bound: Whether it was refused because its workspace had the maximum
+            number of waiting requests.
+        expired: Whether its deadline passed while it waited.  It is False for a request
+            that was shed before its deadline.
     """
 
     ticket: Ticket
@@ -75,7 +80,14 @@
 
 @define
 class WorkspaceQueue:
-    """One workspace's waiting requests by priority, and its count of running ones."""
+    """The requests of one workspace.
+
+    Attributes:
+        limits: Its current limits.
+        running: Number of its requests that were started and have not ended.
+        waiting: Its waiting requests by priority, in the order of arrival.
+        finish: Virtual finish time of the request that it started last.
+    """
 
     limits: Share
     running: int = 0
@@ -93,20 +105,23 @@
     """Weighted fair queueing between workspaces, within each priority.
 
     Among requests of the same priority, the workspace with the least virtual finish
-    time goes first.  A workspace that floods the queue delays its own requests, not
-    those of the others.
+    time goes first.  Many requests of one workspace therefore delay each other, but not
+    those of other workspaces.
 
-    A short burst may wait as long as its deadlines allow.  A queue that has not been
-    empty for longer than `standing_after` is a standing queue, a sign of overload: in
-    order of arrival, every request would start too late to be of use. While the queue
-    is standing, the newest request of a workspace starts first and requests that have
-    waited for `shed_after` are shed.
+    Requests normally start in the order of arrival and may wait until their deadlines.
+    A queue that has not been empty for longer than `standing_after` is a standing
+    queue, a sign of overload: in the order of arrival, every request would start late.
+    While the queue is standing, the newest request of a workspace starts first and
+    requests that have waited for `shed_after` are shed.
 
     Attributes:
         max_waiting: The maximum number of waiting requests.
         standing_after: How long a burst may keep the queue non-empty, in seconds.
         rate: Estimated completions per second; 0 before the first estimate.
         empty_at: When the queue was last empty.
+        virtual: Virtual time of the fair queueing; it never decreases.
+        last_completion: When a request ended last, or None.
+        workspaces: The workspaces that have running or waiting requests.
     """
 
     max_waiting: int = 512
@@ -120,9 +135,12 @@
     def offer(self, ticket: Ticket, limits: Share, now: Seconds) -> Refused | None:
         """Enqueue a request, or refuse it immediately.
 
-        A request is refused if a limit is reached, or if the expected wait is longer
-        than its deadline allows.  With an early refusal the caller can still retry
-        elsewhere before its deadline.
+        A request is refused if the number of waiting requests has reached a limit, or
+        if the expected wait is longer than `max_wait`.  After an early refusal the
+        caller can still retry elsewhere before its deadline.
+
+        Returns:
+            The refusal, or None if the request waits now.
         """
         if not self.waiting:
             self.empty_at = now
@@ -141,7 +159,7 @@
         return None
 
     def start(self, free: int, now: Seconds) -> list[Ticket]:
-        """Remove and return the requests to start, given the number of free slots."""
+        """Remove and return the requests to start, at most `free`."""
         started: list[Ticket] = []
         while free > 0:
             ticket = self.next_ticket(now)
@@ -154,7 +172,7 @@
         return started
 
     def max_wait(self, ticket: Ticket, now: Seconds) -> Seconds:
-        """Return how much longer a request may wait."""
+        """Return how much longer a request may wait; 0 or less if it must not start."""
         left = ticket.deadline - now
         if not self.is_standing(now):
             return left
@@ -184,7 +202,10 @@
         return True
 
     def expire(self, now: Seconds) -> list[Refused]:
-        """Remove and return the requests that can no longer start in time."""
+        """Remove and return the requests that have waited for too long to start.
+
+        Their deadline has passed or, in a standing queue, their `shed_after`.
+        """
         late = [
             ticket
             for entry in self.workspaces.values()
@@ -210,7 +231,11 @@
         return waiting
 
     def retry_after(self, now: Seconds) -> Seconds:
-        """Return how long the current queue takes to drain, within the bounds."""
+        """Return the delay to suggest to a refused caller, in seconds.
+
+        It is the time that the waiting requests need at the estimated rate, within
+        `MIN_RETRY_AFTER` and `MAX_RETRY_AFTER`; 1 second without an estimate.
+        """
         if self.rate <= 0:
             return 1.0
         return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, self.waiting / self.rate))
@@ -221,7 +246,7 @@
         return sum(entry.length for entry in self.workspaces.values())
 
     def entry(self, workspace: WorkspaceName, limits: Share) -> WorkspaceQueue:
-        """Return a workspace's queues, with its current limits applied."""
+        """Return a workspace's entry with new limits; create it if there is none."""
         entry = self.workspaces.setdefault(workspace, WorkspaceQueue(limits))
         entry.limits = limits
         return entry
@@ -236,7 +261,7 @@
         )
 
     def is_standing(self, now: Seconds) -> bool:
-        """Return whether the queue has been non-empty for too long for a burst."""
+        """Return whether the queue was last empty more than `standing_after` ago."""
         return now - self.empty_at > self.standing_after
 
     def next_ticket(self, now: Seconds) -> Ticket | None:
@@ -260,7 +285,7 @@
         return ticket
 
     def forget(self, workspace: WorkspaceName) -> None:
-        """Forget a workspace without running or waiting requests, to bound memory."""
+        """Delete the entry of a workspace that has no running or waiting requests."""
         entry = self.workspaces.get(workspace)
         if entry is not None and entry.running == 0 and entry.length == 0:
             del self.workspaces[workspace]
--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -12,7 +12,10 @@
 
 
 class AttemptState(Enum):
-    """State of a closed attempt, as reported by its backend server."""
+    """State of a closed attempt, as reported by its backend server.
+
+    The server starts no attempt after it has been closed, and ends a running one.
+    """
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -27,7 +30,7 @@
     Attributes:
         state: Whether it ran, and whether it finished.
         prompt_tokens: Tokens of the prompt.
-        completion_tokens: Tokens generated until then.
+        completion_tokens: Tokens generated until the attempt ended.
         boot: The server's boot identifier.  It changes with a restart, in which the
             server loses its record of earlier attempts.
     """
@@ -67,7 +70,7 @@
 
 
 def router_of(attempt: AttemptId) -> RouterId:
-    """Return the incarnation that started an attempt.
+    """Return the incarnation that dispatched an attempt.
 
     >>> router_of("r1.7~3~2")
     'r1.7'
--- a/ebonyhold/coordination/_bills.py
+++ b/ebonyhold/coordination/_bills.py
@@ -39,15 +39,21 @@
     RequestState.INTERRUPTED: 3,
     RequestState.COMPLETE: 4,
 }
-"""Rank of a bill by its state.
+"""Rank of a bill by its state; a higher one is based on better evidence.
 
-A filed bill is replaced only by one of higher rank, which has more evidence, so a row
-is amended a bounded number of times.
+A filed bill is replaced only by one of higher rank, so a row is amended a bounded
+number of times.
 """
 
 
 class Verdict(Enum):
-    """How filing a bill changes the request's row."""
+    """How filing a bill changes the request's row.
+
+    Attributes:
+        FILE: It becomes the row's first bill.
+        AMEND: It replaces the bill in the row.
+        LEAVE: The row stays as it is, and nothing is charged.
+    """
 
     FILE = "file"
     AMEND = "amend"
@@ -56,7 +62,7 @@
 
 @frozen
 class Bill:
-    """The result of one run of a request, ready to be filed."""
+    """The result of one run of a request, to be filed in the request's row."""
 
     workspace: WorkspaceName
     request: RequestId
@@ -94,7 +100,13 @@
 
 @frozen
 class LedgerChange:
-    """The changes that a settlement makes to one grant, in one transaction."""
+    """The changes to one grant that are requested of a settlement.
+
+    Attributes:
+        bills: Bills to file.
+        draw: Tokens to draw from the budget, if it has as many left.
+        give_back: Tokens to return to the budget, if the grant holds as many.
+    """
 
     bills: tuple[Bill, ...] = ()
     draw: Tokens = 0
@@ -108,7 +120,7 @@
     Attributes:
         transaction: What to commit.
         sequence: The grant's sequence number afterwards.  If the outcome of the commit
-            is unknown, reading it back shows whether it took effect.
+            is unknown, the number in the grant's row shows whether it took effect.
         drawn: Tokens added to the grant.
         returned: Tokens returned to the budget.
         filed: The bills, with their effect on the requests' rows.
@@ -124,7 +136,7 @@
 
 
 def make_bill(intent: Intent, outcome: Outcome) -> Bill:
-    """Return the bill of a run: at most the hold is charged, the rest is overshoot."""
+    """Return the bill of a run; a charge above its hold is added to the overshoot."""
     charge = min(outcome.charge, intent.hold)
     beyond = outcome.charge - charge
     return Bill(
@@ -146,14 +158,15 @@
 def judge(row: RequestRow | None, bill: Bill) -> Verdict:
     """Decide how filing a bill changes the request's row.
 
-    A request has a single row.  The first bill fills it.  A later bill may only replace
-    it with better evidence, and then charges only the difference.
+    A request has a single row.  The first bill is filed in it.  A later bill replaces
+    that one only if its state has a higher rank; only the difference of the two charges
+    is then taken from the grant.
     """
     if row is None:
         return Verdict.FILE
     if row.state is RequestState.RUNNING:
-        # The claim may belong to another run that has not ended yet.  That this run did
-        # not execute the request proves nothing about the other one.
+        # The claim may belong to another run of the request, which has not ended yet.
+        # That run may still execute the request.
         by_another_run = run_of(row.attempt) != run_of(bill.attempt)
         if by_another_run and bill.state is RequestState.NOT_RUN:
             return Verdict.LEAVE
@@ -166,7 +179,10 @@
 def filed_row(
     row: RequestRow | None, bill: Bill, charge: Tokens, owner: RouterId, now: float
 ) -> RequestRow:
-    """Return the request's row with a bill filed in it."""
+    """Return the request's row with a bill filed in it.
+
+    The part of the bill beyond `charge` is added to the overshoot.
+    """
     return RequestRow(
         state=bill.state,
         kind=bill.kind,
@@ -206,7 +222,7 @@
     """Plan one transaction that files bills and draws or returns tokens.
 
     The budget stays within its limit whatever the change: a draw takes no more than the
-    budget has left, and a bill no more than the grant holds.
+    budget has left, and a bill or a return no more than the grant holds.
 
     Args:
         owner: The incarnation that the bills name.
--- a/ebonyhold/coordination/_breaker.py
+++ b/ebonyhold/coordination/_breaker.py
@@ -23,14 +23,14 @@
     """When a breaker opens, and for how long.
 
     Attributes:
-        window: How long results are counted, in seconds.
+        window: How long a result is counted, in seconds.
         least_calls: The minimum number of results in the window to open it.
-        failure_ratio: The share of failures in the window that opens it.
+        failure_ratio: The minimum share of failures in the window to open it.
         open_for: How long it stays open the first time, in seconds.
-        max_open_for: The maximum of that time, which doubles with each failed round of
-            probes, in seconds.
-        probes: Calls allowed at once while half open.
-        probe_timeout: How long a probe without a result prevents another one, in
+        max_open_for: The maximum of that time in seconds; the time doubles whenever a
+            probe fails.
+        probes: The maximum number of concurrent calls while half open.
+        probe_timeout: How long a probe without a result counts as a concurrent call, in
             seconds.
     """
 
@@ -56,13 +56,13 @@
     """Decides whether a call may be made; its methods take the current time.
 
     Attributes:
-        policy: Its thresholds.
+        policy: When it opens, and for how long.
         state: The state as of the last `allow`, `succeeded` or `failed`.
         results: The results inside the window.
         opened_at: When it opened last.
         open_for: How long it stays open this time, in seconds.
         probes: Start times of the probes without a result.
-        openings: How often it has opened.
+        openings: How often it has opened, including after failed probes.
     """
 
     policy: BreakerPolicy = field(factory=BreakerPolicy)
@@ -103,14 +103,14 @@
         return len(waiting) < self.policy.probes
 
     def succeeded(self, now: Seconds) -> None:
-        """Record that a call was answered."""
+        """Record a successful call; it closes a half-open breaker."""
         if self.state is BreakerState.HALF_OPEN:
             self.close()
             return
         self.record(Result(now, ok=True))
 
     def failed(self, now: Seconds) -> None:
-        """Record that a call failed or was not answered in time."""
+        """Record a call that failed or timed out; the breaker may open or reopen."""
         if self.state is BreakerState.HALF_OPEN:
             self.reopen(now)
             return
@@ -124,24 +124,24 @@
             self.open(now)
 
     def abandoned(self) -> None:
-        """Record that a call was given up before its result was known."""
+        """Discard a probe whose call was given up, so that another one is allowed."""
         if self.probes:
             self.probes.pop()
 
     def retry_after(self, now: Seconds) -> Seconds:
-        """Return how long to wait before the next call to `allow`, in seconds."""
+        """Return how long the breaker still stays open, in seconds; 0 if not open."""
         if self.state is not BreakerState.OPEN:
             return 0.0
         return max(0.0, self.opened_at + self.open_for - now)
 
     def record(self, result: Result) -> None:
-        """Add a result and drop those that are older than the window."""
+        """Add a result, and discard those that are older than the window."""
         self.results.append(result)
         while self.results[0].at <= result.at - self.policy.window:
             self.results.popleft()
 
     def is_failing(self) -> bool:
-        """Return whether the window holds enough failures to open the breaker."""
+        """Return whether the results in the window are to open the breaker."""
         calls = len(self.results)
         if calls < self.policy.least_calls:
             return False
@@ -149,7 +149,7 @@
         return failures >= calls * self.policy.failure_ratio
 
     def open(self, now: Seconds) -> None:
-        """Open the breaker."""
+        """Refuse calls for `open_for` from now on; discard all results and probes."""
         self.state = BreakerState.OPEN
         self.opened_at = now
         self.openings += 1
@@ -162,13 +162,13 @@
         self.open(now)
 
     def close(self) -> None:
-        """Close the breaker."""
+        """Allow all calls again; discard the results from before."""
         self.state = BreakerState.CLOSED
         self.probes.clear()
         self.results.clear()
 
     def expire_probes(self, now: Seconds) -> None:
-        """Drop probes that have timed out.
+        """Discard probes without a result after `probe_timeout`.
 
         A probe whose caller was cancelled may never report a result.  Without a timeout
         the breaker would then stay half open forever.
--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -10,7 +10,7 @@
 from ebonyhold.types import Seconds
 
 TOLERANCE = 1e-6
-"""Rounding tolerance when a level is compared with an amount, in units."""
+"""Rounding tolerance when the level of a bucket is compared with an amount."""
 
 
 @define
@@ -43,8 +43,8 @@
     def take(self, amount: float, now: Seconds) -> bool:
         """Take units if enough are available, and return whether they were.
 
-        An amount above the burst only needs a full bucket and leaves a negative level;
-        otherwise the call would wait forever.
+        An amount above the burst is taken from a full bucket and leaves a negative
+        level, because the level can never reach such an amount.
         """
         self.refill(now)
         # Without the tolerance, rounding could leave the level just below the amount.
@@ -94,7 +94,7 @@
 
     Attributes:
         limit: The full rate, in units per second.
-        rate: The current rate.
+        rate: The rate at `updated_at`.
         updated_at: When `rate` was computed.
         lowered_at: When it was last lowered.
     """
@@ -112,7 +112,7 @@
         return self.rate
 
     def refused(self, now: Seconds) -> None:
-        """Lower the rate after the service has refused a call."""
+        """Lower the rate after a refused call, at most once per `REFUSAL_WINDOW`."""
         if now < self.lowered_at + REFUSAL_WINDOW:
             return
         self.lowered_at = now
@@ -124,7 +124,7 @@
 
 @define
 class FairTurns(Generic[K]):
-    """Chooses which class goes next, by weight (start-time fair queueing).
+    """Chooses which class of calls goes next, by weight (start-time fair queueing).
 
     Attributes:
         weights: The weight of each class; a larger one gets more turns.
@@ -137,7 +137,7 @@
     virtual: float = 0.0
 
     def choose(self, waiting: Iterable[K]) -> K:
-        """Return which of the waiting classes goes next.
+        """Return the waiting class that goes next, the one with the earliest start.
 
         Raises:
             ValueError: No class is waiting.
@@ -147,13 +147,13 @@
     def start(self, key: K) -> float:
         """Return the virtual start time of the next turn of a class.
 
-        A class that was idle starts at the current virtual time.  With its old finish
-        time it would catch up for the idle time and starve the others.
+        A class that was idle starts at the current virtual time.  If it started at its
+        old finish time, it would get all turns until it has caught up.
         """
         return max(self.virtual, self.finish.get(key, 0.0))
 
     def charge(self, key: K, amount: float) -> None:
-        """Record that a class has taken a turn of the given amount."""
+        """Record a turn of a class, with the amount of the limited resource it used."""
         start = self.start(key)
         self.virtual = start
         self.finish[key] = start + amount / self.weights[key]
--- a/ebonyhold/coordination/_choice.py
+++ b/ebonyhold/coordination/_choice.py
@@ -2,8 +2,8 @@
 
 Several routers choose at the same time from the same outdated load reports, and no
 policy communicates with other routers.  To keep them from all choosing the same server,
-policies sample candidates at random and each router counts the requests that it sent
-since the report.
+`TwoChoices` and `PrefixAware` sample candidates at random, and add the requests that
+their router has sent since the report to the reported load.
 """
 
 from __future__ import annotations
@@ -24,12 +24,13 @@
 
     Attributes:
         name: The server.
-        slots: Requests that it runs at once; more are queued.
+        slots: The maximum number of requests that it runs at the same time; further
+            ones are queued.
         reported: Requests running and queued at its last load report.
         own_at_report: Of those, the requests of this router.
-        own: Requests of this router running or queued there now.
+        own: Requests of this router that are running or queued there now.
         reuse: Prompt tokens that its prefix cache is expected to hold.
-        distance: One-way network delay to its failure domain.
+        distance: One-way network delay to its failure domain, in seconds.
         token_rate: Tokens generated per second at its last report; 0 if unknown.
     """
 
@@ -133,12 +134,15 @@
 
 @choice_policy("least_load")
 class LeastLoad:
-    """Chooses the candidate with the lowest reported load; ties are broken randomly."""
+    """Chooses the candidate with the lowest reported load per slot.
+
+    Ties are broken randomly.
+    """
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the candidate with the lowest reported load."""
+        """Return the candidate with the lowest reported load per slot."""
         return min(
             candidates, key=lambda item: (item.reported / item.slots, rng.random())
         )
@@ -146,12 +150,12 @@
 
 @choice_policy("two_choices")
 class TwoChoices:
-    """Chooses the less loaded of two random candidates, by the corrected load."""
+    """Chooses one of two random candidates, by the corrected load per slot."""
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
     ) -> Candidate:
-        """Return the less loaded of two random candidates."""
+        """Return the one of two random candidates that has the lower load per slot."""
         if len(candidates) == 1:
             return candidates[0]
         first, second = rng.sample(candidates, 2)
@@ -163,11 +167,12 @@
 def working_set(
     chooser: str, names: Sequence[BackendName], size: int
 ) -> frozenset[BackendName]:
-    """Return the subset of servers that one router uses in a very large fleet.
+    """Return the subset of a large number of servers that one router uses.
 
-    Each router ranks all servers by a hash of both names and keeps the first ones.  So
-    every server is used by about the same number of routers, adding or removing a
-    server changes few subsets, and the state and polls of a router stay bounded.
+    Each router ranks all servers by a hash of its own and the server's name, and keeps
+    the first ones.  So every server is used by about the same number of routers, adding
+    or removing a server changes few subsets, and each router polls a bounded number of
+    servers.
 
     >>> names = [f"e{number}" for number in range(100)]
     >>> len(working_set("r1", names, 8)), len(working_set("r1", names[:3], 8))
@@ -186,10 +191,13 @@
 """Prompt tokens that an engine is assumed to process per second."""
 
 MEAN_ANSWER_TOKENS: Tokens = 128
-"""Typical length of an answer, to estimate when a slot becomes free."""
+"""Assumed mean length of an answer, to estimate when a slot becomes free."""
 
 SAMPLE_SIZE = 2
-"""Number of random candidates, besides the one with the longest cached prefix."""
+"""Number of random candidates that are compared.
+
+The candidate with the longest cached prefix is compared in addition.
+"""
 
 
 @choice_policy("prefix_aware")
@@ -216,7 +224,8 @@
     """Return the expected time to first token, in seconds.
 
     It is the sum of the round-trip delay, the wait for a free slot, and the time to
-    process the uncached part of the prompt, which grows with the load.
+    process the uncached part of the prompt, which grows with the load.  If the server's
+    token rate is unknown, a request is assumed to use its slot for one second.
     """
     uncached = max(0, need.prompt - item.reuse)
     utilization = item.load / item.slots
--- a/ebonyhold/coordination/_claims.py
+++ b/ebonyhold/coordination/_claims.py
@@ -18,11 +18,20 @@
 from ebonyhold.types import AttemptId, BackendName, RouterId
 
 MOST_REPEATS = 3
-"""How often a request that has already been billed may run again, unbilled."""
+"""How often a request may run again after it has been billed."""
 
 
 class ClaimAnswer(Enum):
-    """How to handle a caller's request."""
+    """How to handle a caller's request.
+
+    Attributes:
+        RUN: Run it and bill it.
+        RUN_UNBILLED: Run it again without a charge, because its bill is complete.
+        REPLAY: Return the kept answer.
+        UNKNOWN: Refuse it, because it may already have been executed.
+        KEY_REUSED: Refuse it, because its key belongs to a different request.
+        REPEATED_TOO_OFTEN: Refuse it, because it has run again too often.
+    """
 
     RUN = "run"
     RUN_UNBILLED = "run_unbilled"
@@ -54,9 +63,9 @@
 ) -> ClaimDecision:
     """Decide how to handle a request, given its row.
 
-    A booking is executed at most once: it does not run while its row leaves open
-    whether it ran before.  A chat may run several times at once, because its single row
-    takes only one bill.
+    A booking is executed at most once: it runs only if its row shows that it has not
+    run before, or if the server deduplicates it.  Other requests may run several times,
+    also at the same time, because a request's row holds only one bill.
 
     Args:
         row: The request's row, if there is one.
@@ -95,8 +104,9 @@
 ) -> Transaction:
     """Return the transaction that claims a request which `decide_claim` lets run.
 
-    It checks the router's row: a late claim of a sealed incarnation would otherwise
-    leave the request marked as running, with no router left to settle it.
+    A row with a bill keeps it, and one more repeat is counted.  The transaction checks
+    the router's row: a late claim of a sealed incarnation would otherwise leave the
+    request marked as running, with no router left to settle it.
     """
     old = request.value
     if old is not None and old.filed_at and old.state is not RequestState.NOT_RUN:
--- a/ebonyhold/coordination/_codec.py
+++ b/ebonyhold/coordination/_codec.py
@@ -43,7 +43,9 @@
     """Convert a JSON value to an attrs object.
 
     Raises:
-        cattrs.BaseValidationError: The value does not match the type.
+        cattrs.BaseValidationError: The value does not match the type.  A value of an
+            entirely different type may raise a ValueError, LookupError, TypeError or
+            AttributeError instead.
     """
     return converter.structure(value, as_type)
 
@@ -74,6 +76,7 @@
 
     Raises:
         ValueError: The bytes are not JSON.
-        cattrs.BaseValidationError: The value does not match the type.
+        cattrs.BaseValidationError: The value does not match the type; see `from_json`
+            for the other exceptions.
     """
     return from_json(json.loads(body), as_type)
--- a/ebonyhold/coordination/_configuration.py
+++ b/ebonyhold/coordination/_configuration.py
@@ -1,8 +1,9 @@
 """Configuration versions: accept and adopt them, and look up a publication's result.
 
-A version is accepted once a transaction has increased the head row's version by one.
-The same transaction writes a history row with the publication's own key.  An operator
-that got no answer can thereby distinguish its own publication from another's.
+A version of the configuration document is accepted by a transaction that increases the
+version in the head row by one.  The same transaction writes a history row of that
+version, which contains the publication's own key.  An operator whose request got no
+answer can thereby distinguish its own publication from another's.
 """
 
 from __future__ import annotations
@@ -37,7 +38,9 @@
 
 @frozen
 class HeadRow:
-    """One accepted version, at ``config/head`` and in its history row.
+    """An accepted version of the configuration document.
+
+    It is stored at ``config/head`` while it is the latest, and in its history row.
 
     Attributes:
         version: Counts the accepted versions, from 1.
@@ -46,7 +49,7 @@
         based_on: The version that the operator's change is based on.
         author: The operator.
         at: When it was accepted, in seconds since the epoch.
-        publication: Unique for each attempt to publish.
+        publication: The key of the publication, unique for each attempt to publish.
     """
 
     version: int
@@ -59,7 +62,13 @@
 
 
 class Fate(Enum):
-    """The result of a publication whose outcome was unknown to the operator."""
+    """The result of a publication whose outcome was unknown to the operator.
+
+    Attributes:
+        ACCEPTED: Its version was accepted.
+        REFUSED: Another publication was accepted with the same version number.
+        OPEN: There is no history row of that version, so none was accepted yet.
+    """
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -82,7 +91,7 @@
 
 
 def head_of(row: Row | None) -> HeadRow | None:
-    """Decode a head row or a history row."""
+    """Decode a head row or a history row; None if there is none."""
     return None if row is None else from_json(row.value, HeadRow)
 
 
@@ -97,7 +106,7 @@
     Args:
         current: The head row as read.
         head: The version to accept; it is based on the one in `current`.
-        topups: First top-ups of workspaces that it adds.
+        topups: First top-ups of the workspaces that the version adds.
         expired: Old versions whose history rows are deleted.
 
     Returns:
@@ -125,7 +134,10 @@
 def plan_initial_topups(
     topups: tuple[TopUp, ...], author: str, at: float
 ) -> Transaction:
-    """Plan the first top-ups of workspaces; each takes effect only once."""
+    """Return the transaction that adds the first top-ups of several workspaces.
+
+    It fails as a whole if one of them already has its first top-up.
+    """
     checks: list[Check] = []
     writes: list[Write] = []
     for topup in topups:
@@ -136,7 +148,10 @@
 
 
 def plan_initial_topup(topup: TopUp, author: str, at: float) -> Transaction:
-    """Plan the first top-up of one workspace."""
+    """Return the transaction that adds the first top-up of a workspace.
+
+    It fails if the workspace already has it, or if its budget row has changed.
+    """
     key = topup_key(topup.workspace, INITIAL_TOPUP)
     row = topup.budget
     check: Check = Absent(budget_key(topup.workspace))
@@ -157,8 +172,8 @@
 def resolve_publication(history: Row | None, publication: str) -> Fate:
     """Return the result of a publication, according to its version's history row.
 
-    The head row alone is not enough: if another operator has already published the next
-    version, a success would look like a lost race.
+    The head row is not enough: after another operator has published the next version,
+    it no longer shows whose publication was accepted before.
 
     Args:
         history: The history row of the version that was to be accepted.
@@ -171,9 +186,9 @@
 
 
 def may_adopt(own: int, offered: int) -> bool:
-    """Return whether a router at one version may adopt another.
+    """Return whether a router may adopt an offered version instead of its own.
 
-    A configuration never reverts: only a larger version is adopted.  Outdated versions
-    from delayed messages, or from routers with an old copy, are refused.
+    A router adopts only a larger version.  It thereby ignores an outdated version in a
+    delayed message or from a router that has an old copy.
     """
     return offered > own
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -13,9 +13,9 @@
 from ebonyhold.types import Seconds, Tokens
 
 DEVIATIONS = 1.5
-"""Standard deviations of the demand that a grant covers in addition to its mean.
+"""A grant covers the mean demand plus this many standard deviations.
 
-Requests are few and large: during an outage a router receives about two of one
+Requests are few and large: during an outage a router receives about two requests of one
 workspace, and often four.
 """
 
@@ -23,13 +23,17 @@
 BASE_SHARE_DIVISOR = 4.0
 """A grant is at least an even share of the unspent budget divided by this.
 
-It serves the first requests of a workspace at a router that has had few or none of its
-requests.
+This minimum serves the first requests of a workspace at a router that has received few
+or none of its requests before.
 """
 
 
 def outage_cover(view: GrantView) -> float:
-    """Return the tokens that cover the demand during most outages."""
+    """Return the tokens that cover the demand during most outages.
+
+    This is the expected demand with a margin of `DEVIATIONS`, plus one typical request,
+    but at least the minimum share of the budget.
+    """
     mean = view.rate * view.horizon
     deviation = math.sqrt(mean * view.typical)
     unspent = view.budget.prepaid - view.budget.spent if view.budget else 0
@@ -42,15 +46,15 @@
     """Sizes a grant to cover the demand of one outage, less as the budget runs out.
 
     A router that cannot reach the table can only serve from the tokens it holds, so
-    each router holds the expected demand of its own callers during an outage.  Tokens
-    idle at one router are missing at another.  All routers read the budget's remaining
-    tokens: when these become scarce, each returns tokens in proportion.
+    each router holds the expected demand of its own callers during an outage.  When few
+    tokens remain in the budget, idle tokens at one router cause refusals at another.
+    All routers read the remaining tokens, and then reduce their grants in proportion.
     """
 
     patience: Seconds = 0.25
 
     ample_share = 0.4
-    """The share of the unspent tokens that stays in the budget.
+    """The share of the unspent tokens that should stay in the budget.
 
     If less is left, all grants shrink in proportion.  The tokens left in the budget
     serve routers with empty grants while the table can be reached.
@@ -63,23 +67,26 @@
     """
 
     min_draw_requests = 2.0
-    """A draw ahead of need adds at least this many requests of the typical size.
+    """A draw that no request waits for adds at least this many typical requests.
 
     Without it, a router that gets a request of a workspace every five seconds would
     draw for each one, and a large fleet would use up the table's rate limit.
     """
 
     always_draw_below = 0.3
-    """Below this share of the wanted grant a draw is made even if it adds little.
+    """Below this share of the wanted grant, a draw may be smaller than that minimum.
 
-    A router whose wanted grant is a single request would otherwise never hold it.
+    A router whose wanted grant is a single request would otherwise never draw it.
     """
 
     return_above = 1.4
-    """Tokens are returned above this many times the wanted grant, plus one request."""
+    """Tokens are returned when more than the following are available.
+
+    This many times the wanted grant, plus one request of the typical size.
+    """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw up to the wanted grant, or return what exceeds it."""
+        """Return the draw that fills the wanted grant, or the return of the excess."""
         wanted = self.wanted(view)
         left = max(view.budget.remaining, 0) if view.budget else 0
         if view.need:
@@ -102,25 +109,25 @@
         """Return the level of available tokens above which some are returned.
 
         When the budget itself cannot serve a typical request, tokens kept at one router
-        cause refusals at another.  With the usual level, 12 routers together kept 5% of
-        a spent budget, because each held too little to return any.
+        cause refusals at another.  With the usual level, 12 routers together can keep
+        5% of a spent budget, because each holds too little to return any.
         """
         if left < typical:
             return wanted + typical / 2
         return self.return_above * wanted + typical
 
     def wanted(self, view: GrantView) -> Tokens:
-        """Return the tokens that should be available after the change."""
+        """Return the tokens that should be available after the draw or return."""
         cover = outage_cover(view)
         return int(min(cover, self.affordable_cover(cover, view)))
 
     def affordable_cover(self, cover: float, view: GrantView) -> float:
         """Return how much of the cover the remaining budget allows, in tokens.
 
-        The calculation uses the budget's level after this change.  With the level
-        before it, a router that holds most of a budget would alternately return all of
-        its tokens and draw them again.  In half of the outages it would have an empty
-        grant.
+        The calculation uses the tokens that would be left in the budget after the draw
+        or return.  With those left before, a router that holds most of a budget would
+        alternately return all of its tokens and draw them again, and its grant would be
+        empty in half of the outages.
         """
         if view.budget is None:
             return cover
--- a/ebonyhold/coordination/_ejection.py
+++ b/ebonyhold/coordination/_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: sends no work to failing servers, within bounds on how many."""
+"""Outlier ejection: which failing servers get no requests, within bounds."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
             each consecutive ejection.
         most_lost: Maximum duration of the ejection of an unreachable server, in
             seconds.
-        domain_share: The largest share of a failure domain ejected for errors.
-        fleet_share: The largest share of the fleet ejected for errors.
-        panic_share: If more than this share of the fleet is unreachable, the fault is
-            assumed to be this router's own and no server counts as unreachable.
+        domain_share: The maximum share of a failure domain's servers that is ejected
+            for errors.
+        fleet_share: The maximum share of all servers that is ejected for errors.
+        panic_share: If more than this share of all servers is unreachable, the fault is
+            assumed to be at this router and no server is ejected as unreachable.
     """
 
     errors: int = 4
@@ -39,7 +40,15 @@
 
 @define
 class ServerRecord:
-    """Recent failures of one server, and until when it is ejected."""
+    """Recent failures of one server, and until when it is ejected.
+
+    Attributes:
+        errors: Errors since the last complete answer, reduced by an ejection.
+        lost: Failed connections since the server was last reached.
+        ejections: Ejections for errors since the last complete answer.
+        ejected_until: The end of the latest ejection for errors.
+        unreachable_until: When an unreachable server may be tried again.
+    """
 
     errors: int = 0
     lost: int = 0
@@ -56,7 +65,7 @@
     records: dict[BackendName, ServerRecord] = field(factory=dict)
 
     def failed(self, name: BackendName, now: Seconds) -> None:
-        """Record an error, a malformed answer or a timeout."""
+        """Record an error, a malformed answer or a timeout; eject an outlier."""
         record = self.records.setdefault(name, ServerRecord())
         record.errors += 1
         if record.errors >= self.policy.errors:
@@ -65,8 +74,8 @@
     def lost(self, name: BackendName, now: Seconds) -> None:
         """Record that a connection could not be made.
 
-        The server is ejected for a limited time only: one that is not polled would
-        otherwise never be tried again after it has recovered.
+        An unreachable server is ejected for a limited time only.  A server that is not
+        polled would otherwise never be tried again after it has recovered.
         """
         record = self.records.setdefault(name, ServerRecord())
         record.lost += 1
@@ -75,17 +84,20 @@
         record.unreachable_until = now + wait
 
     def reached(self, name: BackendName) -> None:
-        """Record any answer of the server, such as a load report."""
+        """Record any answer, such as a load report; the server counts as reachable."""
         record = self.records.get(name)
         if record is not None:
             record.lost = 0
 
     def succeeded(self, name: BackendName) -> None:
-        """Record a complete answer."""
+        """Record a complete answer; it clears all failures and ends an ejection."""
         self.records.pop(name, None)
 
     def eject(self, record: ServerRecord, now: Seconds) -> None:
-        """Eject the server, for longer with each consecutive ejection."""
+        """Eject a server for errors; after the ejection, one more error repeats it.
+
+        The duration doubles with each ejection until the server succeeds.
+        """
         wait = min(self.policy.most, self.policy.first * 2.0**record.ejections)
         record.ejected_until = now + wait
         record.ejections += 1
@@ -94,18 +106,18 @@
     def ejected(
         self, servers: Mapping[BackendName, str], now: Seconds
     ) -> frozenset[BackendName]:
-        """Return the servers that get no work now.
+        """Return the servers that get no requests now.
+
+        A fault of the workload, such as a prompt that crashes every engine, causes
+        errors on all servers.  Ejecting all of them would end the service, so at most a
+        share of each failure domain and of all servers is ejected for errors, those
+        with the latest end of ejection first.  Unreachable servers are ejected without
+        a bound per domain, because all servers of a failed domain are unreachable; but
+        none of them is ejected if they are more than `panic_share` of all servers.
 
         Args:
             servers: All servers of one kind, with their failure domains.
-            now: The time.
-
-        A fault of the workload, such as a prompt that crashes every engine, causes
-        errors on all servers.  Ejecting all of them would end the service, so errors
-        eject at most a share of each failure domain and of the fleet, those with the
-        latest end of ejection first.  Unreachable servers are ejected without a bound
-        per domain, because a domain that has failed can answer nothing; but if most of
-        the fleet is unreachable, the fault is on this router's side.
+            now: The time, in seconds.
         """
         unreachable = self.unreachable(servers, now)
         allowed = int(len(servers) * self.policy.fleet_share)
@@ -130,7 +142,7 @@
     def unreachable(
         self, servers: Mapping[BackendName, str], now: Seconds
     ) -> frozenset[BackendName]:
-        """Return the unreachable servers; none if most of the fleet is unreachable."""
+        """Return the unreachable servers; none if they exceed `panic_share`."""
         lost = frozenset(
             name
             for name in servers
@@ -141,11 +153,11 @@
         return lost
 
     def is_unreachable(self, record: ServerRecord, now: Seconds) -> bool:
-        """Return whether a server is unreachable."""
+        """Return whether a server counts as unreachable and is not to be tried yet."""
         return record.lost >= self.policy.lost and now < record.unreachable_until
 
     def is_ejected(self, name: BackendName, now: Seconds) -> bool:
-        """Return whether a server is ejected for errors."""
+        """Return whether errors eject a server, before the bounds are applied."""
         record = self.records.get(name)
         return record is not None and now < record.ejected_until
 
@@ -153,7 +165,7 @@
 def domain_allowance(
     servers: Mapping[BackendName, str], share: float
 ) -> dict[str, int]:
-    """Return how many servers of each failure domain may be ejected."""
+    """Return how many servers of each failure domain may be ejected for errors."""
     sizes: dict[str, int] = {}
     for domain in servers.values():
         sizes[domain] = sizes.get(domain, 0) + 1
--- a/ebonyhold/coordination/_grants.py
+++ b/ebonyhold/coordination/_grants.py
@@ -35,7 +35,7 @@
     transferred_in: Tokens = 0,
     transferred_out: Tokens = 0,
 ) -> GrantRow:
-    """Return a grant after one change requested by its router."""
+    """Return a grant after one change, with the next sequence number."""
     return evolve(
         row,
         drawn=row.drawn + drawn,
@@ -51,8 +51,8 @@
 class GrantLedger:
     """One router's ledger of one grant, between two writes of the grant's row.
 
-    While no change is in flight, the tokens held according to the row equal ``available
-    + held + unfiled + given - received``.
+    While no change of the row is in flight, the tokens held according to the row equal
+    ``available + held + unfiled + given - received``.
 
     Attributes:
         available: Tokens that are free for new holds.
@@ -70,7 +70,7 @@
 
     @property
     def total(self) -> Tokens:
-        """Tokens that the grant's row should show as held."""
+        """Tokens held according to the grant's row while no change is in flight."""
         return self.available + self.held + self.unfiled + self.given - self.received
 
     @property
@@ -86,7 +86,7 @@
         return self.available + self.held + self.unfiled
 
     def hold(self, amount: Tokens) -> bool:
-        """Take a hold if enough tokens are available, and return whether they were."""
+        """Set tokens aside for a request; return False if too few are available."""
         if amount > self.available:
             return False
         self.available -= amount
@@ -100,7 +100,7 @@
         self.available += hold - charge
 
     def filed(self, charge: Tokens, paid: Tokens) -> None:
-        """Record that a bill was filed; what it did not take is available again."""
+        """Record that a bill was filed; the unpaid part of its charge is available."""
         self.unfiled -= charge
         self.available += charge - paid
 
@@ -118,9 +118,9 @@
     def spare(self) -> Tokens:
         """Tokens that may be returned to the budget.
 
-        Received tokens are added to this grant's row only when they are settled.  They
-        may be given to another router before that, which leaves the row below zero
-        until this router, or the one that recovers it, settles the receipt. Both do so
-        before they file bills or return tokens.
+        Received tokens are left out, because they are added to this grant's row only
+        when their receipt is settled.  If they are given to another router before that,
+        the held tokens in the row are negative until then.  Receipts are settled before
+        bills are filed or tokens are returned, also in a recovery.
         """
         return max(self.available - self.received, 0)
--- a/ebonyhold/coordination/_heartbeats.py
+++ b/ebonyhold/coordination/_heartbeats.py
@@ -21,12 +21,12 @@
         relays: How many routers are asked to relay a probe.
         suspicion_periods: Length of a suspicion, in periods for each doubling of the
             fleet's size.
-        unlisted_factor: Multiplies that length for a router that is not in the
-            platform's list.
+        unlisted_factor: Multiplies the length of a suspicion of a router that is not in
+            the platform's list.
         recover_factor: How long a router that is still listed must be gone before it
             may be recovered, as a multiple of the length of a suspicion.
-        partition_share: If more than this share of the listed routers is silent at
-            once, a partition is assumed instead of separate failures.
+        partition_share: If more than this share of the listed routers is gone at the
+            same time, a partition is assumed instead of separate failures.
         partition_delay: How long a listed router must be gone before it may be
             recovered when a partition is assumed, in seconds.  Connections between
             regions can fail for minutes.
@@ -73,7 +73,7 @@
         address: In a relay request: the address of that router.
         after: In a probe: if the sender lacks members, the identifier after which the
             page in the answer starts; otherwise None.
-        known: How many present members the sender knows.
+        known: How many members the sender knows that are not gone.
         page_end: In an answer with a page: the last identifier of the page.
     """
 
@@ -92,8 +92,8 @@
     """A heartbeat to send.
 
     Attributes:
-        to: The incarnation, or empty when only the address is known.
-        address: The address to send it to, ``ip:port``.
+        to: The receiving incarnation, or empty when only its address is known.
+        address: The receiver's address, ``ip:port``.
         beat: The heartbeat.
     """
 
--- a/ebonyhold/coordination/_joining.py
+++ b/ebonyhold/coordination/_joining.py
@@ -12,10 +12,13 @@
 """Multiplies the probe period of a newly started router that lacks members."""
 
 JOIN_PERIODS = 60
-"""How many periods after its start a router may probe at the shorter period."""
+"""How long after its start a router may use the shorter period, in probe periods."""
 
 SUFFICIENT_SHARE = 0.9
-"""The share of the fleet that a router must know to stop requesting pages."""
+"""A router that knows less than this share of the expected members requests pages.
+
+While a router is joining, it requests pages until it knows all of them.
+"""
 
 
 @define
@@ -23,7 +26,7 @@
     """State of one router's requests for members that it does not know yet.
 
     Attributes:
-        view: What it knows of the others.
+        view: The router's view of the others.
         page_size: The maximum number of members in one answer.
         cursor: The last identifier of the last page; the next page follows it.
         join_until: Until when a router that lacks members probes faster.
@@ -44,10 +47,11 @@
         return JOIN_PERIOD_FACTOR if self.is_joining else 1.0
 
     def lacks_members(self) -> bool:
-        """Return whether the router knows fewer members than it should.
+        """Return whether the router knows fewer members than expected.
 
-        A router that has just started needs all of them.  Later a few may be missing,
-        because the platform's list lags and still contains routers that are gone.
+        Expected are as many as the platform lists or as the last answer reported,
+        whichever is more.  A router that has just started needs all of them.  Later a
+        few may be missing, because the list may still contain routers that are gone.
         """
         expected = max(len(self.view.listed or {}), self.reported_count)
         sufficient = expected if self.is_joining else SUFFICIENT_SHARE * expected
--- a/ebonyhold/coordination/_journal.py
+++ b/ebonyhold/coordination/_journal.py
@@ -48,12 +48,12 @@
 class JournalReading:
     """The merged entries of one incarnation's journal, from table and object store.
 
-    An append of unknown outcome is repeated, so the same entry may be in both places
+    An append of unknown outcome is repeated, so the same entry may be in both of them
     and in several segments.
 
     Attributes:
         intents: By run, the attempts in the order of their dispatch.
-        outcomes: By run, its outcome.
+        outcomes: By run, the first outcome that was added.
         given: By transfer, tokens given to other routers.
         received: By transfer, tokens received from other routers.
         sealed: Whether there is a seal in the segments.
@@ -71,7 +71,7 @@
             self.add_entry(entry)
 
     def add_entry(self, entry: JournalEntry) -> None:
-        """Add one entry."""
+        """Add one entry; an intent or outcome that is already there is ignored."""
         if isinstance(entry, Intent):
             attempts = self.intents.setdefault(run_of(entry.attempt), [])
             if entry not in attempts:
@@ -86,7 +86,7 @@
             self.sealed = True
 
     def bills(self) -> tuple[Bill, ...]:
-        """Return the bills of the runs that have an outcome."""
+        """Return the bills of the runs that have both an intent and an outcome."""
         return tuple(
             make_bill(self.intents[run][0], outcome)
             for run, outcome in self.outcomes.items()
@@ -94,7 +94,7 @@
         )
 
     def open_runs(self) -> tuple[tuple[Intent, ...], ...]:
-        """Return the attempts of each run that has no outcome and may have run."""
+        """Return the attempts of each run without an outcome; a server may run them."""
         return tuple(
             tuple(attempts)
             for run, attempts in self.intents.items()
--- a/ebonyhold/coordination/_leases.py
+++ b/ebonyhold/coordination/_leases.py
@@ -1,13 +1,13 @@
 """Leases with fencing numbers, as transactions on one row of the table.
 
-Clocks of different routers are never compared.  For another router than the holder, a
-lease has expired once it has observed the same version of the row for longer than the
-lease's length on its own clock.  So a holder that renews in time keeps the lease,
-whatever the other clocks show.
-
-A holder that is paused after its check may act after the lease has expired.  Where the
-receiver of its orders checks fencing numbers, it refuses them.  Elsewhere the current
-holder must read back the receiver's state and repeat its own orders.
+Clocks of different routers are never compared.  A router regards another's lease as
+expired when it has read the same version of the row for `EXPIRY_FACTOR` times the
+lease's length on its own clock.  A holder that renews within that length keeps the
+lease, whatever the other clocks show.
+
+A holder that is paused after its check may act after the lease has expired.  A receiver
+that checks fencing numbers refuses such an order.  If the receiver does not check them,
+the current holder must read back the receiver's state and repeat its own orders.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @frozen
 class LeaseSighting:
-    """A version of the row, and when this router first read it."""
+    """A version of a lease's row, and when this router first read it."""
 
     version: int
     since: Seconds
@@ -71,7 +71,7 @@
     until: Seconds
 
     def holds(self, now: Seconds) -> bool:
-        """Return whether the holder may still act; a pause may follow at any time."""
+        """Return whether the holder may act now; a pause may follow the check."""
         return now < self.until
 
 
@@ -112,7 +112,11 @@
 
 
 def has_expired(row: Row, observation: LeaseSighting | None, now: Seconds) -> bool:
-    """Return whether a lease was released, or was not renewed in time."""
+    """Return whether another router may take a lease.
+
+    It may if the lease was released, or if this version of the row was first read at
+    least `EXPIRY_FACTOR` times the lease's length ago.
+    """
     lease = parse_lease(row)
     if lease is None or not lease.holder:
         return True
@@ -129,13 +133,13 @@
     length: Seconds,
     now: Seconds,
 ) -> LeasePlan | None:
-    """Plan to take a lease; None while another router may hold it.
+    """Plan to take a lease; None if the lease may still be held.
 
     Args:
         name: The lease's name.
         router: The incarnation that takes it.
         row: The row as just read.
-        observation: Since when this version of the row has been observed.
+        observation: When this router first read the row's version, or None.
         length: How long to hold it, in seconds.
         now: The time on this router's clock, from before the commit is sent.
     """
@@ -150,12 +154,13 @@
 
 
 def plan_renew(held: HeldLease, now: Seconds) -> LeasePlan:
-    """Plan to renew a lease; a conflict means that it has been lost.
+    """Plan to renew a lease; if the commit conflicts, the lease has been lost.
 
     Args:
         held: The lease.
-        now: The time from before the commit is sent.  Counted from the answer, the
-            holder's time would end later than the other routers assume.
+        now: The time from before the commit is sent.  If the lease's length were
+            counted from the answer, the holder would act for longer than the other
+            routers assume.
     """
     return plan_write(held.name, held.row, held.version, now)
 
@@ -168,7 +173,7 @@
 
 
 def plan_write(name: str, row: LeaseRow, version: int, now: Seconds) -> LeasePlan:
-    """Plan a write of a lease's row at the version that was read; 0 if none."""
+    """Plan a write of a lease's row; `version` is the one read, 0 without a row."""
     key = lease_key(name)
     check: Check = AtVersion(key, version) if version else Absent(key)
     transaction = Transaction((check,), (Put(key, to_json(row)),))
@@ -176,10 +181,11 @@
 
 
 def resolve_lease(wanted: LeasePlan, row: Row | None) -> HeldLease | None:
-    """Return the lease if the row read back shows that a plan took effect.
+    """Return the lease if the row as read back shows that the plan took effect.
 
-    Both the version and the content must match the plan.  A write of the same version
-    by another router, or by an earlier incarnation of this one, names another holder.
+    Both the version and the content must match the plan, because another router, or an
+    earlier incarnation of this one, may have written the same version.  The result is
+    None for a release.
     """
     outcome = wanted.outcome
     if outcome is None or row is None or row.version != outcome.version:
--- a/ebonyhold/coordination/_members.py
+++ b/ebonyhold/coordination/_members.py
@@ -15,11 +15,17 @@
 from ebonyhold.types import RouterId, Seconds
 
 FINAL_REVISION = 2**53
-"""The revision of an incarnation that has been replaced; it can't be refuted."""
+"""The revision of an update that declares a replaced incarnation gone.
+
+The incarnation does not refute such an update.
+"""
 
 
 class MemberStatus(Enum):
-    """The assumed status of a router; at the same revision the larger value wins."""
+    """The assumed status of a router.
+
+    Of two updates with the same revision, the one with the larger value is valid.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -82,8 +88,10 @@
 
     Attributes:
         update: The update that is currently valid.
-        heard_at: When its last message to this router arrived, or None.
-        silent_at: Since when it has been suspected, or None.
+        heard_at: When its last message to this router's current incarnation arrived, or
+            None.
+        silent_at: Since when it has been suspected, without pauses of this process, or
+            None.
         gone_at: When it was declared gone here, or None.
         unmet: Whether it is unconfirmed: known only from its row in the table, while
             no router is known to have received a message from it.  It is probed, but
@@ -98,37 +106,41 @@
 
     @property
     def present(self) -> bool:
-        """Whether it is assumed to run, even if it is suspect."""
+        """Whether it has not been declared gone."""
         return self.update.status is not MemberStatus.GONE
 
     @property
     def counted(self) -> bool:
         """Whether it is present and at least one router has received a message from it.
 
-        A router that is cut off reads the rows of the whole fleet.  If those counted,
-        it would consider itself connected and recover all the other routers.
+        A router without a connection to its peers may read the rows of the whole fleet.
+        If these counted, it would consider itself connected and recover all the other
+        routers.
         """
         return self.present and not self.unmet
 
 
 StatusChange = Callable[["Member", MemberStatus | None], None]
-"""Callback for a status change: the member and its previous status, None if new."""
+"""Callback for a status change or a confirmation.
+
+Its arguments are the member and the previous status, which is None for a new member.
+"""
 
 
 def ignore_change(member: Member, before: MemberStatus | None) -> None:
-    """Ignore a change of status."""
+    """Do nothing; the default callback."""
 
 
 @define
 class MemberView:
-    """What one router knows of all the others.
+    """One router's view of all the others.
 
     Attributes:
-        on_change: Called when the status of a member changes.
+        on_change: Called when a member's status changes or a member is confirmed.
         members: The members by incarnation.
         by_name: The incarnations of each name.
         by_address: The latest incarnation at each address.
-        listed: The platform's list by name, as last read; None before.
+        listed: The platform's list by name, as last read; None before the first read.
         present_count: The number of members that are not gone, without unconfirmed
             ones.
     """
@@ -171,9 +183,9 @@
     def add_unconfirmed(self, update: MemberUpdate, now: Seconds) -> None:
         """Add an incarnation that is known only from its row in the table.
 
-        It is ignored if another incarnation of its name is present: that one may still
-        be the one that answers.  An update from the router itself decides which is
-        later.
+        The row is ignored if the incarnation is already a member, or if another
+        incarnation of its name is present, which may still be serving.  If the row's
+        incarnation is the later one, its own update replaces the other.
         """
         same = self.by_name.get(update.name, [])
         if update.router in self.members or any(other.present for other in same):
@@ -191,7 +203,7 @@
         self.on_change(member, member.update.status)
 
     def add(self, member: Member) -> Member:
-        """Add an incarnation."""
+        """Add a member to all indexes, and return it."""
         update = member.update
         self.members[update.router] = member
         self.by_name.setdefault(update.name, []).append(member)
@@ -216,9 +228,9 @@
     def supersede_older(self, update: MemberUpdate, now: Seconds) -> None:
         """Declare the older incarnations of a name gone permanently.
 
-        A delayed update about a previous incarnation must not declare its successor
-        gone, or a healthy router would be sealed.  The start times order the
-        incarnations whatever the order of arrival.
+        The incarnations are ordered by their start times, whatever the order in which
+        their updates arrive.  Otherwise a delayed update about a previous incarnation
+        would declare its healthy successor gone.
         """
         for member in self.by_name[update.name]:
             if self.is_superseded(member):
@@ -228,7 +240,7 @@
                     self.on_change(member, before)
 
     def forget(self, member: Member) -> None:
-        """Remove a member."""
+        """Remove a member from all indexes."""
         update = member.update
         del self.members[update.router]
         self.present_count -= member.counted
@@ -252,9 +264,10 @@
 
 
 def responsible(job: str, survivors: Iterable[RouterId]) -> RouterId | None:
-    """Choose the router that does a job; routers with equal views choose the same one.
+    """Return the survivor that does a job; None if there are no survivors.
 
-    It uses rendezvous hashing: when a router leaves, only its own jobs move.
+    Routers with equal views choose the same one.  They use rendezvous hashing, so when
+    a router leaves, only its own jobs move.
 
     >>> responsible("recover a.1", ["b.1", "c.1", "d.1"])
     'b.1'
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -2,9 +2,9 @@
 
 The protocol follows SWIM (Das et al., 2002).  In each period a router probes one other
 router.  If there is no answer, it asks a few routers to relay the probe.  If they get
-no answer either, it spreads a suspicion that the suspect can refute.  What a router
-sends does not grow with the fleet.  This is a state machine without I/O: the clock, the
-random numbers and the messages come from outside.
+no answer either, it spreads a suspicion that the suspect can refute.  The traffic of a
+router does not grow with the fleet.  `Membership` is a state machine without I/O: the
+caller passes in the time, the random numbers and the messages.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 
     Attributes:
         me: The router's update about itself.
-        view: What it knows of the others.
+        view: The router's view of the others.
         options: The protocol's parameters.
         wake_at: When `tick` must be called next.
-        suspected: The suspicions that this router holds.
+        suspected: The current suspicions in this router's view.
         pauses: Counts the detected pauses of this process.
     """
 
@@ -74,7 +74,7 @@
         self.suspected = Suspicions(self.view, self.judge, self.options)
         self.pauses = 0
 
-    # Queries of the router.
+    # Queries by the router.
 
     @property
     def suspicions(self) -> int:
@@ -93,11 +93,11 @@
         )
 
     def status_of(self, member: Member) -> MemberStatus:
-        """Return a member's status, combined with its entry in the platform's list.
+        """Return a member's status; a listed stop makes an alive member leaving.
 
-        Each router reads the list itself, so the entry is not gossiped: an outdated
-        entry of the previous incarnation would otherwise be refuted and repeated
-        without end.
+        Each router reads the platform's list itself, so the entries are not gossiped.
+        A router would refute a gossiped entry that is outdated, and the next read of
+        the list would gossip it again.
         """
         entry = (self.view.listed or {}).get(member.update.name)
         status = member.update.status
@@ -115,7 +115,7 @@
         Args:
             router: The incarnation.
             unknown_for: How long its row has been observed while the incarnation was
-                not alive here, in seconds.
+                not alive in this router's view, in seconds.
             now: The time, in seconds.
         """
         return self.judge.may_recover(router, unknown_for, now)
@@ -123,7 +123,7 @@
     # Input from the platform.
 
     def read_list(self, listed: Iterable[Listed]) -> None:
-        """Store the platform's membership list, which may be outdated."""
+        """Store the platform's membership list, without this router's own entry."""
         entries = {entry.name: entry for entry in listed}
         entries.pop(self.me.name, None)
         self.view.listed = entries
@@ -135,13 +135,13 @@
 
         A router may start, serve and crash before any other has received a message from
         it.  Once its row is read, it is probed like all members, so its failure is
-        detected in the same way.
+        detected in the same way.  Rows with this router's own name are ignored.
         """
         if update.name != self.me.name:
             self.view.add_unconfirmed(update, now)
 
     def introduce(self) -> list[Outgoing]:
-        """Return probes that announce this router to a few of those in the table."""
+        """Return probes that announce this router to a few unconfirmed ones."""
         addresses = {
             member.update.address
             for member in self.view.members.values()
@@ -154,7 +154,7 @@
     # Changes of the router itself.
 
     def become(self, router: RouterId, started: int) -> None:
-        """Continue as a new incarnation of the same name."""
+        """Continue as a new incarnation of the same name, and gossip its update."""
         self.me = evolve(
             self.me,
             router=router,
@@ -166,7 +166,7 @@
         self.spread(self.me)
 
     def leave(self) -> list[Outgoing]:
-        """Mark this router as leaving; return the probes that notify a few peers."""
+        """Mark this router as leaving; return probes that notify a few peers."""
         revision = self.me.revision + 1
         self.me = evolve(self.me, status=MemberStatus.LEAVING, revision=revision)
         self.spread(self.me)
@@ -178,7 +178,10 @@
     # Time.
 
     def tick(self, now: Seconds) -> list[Outgoing]:
-        """Run the steps that are due; return the heartbeats to send."""
+        """Run the steps that are due, and return the heartbeats to send.
+
+        It sets `wake_at` to the time of the next step.
+        """
         self.detect_pause(now)
         out: list[Outgoing] = []
         if now >= self.next_probe_at:
@@ -193,16 +196,16 @@
         return out
 
     def probe_interval(self, now: Seconds) -> Seconds:
-        """Return the time to the next probe, with random jitter."""
+        """Return the time to the next probe, with a random jitter of at most 10 %."""
         spread = 0.9 + 0.2 * self.rng.random()
         return self.options.period * spread * self.joining.period_factor(now)
 
     def detect_pause(self, now: Seconds) -> None:
         """Detect a pause of this process, and ignore silence during it.
 
-        After a pause every answer looks late, and the whole fleet would be suspected at
-        once.  So the current probe is dropped and all suspicions are extended by the
-        length of the pause.
+        A call that is at least half a period late is taken for a pause.  After a pause
+        all answers seem late, and the whole fleet would be suspected at once.  So the
+        current probe is dropped and all suspicions are extended by the pause.
         """
         late = now - self.wake_at
         if late < self.options.period / 2:
@@ -222,7 +225,7 @@
             self.learn(update, now)
 
     def expire(self, now: Seconds) -> None:
-        """End expired suspicions and relayed probes."""
+        """Declare suspects gone after their time, and drop expired relayed probes."""
         for gone in self.suspected.expire(now):
             self.learn(gone, now)
         for sequence, relayed in list(self.relayed.items()):
@@ -230,7 +233,7 @@
                 del self.relayed[sequence]
 
     def start_probe(self) -> list[Outgoing]:
-        """Return a probe of the next router in the shuffled round."""
+        """Return a probe of the next address; an empty list if no address is known."""
         address = self.next_address()
         if address is None:
             return []
@@ -238,8 +241,8 @@
         router = "" if member is None else member.update.router
         self.sequence += 1
         self.probe = Probe(router, address, self.sequence)
-        # A successor of an unconfirmed router may answer at the same address, so the
-        # probe is not addressed to one incarnation.
+        # A probe of an unconfirmed router is not addressed to its incarnation: a later
+        # one may run at the same address.
         receiver = "" if member is None or member.unmet else router
         return [self.make_probe(receiver, address, self.sequence)]
 
@@ -253,8 +256,8 @@
     def addresses(self) -> list[str]:
         """Return the addresses to probe in a round.
 
-        Routers that are gone are included: otherwise their return would not be detected
-        after a partition.
+        Routers that are gone are included, because otherwise they would stay gone after
+        the end of a partition.
         """
         found = {entry.address for entry in (self.view.listed or {}).values()}
         known = {
@@ -265,7 +268,7 @@
         return sorted((found | known | self.seeds) - {self.me.address})
 
     def request_relays(self, now: Seconds) -> list[Outgoing]:
-        """Return relay requests if the current probe is still unanswered."""
+        """Return relay requests if the current probe is unanswered; at most once."""
         probe = self.probe
         if probe is None or probe.relayed or not probe.target:
             return []
@@ -284,13 +287,15 @@
     ) -> list[Outgoing]:
         """Handle a heartbeat; return the heartbeats to send.
 
+        Of a heartbeat from an unknown sender only the updates are used.
+
         Args:
-            sender: The incarnation that sent it, as the envelope proves.
+            sender: The incarnation that sent it, authenticated by the envelope.
             beat: The heartbeat.
             now: The time, in seconds.
             fresh: Whether it was addressed to this incarnation.  Otherwise it may be a
-                replay from before this incarnation started, and is no evidence that the
-                sender is alive.
+                replay of a heartbeat from before this incarnation started, and is no
+                evidence that the sender is alive.
         """
         for update in beat.updates:
             self.receive_update(update, now)
@@ -316,7 +321,7 @@
         return Outgoing(prober.router, prober.address, ack)
 
     def start_relay(self, origin: MemberUpdate, beat: Beat, now: Seconds) -> Outgoing:
-        """Return a probe of another router, on behalf of the origin."""
+        """Return a probe of the requested router, on behalf of the origin."""
         self.sequence += 1
         until = now + self.options.period
         self.relayed[self.sequence] = RelayedProbe(
@@ -325,7 +330,7 @@
         return self.make_probe(beat.target, beat.address, self.sequence)
 
     def receive_ack(self, beat: Beat) -> list[Outgoing]:
-        """End the probe that was answered, or forward the answer of a relayed probe."""
+        """End the answered probe, or return the answer to forward for a relayed one."""
         relayed = self.relayed.pop(beat.sequence, None)
         if relayed is not None:
             ack = self.make_beat(BeatKind.ACK, relayed.origin_sequence, relayed.origin)
@@ -347,7 +352,10 @@
             self.view.confirm(self.view.members[update.router])
 
     def refute(self, update: MemberUpdate) -> None:
-        """Refute a false update about this router with a higher revision."""
+        """Raise this router's revision above that of a false update about it.
+
+        An update with the final revision is not refuted: this incarnation was replaced.
+        """
         if update.revision >= FINAL_REVISION:
             return
         if update.status is self.me.status or update.order <= self.me.order:
@@ -361,37 +369,37 @@
             self.spread(update)
 
     def spread(self, update: MemberUpdate) -> None:
-        """Queue an update to be sent with the next messages."""
+        """Queue an update to be sent with the next heartbeats."""
         self.rumours.add(update)
 
     def make_probe(self, to: RouterId, address: str, sequence: int) -> Outgoing:
-        """Return a probe."""
+        """Return a probe; it requests a page if this router lacks members."""
         beat = self.make_beat(BeatKind.PROBE, sequence, to)
         wanted = self.joining.lacks_members() or not to
         after = self.joining.cursor if wanted else None
         return Outgoing(to, address, evolve(beat, after=after))
 
     def send_probe(self, to: RouterId, address: str) -> Outgoing:
-        """Return a probe outside the usual round; its answer is not awaited."""
+        """Return a probe outside the usual round; a missing answer has no effect."""
         self.sequence += 1
         return self.make_probe(to, address, self.sequence)
 
     def make_beat(self, kind: BeatKind, sequence: int, to: RouterId) -> Beat:
-        """Return a heartbeat with the updates that are due."""
+        """Return a heartbeat with this router's update and those due for gossip."""
         known = self.view.present_count
         rumours = self.rumours.next_updates(to, known)
         updates = (self.me, *self.update_about(to), *rumours)
         return Beat(kind, sequence, updates, known=known)
 
     def update_about(self, to: RouterId) -> tuple[MemberUpdate, ...]:
-        """Return the update about a receiver that is not alive, for it to refute."""
+        """Return the update about a receiver that is not alive, which may refute it."""
         member = self.view.members.get(to)
         if member is None or member.update.status is MemberStatus.ALIVE:
             return ()
         return (member.update,)
 
     def sample(self, count: int, without: RouterId) -> list[Member]:
-        """Return a few random members with status alive."""
+        """Return at most `count` random members with status alive, except one."""
         alive = [
             member
             for member in self.view.present()
--- a/ebonyhold/coordination/_operations.py
+++ b/ebonyhold/coordination/_operations.py
@@ -74,13 +74,14 @@
 def plan_ruling(
     request: Seen[RequestRow], budget: Seen[BudgetRow], *, ran: bool
 ) -> Transaction | None:
-    """Plan to settle a request of unknown outcome, as an operator decided.
+    """Plan to settle a request of unknown outcome as an operator decided.
 
-    A request that did not run is not charged and may run again under its key; one that
-    ran keeps its charge.  None if it is already settled this way.
+    If it did not run, its charge goes back to the budget and it may run again under its
+    key.  If it ran, it keeps its charge.  None if it is already settled in this way.
 
     Raises:
-        ValueError: There is no such request, or its outcome is not unknown.
+        ValueError: There is no such request, its outcome is not unknown, or it did not
+            run but its charge was refunded.
     """
     row = request.value
     if row is None or budget.value is None:
@@ -104,10 +105,10 @@
 def plan_archive(
     archive: Seen[ArchiveRow], requests: Sequence[Seen[RequestRow]], before: float
 ) -> Transaction | None:
-    """Plan to delete old bills of one workspace and keep their totals.
+    """Plan to delete a workspace's bills filed before a time, and keep their totals.
 
-    The budget is reconciled with these totals afterwards.  The row of a running request
-    is never deleted.  None if no row is old enough.
+    Checks of the budget need these totals for the deleted bills.  The row of a running
+    request is never deleted.  None if no row is old enough.
     """
     old = [one for one in requests if _expired(one.value, before)]
     if not old:
--- a/ebonyhold/coordination/_orders.py
+++ b/ebonyhold/coordination/_orders.py
@@ -1,17 +1,17 @@
 """Placement of models: which engine loads or unloads which model, without flapping.
 
 One router at a time decides, under a lease with a fencing number.  Engines that check
-the number refuse an order of an earlier holder.  Other engines execute every order.  A
-holder that was paused between its check of the lease and its send may therefore have an
-order executed much later.  This can't be prevented, so its effects are limited:
+the number refuse an order of an earlier holder.  Other engines execute every order, so
+an order of a holder that was paused between its check of the lease and its send may be
+executed much later.  The effects of such a late order are limited:
 
 - A late load does no harm, but a late unload may.  So an unload is written to the table
   before it is sent, and deleted from it once answered.
 - An unload in the table that was not answered may still be executed at any time. Later
-  holders do not count that engine as serving the model.  If the engine checks fencing
-  numbers, a load with the later number ends this: the engine then refuses the unload.
-  Otherwise it ends after `doubt_for`; an unload executed even later has the same effect
-  as an engine that restarts without models.
+  holders do not count that engine as serving the model.  They count it again after it
+  was sent a load with a later fencing number, if it checks these and so refuses the
+  unload.  Otherwise they count it again after `doubt_for`; an unload executed even
+  later has the same effect as an engine that restarts without models.
 - Orders are derived repeatedly from the engines' reports.  The effect of a late order
   appears in the next report and is corrected by the next order.
 """
@@ -71,8 +71,8 @@
     Attributes:
         name: The engine.
         domain: Its failure domain.
-        slots: Requests that it runs at once.
-        load: Requests running and queued.
+        slots: The maximum number of requests that it runs at the same time.
+        load: The number of requests running and queued.
         loaded: Models that it reports as loaded.
         allowed: Models that it may load.
         usable: Whether it may get new work.
@@ -95,13 +95,14 @@
 
     Attributes:
         least: The minimum number of engines for each model, in several failure domains.
-        load_above: The share of slots in use above which one more engine loads a model.
-        unload_below: The share of slots in use below which one engine unloads it.
-        up_after: How long use must stay above `load_above`, in seconds.
-        down_after: How long use must stay below `unload_below`, in seconds.
-        load_time: How long a load may take before it is ordered again, in seconds.
-        max_loading: The maximum number of concurrent loads, which share the bandwidth
-            of the weight store.
+        load_above: The load per slot above which one more engine loads a model.
+        unload_below: The load per slot below which one engine unloads it.
+        up_after: How long the load must stay above `load_above`, in seconds.
+        down_after: How long the load must stay below `unload_below`, in seconds.
+        load_time: How long a model may take to load before it is ordered again, in
+            seconds.
+        max_loading: The maximum number of models loading at the same time; they share
+            the bandwidth of the weight store.
         max_models: The maximum number of models on one engine.
         doubt_for: How long an unanswered unload may still be executed, in seconds.
     """
@@ -122,7 +123,7 @@
     """Decides on orders; owned by the task that holds the lease.
 
     Attributes:
-        policy: Its thresholds.
+        policy: The thresholds and limits.
         loading: Loads that were ordered and are not reported yet, with their times.
         since: For a model and an action, since when its condition has held.
     """
@@ -144,7 +145,7 @@
             models: The models of the configuration document.
             engines: All engines, as reported.
             unanswered: Unloads that may still be executed.
-            now: The time.
+            now: The time, in seconds.
         """
         self.forget_loading(engines, now)
         in_doubt = {(row.order.backend, row.order.model) for row in unanswered}
@@ -168,7 +169,15 @@
         confirmed: Sequence[EngineView],
         now: Seconds,
     ) -> EngineOrder | None:
-        """Return the next order for one model."""
+        """Return the next order for one model, or None if none is needed.
+
+        Args:
+            model: The model.
+            engines: All engines, as reported.
+            holders: The usable engines that have loaded it.
+            confirmed: Those of the holders that have no unanswered unload of it.
+            now: The time, in seconds.
+        """
         loading = sum(order.model == model for order in self.loading)
         usage = share_in_use(holders)
         scale_up = self.has_lasted(
@@ -212,10 +221,10 @@
         holders: Sequence[EngineView],
         now: Seconds,
     ) -> EngineOrder | None:
-        """Return the order to load a model on the best candidate.
+        """Return the order to load a model, or None if no engine may load it now.
 
-        It prefers failure domains that have the model least, then engines with few
-        models, then engines with little load.
+        The engine is chosen by the fewest holders in its failure domain, then the
+        fewest models, then the lowest load per slot.
         """
         if len(self.loading) >= self.policy.max_loading:
             return None
@@ -244,10 +253,10 @@
         return order
 
     def unload(self, model: str, holders: Sequence[EngineView]) -> EngineOrder | None:
-        """Return the order to unload a model from the best candidate.
+        """Return the order to unload a model, or None if no engine may unload it.
 
-        It prefers the failure domain that has the model most, then the engine with the
-        least load.  An engine is never left without a model.
+        The engine is chosen by the most holders in its failure domain, then the lowest
+        load.  An engine is never left without a model.
         """
         candidates = [engine for engine in holders if len(engine.loaded) > 1]
         if not candidates:
@@ -262,7 +271,11 @@
     def fence(
         self, engines: Sequence[EngineView], unanswered: Sequence[OrderRow]
     ) -> EngineOrder | None:
-        """Return a load that makes an engine refuse an earlier holder's unload."""
+        """Return a load that makes an engine refuse an unanswered unload.
+
+        The caller sends it with its own, later fencing number.  None if no engine with
+        an unanswered unload checks these numbers.
+        """
         checking = {item.name for item in engines if item.checks_fencing}
         for row in unanswered:
             if row.order.backend in checking:
@@ -270,7 +283,7 @@
         return None
 
     def forget_loading(self, engines: Sequence[EngineView], now: Seconds) -> None:
-        """Drop loads that have finished or have taken longer than `load_time`."""
+        """Remove loads that were reported as done or are older than `load_time`."""
         loaded = {engine.name: engine.loaded for engine in engines}
         self.loading = {
             order: at
@@ -281,6 +294,9 @@
 
 
 def share_in_use(engines: Sequence[EngineView]) -> float:
-    """Return the share of the engines' slots that is in use; inf without engines."""
+    """Return the engines' load per slot; infinite without slots.
+
+    It is above 1 if requests are queued.
+    """
     slots = sum(engine.slots for engine in engines)
     return sum(engine.load for engine in engines) / slots if slots else math.inf
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -1,8 +1,8 @@
 """Registered grant policies: how much to draw, return, and transfer to peers.
 
 A policy only chooses amounts.  `plan_settlement` enforces the budget's limit whatever
-the policy returns, so a bad policy can cause refusals or extra writes but no
-overspending.
+the policy returns, so a bad policy can cause refused requests or extra writes to the
+table, but no overspending.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """The input of a grant policy.
 
     Attributes:
-        need: Tokens that waiting requests lack beyond the available ones.
+        need: Tokens that waiting requests need in addition to the available ones.
         available: Tokens of this router's grant that are not held.
         rate: Expected demand, in tokens per second.
         typical: Expected size of a hold, in tokens.
@@ -30,8 +30,8 @@
         routers: Number of routers assumed alive, including this one.
         budget: The budget as last read, or None if it could not be read.
         horizon: How much expected demand a grant covers, in seconds.
-        reserve_share: The largest share of an even split of the remaining tokens that a
-            grant keeps ahead of need.
+        reserve_share: The maximum share of an even split of the remaining tokens that a
+            grant holds while no request waits for tokens.
     """
 
     need: Tokens = 0
@@ -48,14 +48,14 @@
 
 @frozen
 class GrantSize:
-    """The change that a policy requests: at most one of the amounts is above zero."""
+    """The change that a policy requests: a draw, a return, or none if both are 0."""
 
     draw: Tokens = 0
     give_back: Tokens = 0
 
 
 class GrantPolicy(Protocol):
-    """Sizes the grants of one router.
+    """Sizes the grants of one router, and the transfers that it gives to peers.
 
     Attributes:
         asks_peers: Whether routers that lack tokens request them from peers.
@@ -71,7 +71,7 @@
         ...
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Return how many of the available tokens to give to another router."""
+        """Return how many available tokens to give to a peer that requests `wanted`."""
         ...
 
 
@@ -107,17 +107,17 @@
     patience: Seconds = 0.0
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Give nothing."""
+        """Return 0, because this policy makes no transfers."""
         del view, wanted
         return 0
 
 
 @grant_policy("table_call")
 class TableCall(AloneMixin):
-    """Draws tokens for each request from the table and keeps none ahead of need."""
+    """Draws the tokens of each request from the table, and returns unused ones."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw the tokens that are needed, or return all available ones."""
+        """Return a draw of the tokens that requests need, or a return of the unused."""
         if view.need:
             return GrantSize(draw=view.need)
         return GrantSize(give_back=view.available)
@@ -125,10 +125,10 @@
 
 @grant_policy("static_split")
 class StaticSplit(AloneMixin):
-    """Draws an equal share of the budget for each router once, and keeps it."""
+    """Draws an equal share of the prepaid tokens with the first request; keeps it."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw the rest of an equal share of all prepaid tokens."""
+        """Return a draw of the part of the equal share that was not drawn yet."""
         if not view.need or view.budget is None:
             return GrantSize()
         share = view.budget.prepaid // max(view.routers, 1)
@@ -136,7 +136,7 @@
 
 
 FIXED_GRANT = 20_000
-"""Tokens drawn at once by the fixed policy."""
+"""Size of one draw of the fixed policy, in tokens."""
 
 
 @grant_policy("fixed_grant")
@@ -144,7 +144,7 @@
     """Draws multiples of a fixed amount."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw the smallest multiple of the fixed amount that covers the need."""
+        """Return a draw of the smallest multiple that covers the need."""
         if not view.need:
             return GrantSize()
         count = -(-view.need // FIXED_GRANT)
@@ -155,10 +155,10 @@
 class Adaptive(AloneMixin):
     """Sizes a grant to cover the expected demand, less as the budget runs out.
 
-    While the budget is ample, idle tokens in grants have no cost, and they serve
-    callers during an outage of the table.  When the budget is nearly used up, each idle
-    token here causes refusals elsewhere, so the grant shrinks to the need of the
-    waiting requests.
+    While the budget is ample, idle tokens in grants cost nothing, and they serve
+    callers during an outage of the table.  When the budget is nearly used up, idle
+    tokens at one router cause refusals at others, so a router holds only what its
+    waiting requests need.
     """
 
     patience: Seconds = 2.0
@@ -170,17 +170,20 @@
     """Tokens above the wanted grant times this are returned."""
 
     scarce_below: Seconds = 120.0
-    """If the budget lasts no longer than this, no tokens are kept ahead of need.
+    """If the budget lasts no longer than this, only waiting requests get tokens.
 
-    The time is that in which the expected demand of this router uses up an even split
-    of the remaining tokens.
+    The budget is taken to last until the expected demand of this router has used up an
+    even split of the remaining tokens.
     """
 
     ample_above: Seconds = 450.0
-    """If the budget lasts at least this long, a grant may take its full share of it."""
+    """If the budget lasts at least this long, a grant may take `reserve_share`.
+
+    Between the two times, the share grows linearly from 0.
+    """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Draw up to the wanted grant, or return what exceeds it."""
+        """Return the draw that fills the wanted grant, or the return of the excess."""
         wanted = self.wanted(view)
         if view.need:
             return GrantSize(draw=view.need + wanted)
@@ -191,7 +194,7 @@
         return GrantSize()
 
     def wanted(self, view: GrantView) -> Tokens:
-        """Return the tokens that should be available after the change."""
+        """Return the tokens that should be available after the draw or return."""
         demand = view.rate * view.horizon
         if view.budget is None:
             return int(demand)
@@ -212,16 +215,19 @@
     asks_peers = True
 
     give_share = 0.5
-    """The share of the available tokens that a peer may get beyond what it lacks."""
+    """The maximum share of the available tokens for a peer that lacks fewer."""
 
     give_multiple = 4
     """A peer gets this many times what it lacks, within `give_share`.
 
-    A further request for each later hold would cost a round trip each.
+    Otherwise each later hold of the peer would cost another round trip.
     """
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Give what the peer lacks, and more if enough is available."""
+        """Return what the peer lacks, as far as available, and more within the limits.
+
+        It is 0 while this router's own requests wait for tokens.
+        """
         if view.need:
             return 0
         extra = min(self.give_multiple * wanted, int(view.available * self.give_share))
--- a/ebonyhold/coordination/_prefix.py
+++ b/ebonyhold/coordination/_prefix.py
@@ -1,4 +1,4 @@
-"""Hashes of prompt prefixes, and an index of the prefixes an engine has cached."""
+"""Hashes of prompt prefixes, and an index of the prefixes that an engine caches."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 """Words per block, the unit in which prefixes are cached."""
 
 MAX_BLOCKS = 256
-"""Maximum number of hashed blocks per prompt; a longer prefix saves little more."""
+"""Maximum number of hashed blocks per prompt.
+
+Reusing a longer prefix from the cache would save little more.
+"""
 
 HASH_DIGITS = 16
 
@@ -52,6 +55,7 @@
     Attributes:
         max_blocks: The maximum number of blocks in the index.
         sequence: Number of the last processed cache event.
+        held: The blocks by hash, the least recently used first.
     """
 
     max_blocks: int = 20_000
@@ -75,7 +79,7 @@
         self.held.pop(item, None)
 
     def clear(self) -> None:
-        """Clear the index after the engine restarted with an empty cache."""
+        """Remove all blocks and reset `sequence`, after a restart of the engine."""
         self.held.clear()
         self.sequence = 0
 
--- a/ebonyhold/coordination/_probes.py
+++ b/ebonyhold/coordination/_probes.py
@@ -26,7 +26,14 @@
 
 @define
 class RelayedProbe:
-    """A probe on behalf of another router."""
+    """A probe on behalf of another router, the origin.
+
+    Attributes:
+        origin: The router that requested it.
+        origin_address: The address for the answer to the origin.
+        origin_sequence: The sequence number of the origin's own probe.
+        until: When it is dropped if no answer has arrived.
+    """
 
     origin: RouterId
     origin_address: str
--- a/ebonyhold/coordination/_recoverable.py
+++ b/ebonyhold/coordination/_recoverable.py
@@ -1,7 +1,7 @@
 """Decides, by one router's view of the membership, which others may be recovered.
 
-Recovery is safe even if the view is wrong.  A wrong decision costs the recovered router
-a new incarnation and its open streams, so the rules here are conservative.
+Recovery is safe even if the view is wrong.  But a running router that is recovered must
+start a new incarnation and loses its open streams, so the rules are conservative.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 class RecoveryEligibility:
     """Decides which routers may be recovered.
 
-    It considers how long they have been silent, the platform's list, and later
+    It considers how long they have been gone, the platform's list, and later
     incarnations.
 
     Attributes:
         own_update: The router's update about itself.
-        view: What it knows of the others.
+        view: The router's view of the others.
         options: The protocol's parameters.
     """
 
@@ -35,10 +35,10 @@
     def recoverable(self, now: Seconds) -> tuple[RouterId, ...]:
         """Return the incarnations that may be recovered.
 
-        Routers that the platform still lists are recovered only after a long silence,
-        and only by a router that is connected to at least half of the list.  Otherwise
-        a router whose own network fails would declare all others gone and seal them,
-        and the whole fleet would start new incarnations again and again.
+        Routers that the platform still lists are recovered only after a delay, and only
+        by a router that is connected to at least half of the list.  Otherwise a router
+        whose own network fails would declare all others gone and seal them, and the
+        whole fleet would repeatedly start new incarnations.
         """
         connected = self.is_connected()
         return tuple(
@@ -48,7 +48,7 @@
         )
 
     def is_recoverable(self, member: Member, now: Seconds, connected: bool) -> bool:
-        """Return whether a member's grants and bills may be recovered."""
+        """Return whether a member may be recovered, given `is_connected`."""
         if member.gone_at is None:
             return False
         if self.is_superseded(member) or not self.is_listed(member):
@@ -56,14 +56,15 @@
         return connected and now >= member.gone_at + self.recovery_delay(member)
 
     def recovery_delay(self, member: Member) -> Seconds:
-        """Return how long to wait before recovering a gone router that is still listed.
-
-        When two regions lose their connection, each sees many routers fall silent that
-        are still serving.  Sealing them is safe but cuts their streams.  Real failures
-        are isolated, or soon confirmed by the platform's list or a new incarnation, so
-        the delay is longer when many routers are silent at once.  Routers that left the
-        list are not counted: after a fleet was scaled down, a single failure would
-        otherwise look like a partition and strand its tokens for minutes.
+        """Return how long a listed router must be gone before it is recovered.
+
+        When two regions lose their connection, the routers of each declare many routers
+        gone that are still serving.  Sealing these is safe but cuts their streams.
+        Real failures are isolated, or soon confirmed by the platform's list or a new
+        incarnation, so the delay is longer when many routers are gone at the same time.
+        Routers that are no longer listed are not counted.  After a fleet was scaled
+        down, they would make a single failure look like a partition, and its tokens
+        would be unavailable for minutes.
         """
         listed = self.view.listed or {}
         silent = sum(
@@ -80,16 +81,16 @@
     def may_recover(self, router: RouterId, unknown_for: Seconds, now: Seconds) -> bool:
         """Return whether an incarnation with an open row in the table may be recovered.
 
-        The table may hold rows of incarnations that no running router has known, as
-        after a restart of the whole fleet.  Most become members when their rows are
-        read; the others share their name with a present incarnation.  A router that is
-        leaving, suspect or briefly silent is not alive either, but must not be sealed
-        for that reason.
+        After a restart of the whole fleet, the table holds rows of incarnations that no
+        running router has known.  Most become members when their rows are read.  The
+        others share their name with a present incarnation and are recovered after a
+        delay.  A member is recovered only when it is gone: one that is leaving or
+        suspect may still be serving.
 
         Args:
             router: The incarnation.
             unknown_for: How long its row has been observed while the incarnation was
-                unknown here, in seconds.
+                not alive in this router's view, in seconds.
             now: The time, in seconds.
         """
         connected = self.is_connected()
@@ -115,12 +116,16 @@
         return replaced or self.view.is_superseded(member)
 
     def is_listed(self, member: Member) -> bool:
-        """Return whether the platform lists the member; True while no list was read."""
+        """Return whether the platform lists a member; True before the first read."""
         listed = self.view.listed
         return listed is None or member.update.name in listed
 
     def is_connected(self) -> bool:
-        """Return whether this router and present members are at least half of all."""
+        """Return whether at least half of the routers are present, including this one.
+
+        The platform's list determines how many there are, or, before the first read of
+        the list, the view.
+        """
         listed = self.view.listed
         known = len(self.view.members if listed is None else listed)
         return 2 * (self.view.present_count + 1) >= known + 1
--- a/ebonyhold/coordination/_recovery.py
+++ b/ebonyhold/coordination/_recovery.py
@@ -35,8 +35,8 @@
 def seal_transaction(router: Seen[RouterRow], by: RouterId) -> Transaction | None:
     """Return the transaction that seals an incarnation; None if it is not open.
 
-    Every transaction of an incarnation checks its router row at the version it was
-    opened with, so after this none of them can take effect in the table.
+    Every transaction of an incarnation checks that its router row still has its first
+    version, so none of them can take effect after the row was sealed.
     """
     row = router.value
     if row is None or row.state is not RouterState.OPEN:
@@ -48,8 +48,8 @@
 def proves_not_run(evidence: Witness) -> bool:
     """Return whether the reported status proves that an attempt never ran.
 
-    A restarted server has lost its record of earlier attempts, so its report counts
-    only if its boot identifier is the one in the intent.
+    A restarted server has lost its record of earlier attempts.  Its report therefore
+    counts only if it has the same boot identifier as the intent.
     """
     if evidence.truth.state is not AttemptState.NEVER_RAN:
         return False
@@ -57,10 +57,16 @@
 
 
 def settle_run(evidence: Sequence[Witness], *, charge_unknown: bool) -> Bill | None:
-    """Decide the bill of a run without an outcome; None to wait for more evidence.
+    """Return the bill of a run without an outcome; None to wait for more evidence.
 
-    The caller received one answer, so the attempt that got furthest is billed and the
-    operator pays for the others.
+    The caller received at most one answer, so only one of the attempts that ran is
+    billed: preferably a finished one, otherwise the one with the most completion
+    tokens.
+
+    Args:
+        evidence: All attempts of the run.
+        charge_unknown: Whether to charge the whole hold if it is unknown whether an
+            attempt ran, instead of waiting for more evidence.
     """
     intent = evidence[0].intent
     ran = [one for one in evidence if _ran(one)]
@@ -110,15 +116,18 @@
     grant: Seen[GrantRow],
     stranded: Tokens,
 ) -> Transaction | None:
-    """Plan to return the rest of a settled grant; None if there is nothing to do.
+    """Plan to return the tokens left in a settled grant to the budget.
+
+    The grant's row is deleted if it then holds no tokens.  The result is None if no
+    grant or budget row exists, or if nothing can be returned or deleted.
 
     Args:
         router: The sealed incarnation's row.
         budget: The budget.
         grant: The grant, read before its requests were found to be settled.  A bill
-            filed since then has changed its version, and the check fails.
-        stranded: Tokens that must stay: holds of runs that wait for evidence, and
-            transfers that other routers may still receive.
+            filed since then has changed the grant's version, and the check fails.
+        stranded: Tokens that stay in the grant: holds of runs that wait for evidence,
+            and transfers that other routers may still receive.
     """
     if grant.value is None or budget.value is None:
         return None
@@ -144,7 +153,7 @@
 
 
 def close_transaction(router: Seen[RouterRow], now: float = 0.0) -> Transaction | None:
-    """Return the transaction that closes a settled incarnation; None if closed."""
+    """Return the transaction that closes an incarnation; None if closed or absent."""
     row = router.value
     if row is None or row.state is RouterState.CLOSED:
         return None
--- a/ebonyhold/coordination/_retry.py
+++ b/ebonyhold/coordination/_retry.py
@@ -11,13 +11,13 @@
 class RetryBudget:
     """Limits retries to a share of the first attempts.
 
-    If all calls fail, retries multiply the load by at most ``1 + ratio`` instead of by
+    If all calls fail, retries multiply the load by about ``1 + ratio`` instead of by
     the number of tries, so they cannot prolong an outage.
 
     Attributes:
         ratio: Retries allowed per first attempt, on average.
-        max_level: The maximum number of unused retries that accumulate.
-        level: Retries allowed now.
+        max_level: The maximum of `level`.
+        level: The number of retries allowed now.
         refused: Counts the refused retries.
     """
 
@@ -31,7 +31,7 @@
         self.level = min(self.max_level, self.level + self.ratio)
 
     def take(self) -> bool:
-        """Use one retry if it is allowed, and return whether it was."""
+        """Return whether a retry is allowed, and count it as used or refused."""
         if self.level < 1.0:
             self.refused += 1
             return False
--- a/ebonyhold/coordination/_rows.py
+++ b/ebonyhold/coordination/_rows.py
@@ -17,7 +17,13 @@
 
 
 class RouterState(Enum):
-    """Whether an incarnation may still write, and whether it has been settled."""
+    """Whether an incarnation may still write, and whether it has been settled.
+
+    Attributes:
+        OPEN: It may write to the table.
+        SEALED: Another router recovers it, and its own writes fail.
+        CLOSED: All its grants and bills are settled.
+    """
 
     OPEN = "open"
     SEALED = "sealed"
@@ -25,7 +31,15 @@
 
 
 class RequestState(Enum):
-    """State of a request, as far as it is known."""
+    """State of a request, as far as it is known.
+
+    Attributes:
+        RUNNING: It is claimed and not billed yet.
+        COMPLETE: It ran to its end.
+        INTERRUPTED: It ran and ended early.
+        NOT_RUN: It did not run.
+        UNKNOWN: It is not known whether it ran.
+    """
 
     RUNNING = "running"
     COMPLETE = "complete"
@@ -35,7 +49,13 @@
 
 
 class RequestKind(Enum):
-    """The kind of a request, which decides whether it may be repeated."""
+    """The kind of a request, which decides whether it may be repeated.
+
+    Attributes:
+        CHAT: A request to an engine, which may be repeated.
+        REPEATABLE: A request to a plain service, which may be repeated.
+        BOOKING: A request that must be executed at most once.
+    """
 
     CHAT = "chat"
     REPEATABLE = "repeatable"
@@ -91,7 +111,7 @@
     Attributes:
         state: Whether it may still write.
         domain: Its failure domain.
-        address: Its address for other routers.
+        address: Its address for its peers.
         started_at: When it registered, in seconds since the epoch.
         sealed_by: The router that sealed it, or empty.
         closed_at: When all its work was settled, in seconds since the epoch; 0 before.
@@ -155,12 +175,11 @@
         charge: Tokens billed to the workspace.
         prompt_tokens: The prompt's tokens.
         completion_tokens: The answer's tokens.
-        overshoot: Tokens the engine generated beyond the hold; the operator pays for
-            them.
+        overshoot: Tokens used beyond the charge, which the operator pays for.
         filed_at: When it was billed, in seconds since the epoch; 0 before.
-        answer: For keyed calls to plain services, the answer kept for a retry.
+        answer: The answer kept for a retry of a keyed call to a plain service.
         refunded: Tokens of the charge that operators refunded.
-        repeats: How often it ran again after it was billed.
+        repeats: How often it was claimed again after it was billed.
     """
 
     state: RequestState
@@ -189,7 +208,13 @@
 
 
 class TransferState(Enum):
-    """State of a transfer in the table."""
+    """State of a transfer in the table.
+
+    Attributes:
+        PENDING: Given, but it is not known whether it was received.
+        SETTLED: Moved from the giver's to the receiver's grant row.
+        LAPSED: Never received; the tokens were returned.
+    """
 
     PENDING = "pending"
     SETTLED = "settled"
@@ -205,7 +230,7 @@
         source: The incarnation that gave them.
         to: The only incarnation that may receive them.
         amount: Number of tokens.
-        state: Pending until settled or known not to have arrived.
+        state: Whether it was received.
     """
 
     workspace: WorkspaceName
@@ -222,7 +247,7 @@
     Attributes:
         bills: Number of bills.
         charged: Tokens charged by them.
-        refunded: Tokens refunded of those.
+        refunded: Tokens of these charges that were refunded.
     """
 
     bills: int = 0
@@ -234,8 +259,19 @@
 class Intent:
     """Journal entry: an attempt is about to be dispatched.
 
-    It is durable before the dispatch, so whoever seals the journal knows every request
-    that may have run.
+    It is durable before the dispatch, so a router that recovers this incarnation finds
+    every attempt that may have run.
+
+    Attributes:
+        workspace: The workspace of the request.
+        request: The request.
+        attempt: The attempt.
+        backend: The backend server of the attempt.
+        hold: Tokens set aside for the request.
+        kind: The kind of the request.
+        digest: SHA-256 of the body, hexadecimal.
+        keyed: Whether the caller sent an idempotency key.
+        boot: The server's boot identifier as last reported, or empty.
     """
 
     workspace: WorkspaceName
@@ -251,7 +287,19 @@
 
 @frozen
 class Outcome:
-    """Journal entry: an attempt has ended, with its charge."""
+    """Journal entry: a run has ended.
+
+    Attributes:
+        workspace: The workspace of the request.
+        request: The request.
+        attempt: The attempt that is billed.
+        state: How the run ended.
+        charge: Tokens to charge.
+        prompt_tokens: The prompt's tokens.
+        completion_tokens: The answer's tokens.
+        overshoot: Tokens used beyond the charge, which the operator pays for.
+        answer: The answer kept for a retry of a keyed call to a plain service.
+    """
 
     workspace: WorkspaceName
     request: RequestId
@@ -286,7 +334,7 @@
 
 @frozen
 class Seal:
-    """Journal entry: no segment may follow; written by the recovering router."""
+    """Last journal entry in the object store, written by the recovering router."""
 
     by: RouterId
 
@@ -298,10 +346,11 @@
 class JournalSegment:
     """One append to a journal.
 
-    It is the row ``journal/{router}/{number:010d}`` in the table, or the object of that
-    key.  The table and the object store each have their own chain of segments. A chain
-    is numbered without gaps from 1 and segments are written only if absent; sealing
-    relies on both.
+    It is the row ``journal/{router}/{number:010d}`` in the table, or the object with
+    that key.  The table and the object store each have their own chain of segments.  A
+    chain is numbered without gaps from 1, and a segment is written only if its key is
+    absent.  In the object store, a seal at the first free number therefore prevents
+    any later append.
     """
 
     entries: tuple[JournalEntry, ...] = field(factory=tuple)
--- a/ebonyhold/coordination/_rumours.py
+++ b/ebonyhold/coordination/_rumours.py
@@ -22,9 +22,10 @@
 def send_priority(rumour: Rumour) -> tuple[bool, int]:
     """Return the rank of an update; the lowest rank is sent first.
 
-    When a whole fleet starts at once, there are as many updates about new members as
-    routers.  Suspicions and their refutations must not queue behind them, or healthy
-    routers would be declared gone.  New members are also sent in pages.
+    When all routers of a fleet start at the same time, there are as many updates about
+    new members as routers.  Other updates are sent before these: a refutation that is
+    delayed by them would let a healthy router be declared gone.  New members are also
+    sent in pages.
     """
     update = rumour.update
     joins = update.status is MemberStatus.ALIVE and update.revision == 0
@@ -36,8 +37,8 @@
     """The updates that are still being gossiped.
 
     Attributes:
-        limit: The maximum number of updates in one message.
-        repeats: How often each is sent, for each doubling of the fleet's size.
+        limit: The maximum number of updates in one heartbeat.
+        repeats: How often each update is sent, for each doubling of the fleet's size.
         pending: The latest update about each router.
     """
 
@@ -50,11 +51,13 @@
         self.pending[update.router] = Rumour(update)
 
     def next_updates(self, to: RouterId, size: int) -> tuple[MemberUpdate, ...]:
-        """Return the updates for one message, the least often sent first.
+        """Return the updates for one heartbeat, the lowest `send_priority` first.
+
+        An update is dropped after it was sent often enough.
 
         Args:
-            to: The receiver; updates about itself are left out.
-            size: How many routers the fleet has.
+            to: The receiver; updates about the receiver are left out.
+            size: The number of other routers in the fleet.
         """
         max_sends = math.ceil(self.repeats * math.log2(size + 2))
         others = [one for one in self.pending.values() if one.update.router != to]
--- a/ebonyhold/coordination/_startup.py
+++ b/ebonyhold/coordination/_startup.py
@@ -1,10 +1,10 @@
 """How long a starting router waits before it calls the platform.
 
 After a power failure all routers start within a second, and each reads the whole
-configuration.  Together these reads are many times what the platform serves per second,
-and synchronized retries would keep it overloaded.  A router that finds the fleet
-running starts immediately.  One that finds few routers waits for a random share of the
-time that the whole fleet needs.
+configuration.  These are many times the reads that the platform serves per second, and
+synchronized retries would keep it overloaded.  A router that finds enough others alive
+starts immediately.  Otherwise it waits for a random share of the time that the platform
+needs for the starts of the whole fleet.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
         quorum: The share of the listed routers that must be alive to treat this as a
             single start.
         assumed_size: The assumed number of routers if no list could be read.
-        max_spread: The longest wait, in seconds.
-        backoff: The waits after refused calls.  They are not scaled with the fleet's
-            size: once the first calls are spread, that would only add delay.
+        max_spread: The maximum wait before the first call, in seconds.
+        backoff: The waits after refused calls.  They do not grow with the fleet's size,
+            because the first calls are already spread.
     """
 
     rate: float = 30.0
@@ -36,12 +36,12 @@
     backoff: Backoff = field(factory=lambda: Backoff(first_wait=0.25, max_wait=10.0))
 
     def spread(self, listed: int | None) -> Seconds:
-        """Return the time over which the starts of a fleet are spread."""
+        """Return the time over which the starts of a fleet are spread, in seconds."""
         size = self.assumed_size if listed is None else listed
         return min(self.max_spread, size / self.rate)
 
     def first_wait(self, listed: int | None, alive: int, chance: float) -> Seconds:
-        """Return the wait before the first call.
+        """Return the wait before the first call, in seconds.
 
         Args:
             listed: Routers in the platform's list, or None if it could not be read.
--- a/ebonyhold/coordination/_stops.py
+++ b/ebonyhold/coordination/_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: which backend servers get no new work at a given time."""
+"""Planned stops: which backend servers get no new requests at a given time."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ebonyhold.types import BackendName, RequestId, Seconds
 
 CLOCK_MARGIN: Seconds = 1.0
-"""New work ends this long before a planned stop, because clocks of VMs differ."""
+"""New requests end this long before a planned stop, because clocks of VMs differ."""
 
 
 @frozen
 class PlannedStop:
-    """A period in which a backend server or a failure domain gets no new work.
+    """A period in which a backend server or failure domain gets no new requests.
 
     Attributes:
         name: Unique in the configuration document.
@@ -37,14 +37,14 @@
         return bool(self.domain) and self.domain == domain
 
     def active(self, now: Seconds) -> bool:
-        """Return whether new work is withheld at a time."""
+        """Return whether the stop, with the clock margin before it, is in effect."""
         return self.starts - CLOCK_MARGIN <= now < self.ends
 
 
 def is_stopped(
     stops: Iterable[PlannedStop], backend: BackendName, domain: str, now: Seconds
 ) -> bool:
-    """Return whether any planned stop withholds new work from a backend server.
+    """Return whether a backend server gets no new requests due to a planned stop.
 
     >>> night = PlannedStop("night", 100.0, 200.0, domain="north")
     >>> [is_stopped([night], "e1", "north", at) for at in (98.0, 99.5, 200.0)]
@@ -84,7 +84,7 @@
 def holdings(
     leaving: Sequence[BackendName], running: Iterable[InProgress]
 ) -> tuple[Holding, ...]:
-    """Return the requests that each leaving backend server must still finish."""
+    """Return each leaving backend server with the requests that it must finish."""
     by_backend: dict[BackendName, list[InProgress]] = {name: [] for name in leaving}
     for request in running:
         if request.backend in by_backend:
--- a/ebonyhold/coordination/_suspicions.py
+++ b/ebonyhold/coordination/_suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions of silent members, until a message refutes or a timeout confirms them."""
+"""Suspicions of members that do not answer, until they are refuted or time out."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @define
 class Suspicions:
-    """The suspicions that one router holds.
+    """The suspicions in one router's view.
 
     Attributes:
-        view: What the router knows of the others.
+        view: The router's view of the others.
         eligibility: Determines how long a suspicion lasts.
         options: The protocol's parameters.
         raised: Counts the suspicions raised here.
@@ -40,7 +40,12 @@
                 member.silent_at += late
 
     def suspect(self, router: RouterId, now: Seconds) -> MemberUpdate | None:
-        """Suspect a member that did not answer; return the update if it is new."""
+        """Suspect a member that did not answer.
+
+        Returns:
+            The update to gossip, or None if the member is unknown or its status is not
+            alive.
+        """
         member = self.view.members.get(router)
         if member is None or not member.present:
             return None
@@ -52,7 +57,10 @@
         return evolve(member.update, status=MemberStatus.SUSPECT)
 
     def expire(self, now: Seconds) -> Iterator[MemberUpdate]:
-        """Yield updates that declare members gone; remove long-gone members."""
+        """Yield the updates that declare members gone after their suspicion timed out.
+
+        It also removes members that have been gone for longer than `forget_after`.
+        """
         for member in list(self.view.members.values()):
             if member.gone_at is not None:
                 self.forget(member, member.gone_at, now)
@@ -60,7 +68,7 @@
                 yield evolve(member.update, status=MemberStatus.GONE)
 
     def forget(self, member: Member, gone_at: Seconds, now: Seconds) -> None:
-        """Remove a member that has been gone for long and will not return."""
+        """Remove a long-gone member that was replaced or is no longer listed."""
         listed = self.view.listed
         unlisted = listed is not None and member.update.name not in listed
         long_gone = now > gone_at + self.options.forget_after
@@ -68,7 +76,11 @@
             self.view.forget(member)
 
     def has_expired(self, member: Member, now: Seconds) -> bool:
-        """Return whether a suspicion has timed out; a newer message ends it."""
+        """Return whether a suspicion has timed out.
+
+        If a message of the member arrived after the suspicion began, the suspicion ends
+        instead.
+        """
         assert member.silent_at is not None
         if now < member.silent_at + self.eligibility.suspicion_length(member):
             return False
--- a/ebonyhold/coordination/_transactions.py
+++ b/ebonyhold/coordination/_transactions.py
@@ -1,7 +1,7 @@
 """Conditional multi-row transactions, as the platform's table service accepts them.
 
-The functions of this library return transactions; a program that embeds it commits them
-to its own table.
+The functions of this library return transactions; a program that embeds the library
+commits them to its own table.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
         ...
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Read rows whose key starts with a prefix, in the order of their keys.
+        """Read at most `limit` rows with a prefix and a key above `after`, in order.
 
         Raises:
             UnavailableError: The table cannot be reached.
@@ -114,7 +114,7 @@
         ...
 
     async def put(self, key: str, body: bytes, *, if_absent: bool = False) -> None:
-        """Write an object.
+        """Write an object, or only create it if `if_absent` is set.
 
         Raises:
             ConflictError: The object exists and `if_absent` is set.
@@ -132,7 +132,7 @@
         ...
 
     async def keys(self, prefix: str, after: str = "", limit: int = 1000) -> list[str]:
-        """List keys that start with a prefix, in order.
+        """List at most `limit` keys with a prefix and above `after`, in order.
 
         Raises:
             UnavailableError: The store cannot be reached.
--- a/ebonyhold/coordination/_transfers.py
+++ b/ebonyhold/coordination/_transfers.py
@@ -1,8 +1,8 @@
 """Transfers of tokens between two routers' grants, made without the table.
 
-A transfer's name contains giver and receiver, so a receiver can check that it is meant
-for it.  The table is updated later, by one transaction on both grants.  So in the table
-the sum of all grants always equals the budget's outstanding tokens.
+A transfer's name contains giver and receiver, so a router can check that it is the
+receiver.  The table is updated later, by one transaction on both grants.  So in the
+table the sum of all grants always equals the budget's outstanding tokens.
 """
 
 from __future__ import annotations
@@ -52,15 +52,17 @@
     workspace: WorkspaceName,
     amount: Tokens,
 ) -> Transaction | None:
-    """Plan to move tokens from the giver's grant to the receiver's; None if done.
+    """Plan to move tokens from the giver's grant row to the receiver's.
+
+    None if the transfer is already settled or lapsed.
 
     Only the receiver itself or the router that sealed it may call this, because it
     requires the receipt in the receiver's journal.
 
     Args:
         transfer: The transfer's row.
-        router: The receiver's row; it is checked, so a sealed receiver's own settlement
-            cannot take effect after its recovery.
+        router: The receiver's row.  The transaction checks it, so a settlement that a
+            receiver sent before it was sealed cannot take effect later.
         source: The giver's grant.
         receiver: The receiver's grant.
         workspace: The workspace whose tokens are transferred.
@@ -89,7 +91,10 @@
 def announce_transfer(
     transfer: Seen[TransferRow], workspace: WorkspaceName, amount: Tokens
 ) -> Transaction | None:
-    """Plan to write a closing giver's transfer to the table; None if it is there."""
+    """Plan to write a closing giver's transfer to the table as pending.
+
+    None if the table already has a row of it.
+    """
     if transfer.value is not None:
         return None
     source, to = transfer_ends(transfer.key.removeprefix(transfer_key("")))
@@ -103,11 +108,13 @@
     source: Seen[GrantRow],
     budget: Seen[BudgetRow],
 ) -> Transaction | None:
-    """Plan to return a lost transfer to the budget; None while it may still arrive.
+    """Plan to return the tokens of a lost transfer to the budget.
+
+    None if the transfer is not pending or may still be received.
 
-    A closed receiver has settled every receipt in its journal and cannot write any
-    more, so a transfer that is still pending never arrived.  Until the receiver is
-    closed the tokens stay stranded, because it may have spent them.
+    A closed receiver has settled every receipt in its journal and cannot write again,
+    so a transfer that is still pending never arrived.  Until the receiver is closed,
+    the tokens stay in the giver's grant, because the receiver may have spent them.
     """
     row = transfer.value
     if row is None or row.state is not TransferState.PENDING:
@@ -134,10 +141,11 @@
     workspace: WorkspaceName,
     amount: Tokens,
 ) -> Transaction | None:
-    """Plan for a running giver to take back a transfer that never arrived.
+    """Plan to mark a transfer as lapsed, so that its running giver keeps the tokens.
 
-    The receiver must be closed without having settled it.  No grant row changes,
-    because in the table the tokens never left the giver.
+    None unless the receiver is closed and the transfer has no row: it then never
+    arrived.  No grant row changes, because in the table the tokens never left the
+    giver.
     """
     row = receiver.value
     if row is None or row.state is not RouterState.CLOSED:
--- a/tests/coordination/test_admission.py
+++ b/tests/coordination/test_admission.py
@@ -65,7 +65,8 @@
 def test_only_the_flooding_workspace_is_refused() -> None:
     """One workspace sends a thousand requests at once, another sends one.
 
-    The flood fills its own limit and is refused there; the other request starts next.
+    Ten of the thousand wait, as the first workspace's limit allows, and the others are
+    refused.  The single request of the second workspace starts after the first of them.
     """
     queue = AdmissionQueue()
     flood = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
@@ -78,8 +79,8 @@
 def test_a_request_that_cannot_start_in_time_is_refused_immediately() -> None:
     """Requests complete at one per second and five are waiting.
 
-    A sixth one with a deadline in two seconds is refused immediately, and is given the
-    time that the queue takes to drain.
+    A sixth request with a deadline in two seconds is refused immediately.  Its
+    suggested delay is the time that the queue needs to drain, five seconds.
     """
     queue = AdmissionQueue()
     for number in range(3):
@@ -94,10 +95,10 @@
 
 
 def test_a_burst_waits_and_a_standing_queue_sheds() -> None:
-    """In a burst, two requests may wait for half a second.
+    """Two requests may wait for longer than `shed_after` while the queue is a burst.
 
-    When the queue has not been empty for more than a second, the old requests are shed
-    and the newest starts first.
+    After the queue has been non-empty for more than a second, these two are shed and
+    the newest request starts first.
     """
     queue = AdmissionQueue()
     queue.offer(ticket(0, arrived=0.0, shed_after=0.25), ONE, 0.0)
--- a/tests/coordination/test_bills.py
+++ b/tests/coordination/test_bills.py
@@ -69,7 +69,11 @@
 def test_settlement_keeps_the_totals(
     old: RequestRow | None, held: int, charge: int, paid: int, spent: int
 ) -> None:
-    """The budget changes by exactly the changes of the request's row and the grant."""
+    """The budget's outstanding and spent tokens follow the paid part of the bill.
+
+    Outstanding tokens fall by what the grant pays.  Spent tokens change by the
+    difference between the new and the old charge in the request's row.
+    """
     budget = Seen("budget/w", 3, BudgetRow(1000, held, 500))
     grant = Seen("grant/a.1/w", 2, GrantRow(drawn=held, sequence=4))
     request = Seen(BILL.key, 1 if old else 0, old)
--- a/tests/coordination/test_cover.py
+++ b/tests/coordination/test_cover.py
@@ -11,7 +11,8 @@
     """Let routers with the given demands size their grants in turn.
 
     Returns:
-        The tokens that each router holds, and the number of changes in the last rounds.
+        The tokens that each router holds, and the number of changes after the first
+        four rounds.
     """
     policy = OutageCover()
     budget = BudgetRow(prepaid=prepaid)
@@ -39,9 +40,9 @@
 def test_a_router_that_holds_most_of_a_budget_does_not_oscillate(rate: float) -> None:
     """Guards against a router that alternately draws and returns the whole budget.
 
-    One router serves all callers of a workspace.  It drew the whole budget, then read
-    an empty budget and returned all, and so on.  In an outage it had 2,056 tokens while
-    396,071 remained in the budget.
+    One router serves all callers of a workspace.  A policy that only considers the
+    tokens left in the budget draws all of them, then reads an empty budget and returns
+    them.  If an outage follows a return, the router cannot serve its callers.
     """
     held, changes = simulate([rate], 500_000, 12)
     assert changes == 0
--- a/tests/coordination/test_imports.py
+++ b/tests/coordination/test_imports.py
@@ -1,4 +1,4 @@
-"""The coordination package stays embeddable."""
+"""The coordination package imports no other package and no network library."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -64,10 +64,10 @@
 
 
 def test_the_holder_stops_acting_before_others_may_take_it() -> None:
-    """Guards against a lease whose time counts from the answer to a renewal.
+    """Guards against a lease whose length is counted from the answer to a renewal.
 
-    If the answer takes seven seconds, the holder would still send orders after another
-    router has waited for the full length and taken the lease.
+    If the answer takes seven seconds, the holder would act for that much longer, while
+    another router may already have taken the lease.
     """
     held = HeldLease("orders", LeaseRow("a.1", 1, LENGTH), 1, 10.0)
     sent_at = 5.0
@@ -102,7 +102,11 @@
 def test_a_lost_answer_is_resolved_by_reading_back(
     found: Row | None, mine: bool
 ) -> None:
-    """The answer to a commit was lost; this commit or another router's took effect."""
+    """The answer to a commit is lost, so the row shows whether the commit took effect.
+
+    The lease is held only if the row has the planned version, holder and fencing
+    number.
+    """
     plan = acquire(row("a.1", 4, 9), 0.0, 100.0)
     assert plan is not None
     assert (resolve_lease(plan, found) is not None) == mine
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership view and protocol, with a virtual clock."""
+"""The membership view and protocol, in a simulated fleet with a virtual clock."""
 
 from __future__ import annotations
 
@@ -98,8 +98,8 @@
 ) -> None:
     """Guards against a failure caused by meaningless messages from a faulty peer.
 
-    The router must stay alive in its own view, count its members correctly, and keep
-    probing.
+    The router must not adopt a false status of its own, must count its members
+    correctly, and must continue to probe.
     """
     own = MemberUpdate("me.1", "10.0.0.9:1", "d", MemberStatus.ALIVE)
     part = Membership(own, random.Random(1), 0.0)
@@ -123,10 +123,10 @@
 
 
 def test_a_crashed_router_is_declared_gone_everywhere() -> None:
-    """A VM loses power.
+    """The VM of one router loses power.
 
-    Every other router declares it gone within half a minute, and all agree on the one
-    that recovers it.
+    Every other router declares the router gone within 25 seconds, and all choose the
+    same router to recover it.
     """
     fleet = converged()
     fleet.nodes[address(1)].up = False
@@ -142,10 +142,10 @@
 
 
 def test_a_router_missing_in_the_list_is_declared_gone_sooner() -> None:
-    """A VM that falls silent has already been removed from the platform's list.
+    """A router that crashes is no longer in the platform's list.
 
-    Two sources agree, so it is declared gone sooner, and recovery may begin
-    immediately.
+    The list confirms the missing answers, so the router is declared gone sooner than a
+    listed one, and it may be recovered immediately.
     """
     times = []
     for unlisted in (False, True):
@@ -168,11 +168,11 @@
     ("pause", "convicted"), [(1.0, False), (3.0, False), (30.0, True)]
 )
 def test_a_paused_router_becomes_alive_again(pause: float, convicted: bool) -> None:
-    """A VM is paused and then continues.
+    """The VM of one router is paused and then continues.
 
-    A short pause causes at most a suspicion.  After a long one the other routers
-    declare it gone; it refutes this, and all consider it alive again.  It must not take
-    its own pause for silence of the others.
+    A short pause causes at most a suspicion.  In a long one the other routers declare
+    the router gone; it refutes this, and all consider it alive again.  It must not
+    suspect the others because of its own pause.
     """
     fleet = converged()
     victim = fleet.nodes[address(1)]
@@ -188,8 +188,8 @@
 def test_a_partition_heals() -> None:
     """Four of the nine routers are cut off from the others for two minutes.
 
-    Both sides declare the other gone.  After the connection is back, every router is
-    alive for every other, without a restart.
+    Each side declares the routers of the other gone.  After the connection is back,
+    every router is alive in every view, without a restart.
     """
     fleet = converged()
     side = {address(n) for n in range(4)}
@@ -205,7 +205,7 @@
     """One router's network card fails, but it still reaches the platform.
 
     It receives no messages and declares all the others gone.  If it sealed them, the
-    whole fleet would start new incarnations again and again.
+    whole fleet would have to start new incarnations, and this would repeat.
     """
     fleet = converged()
     fleet.cut = lambda sender, receiver: address(1) in (sender, receiver)
@@ -217,10 +217,10 @@
 
 
 def test_a_new_incarnation_replaces_the_previous_one() -> None:
-    """A VM is replaced within a second, with the same name and address.
+    """A router is replaced within a second, with the same name and address.
 
-    The previous incarnation is gone immediately and may be recovered, although the
-    platform still lists the name.  The new one is not suspected.
+    Its previous incarnation is gone as soon as the new one is known, and may be
+    recovered although the platform still lists the name.  The new one stays alive.
     """
     fleet = converged()
     fleet.nodes[address(1)].up = False
@@ -235,10 +235,10 @@
 
 
 def test_a_leaving_router_is_not_suspected() -> None:
-    """A router stops as planned and announces it.
+    """A router stops as planned and announces its stop.
 
-    The others send it no new requests, and none suspects it while it finishes its
-    requests.
+    The others send no new requests to that router, and none suspects it while it
+    finishes its requests.
     """
     fleet = converged()
     victim = fleet.nodes[address(1)]
@@ -263,9 +263,9 @@
     ids=["loss", "busy", "slow"],
 )
 def test_no_running_router_is_declared_gone_under_load(network: Network) -> None:
-    """The fleet is busy or its network poor, but no router has failed.
+    """Messages are lost or delayed, or the processes are slow, but none has failed.
 
-    Suspicions may be raised, but each is refuted in time.
+    Suspicions may be raised, but each is refuted before it times out.
     """
     fleet = converged(SIZE, network)
     fleet.run(fleet.now + 300.0)
@@ -278,11 +278,11 @@
 
 
 def test_recovery_waits_longer_when_many_are_silent() -> None:
-    """A region is cut off for two minutes while all its routers keep serving.
+    """Three of nine routers are cut off from the others but keep serving.
 
-    The larger side declares a third of the fleet gone.  Sealing them would cut their
-    streams, and the platform still lists them, so none is recovered yet.  They are
-    recovered if the silence lasts.
+    The six others declare them gone.  Sealing would cut the streams of these three, and
+    the platform still lists them, so none is recovered within two minutes.  They may be
+    recovered after seven minutes.  The three never recover any of the six.
     """
     fleet = converged()
     side = {address(n) for n in range(3)}
@@ -321,7 +321,7 @@
 def test_which_open_rows_may_be_recovered(
     router: str, unknown_for: float, allowed: bool
 ) -> None:
-    """Open rows are recoverable after a grace period, unless the router is present."""
+    """An open row may be recovered after the grace period if it is not a member's."""
     fleet = converged()
     leaving = fleet.nodes[address(5)]
     fleet.send(address(5), leaving, leaving.membership.leave())
@@ -333,7 +333,8 @@
 def test_an_isolated_router_recovers_no_rows() -> None:
     """One router has been cut off from its peers since it started.
 
-    It reads open rows of the whole fleet in the table and knows no other router.
+    It reads the open rows of the whole fleet in the table.  As it has received no
+    message from any other router, it must not recover these rows.
     """
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     fleet.cut = lambda sender, receiver: address(1) in (sender, receiver)
--- a/tests/coordination/test_rates.py
+++ b/tests/coordination/test_rates.py
@@ -76,7 +76,7 @@
 
 
 def test_probe_without_result_times_out() -> None:
-    """The breaker recovers although a cancelled caller never reports its probe."""
+    """Guards against a breaker that stays half open after a probe without result."""
     breaker = opened()
     assert breaker.allow(1.0)
     assert not breaker.allow(5.9)
--- a/tests/coordination/test_recoverable.py
+++ b/tests/coordination/test_recoverable.py
@@ -20,10 +20,11 @@
 
 @pytest.mark.parametrize("left", [0, 1, 2, 5])
 def test_removed_routers_do_not_delay_a_recovery(left: int) -> None:
-    """Guards against tokens stranded for minutes after a fleet was scaled down.
+    """Guards against a long delay of a recovery after a fleet was scaled down.
 
-    Routers that stopped as planned and left the platform's list still counted as
-    silent, so a single failure looked like a partition.
+    Gone routers that are no longer in the platform's list must not be counted.  With
+    them, a single failure would look like a partition, and the tokens of the failed
+    router would be unavailable for minutes.
     """
     view = MemberView()
     names = [f"r{n}" for n in range(2, 9)]
--- a/tests/coordination/test_request_decisions.py
+++ b/tests/coordination/test_request_decisions.py
@@ -56,8 +56,8 @@
 def test_errors_everywhere_eject_only_a_share() -> None:
     """A prompt that crashes every engine makes all nine look like outliers.
 
-    No failure domain may lose more than half of its engines, and the fleet no more than
-    a third.
+    At most half of the engines of a failure domain and 34 % of all engines may be
+    ejected, which are one of three and three of nine.
     """
     ejector = Ejector()
     for name in NINE:
@@ -69,7 +69,10 @@
 
 
 def test_an_unreachable_domain_is_ejected_as_a_whole() -> None:
-    """A failure domain has failed: its three engines refuse every connection."""
+    """All three engines of a failed domain refuse connections and are ejected.
+
+    An engine that answers again is no longer ejected.
+    """
     ejector = Ejector()
     failed = {name for name, domain in NINE.items() if domain == "d1"}
     for name in failed:
@@ -81,7 +84,7 @@
 
 
 def test_nothing_is_ejected_if_everything_is_unreachable() -> None:
-    """This router's own network has failed, so every engine looks unreachable."""
+    """Guards against a router that ejects all engines when its own network fails."""
     ejector = Ejector()
     for name in NINE:
         ejector.lost(name, 0.0)
@@ -92,8 +95,8 @@
 def test_an_unreachable_server_is_tried_again() -> None:
     """Guards against a service that is never tried again after it was unreachable.
 
-    A plain service is not polled, so only a request can show that it has restarted.  It
-    is ejected for a time that grows with each failed try, up to a maximum.
+    A plain service is not polled, so only a request can show that the service has
+    restarted.  Its ejection gets longer with each failed request, up to a maximum.
     """
     ejector = Ejector(EjectionPolicy(lost=2, first=1.0, most_lost=3.0))
     spans = []
@@ -188,7 +191,7 @@
 
 
 def test_own_requests_in_a_report_are_counted_once() -> None:
-    """This router's requests that a report includes are not added again."""
+    """Of the 10 reported requests 4 are this router's, which has 6 there now."""
     item = Candidate("e", 16, reported=10, own_at_report=4, own=6)
     assert item.load == 12
 
@@ -196,8 +199,8 @@
 def test_working_sets_spread_over_the_servers() -> None:
     """A hundred routers use ten of two hundred servers each.
 
-    No server is used by too many routers, and removing one changes only the sets that
-    contained it.
+    No server is used by more than 16 routers; the mean is 5.  Removing a server changes
+    only the sets that contained it.
     """
     names = [f"e{number}" for number in range(200)]
     sets = [working_set(f"r{number}", names, 10) for number in range(100)]
--- a/tests/coordination/test_startup.py
+++ b/tests/coordination/test_startup.py
@@ -30,9 +30,10 @@
 def test_simultaneous_starts_do_not_overload_the_platform() -> None:
     """After a power failure 330 routers start within the same second.
 
-    Without spreading, they request ten seconds' worth of reads at once, and their
-    retries keep the platform refusing calls.  With it, hardly a call is refused, and
-    all have started in little more than the time that the reads take at the rate limit.
+    If their starts are not spread, they request as many reads at once as the platform
+    serves in ten seconds, and their retries keep it overloaded.  If the starts are
+    spread, less than a tenth of the calls is refused, and all routers have started
+    within twice the time that the reads need at the platform's rate limit.
     """
     spread = admission(330, seed=1)
     assert spread.peak < 1.3 * CEILING
--- a/tests/coordination/test_unmet_routers.py
+++ b/tests/coordination/test_unmet_routers.py
@@ -1,4 +1,4 @@
-"""Routers that are known only from a row in the table, with a virtual clock."""
+"""Unconfirmed routers: those known only from a row in the table."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 SIZE = 9
 UNCONFIRMED = "9.1"
 SOON: Seconds = 60.0
-"""Enough for a suspicion and for the delay before a listed router is recovered."""
+"""Longer than a suspicion plus the delay before a listed router is recovered."""
 
 
 def row(router: str, started: int = 1) -> MemberUpdate:
@@ -30,7 +30,12 @@
 
 
 def converged(listed: bool = True) -> BeatFleet:
-    """Return a converged fleet; the platform may list the unconfirmed router."""
+    """Return a fleet whose routers all know each other.
+
+    Args:
+        listed: Whether the platform lists the unconfirmed router, besides the others.
+            Otherwise its list contains only the others.
+    """
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     if listed:
         entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE + 1)]
@@ -43,7 +48,7 @@
 @pytest.mark.parametrize("readers", [1, SIZE], ids=["read by one", "read by all"])
 @pytest.mark.parametrize("listed", [True, False], ids=["listed", "not listed"])
 def test_router_that_crashed_before_any_contact(readers: int, listed: bool) -> None:
-    """Guards against bills that wait minutes for a router that contacted no other."""
+    """Guards against a long delay of the bills of a router that contacted no other."""
     fleet = converged(listed)
     for node in fleet.running()[:readers]:
         node.membership.read_row(row(UNCONFIRMED), fleet.now)
@@ -67,7 +72,7 @@
 
 
 def test_leaving_unconfirmed_router_is_not_recovered() -> None:
-    """Guards against cutting the last streams of a router that is stopping."""
+    """Guards against sealing a leaving router, which would cut its last streams."""
     fleet = converged()
     leaving = fleet.add("9", 1, [])
     leaving.membership.leave()
@@ -79,7 +84,7 @@
 
 
 def test_introduction_takes_effect_immediately() -> None:
-    """Guards against a start after which no router knows the new one for seconds."""
+    """Guards against a new router that gets no requests for seconds after its start."""
     fleet = converged()
     joined = fleet.add("9", 1, [])
     for n in range(SIZE):
@@ -93,7 +98,7 @@
 
 
 def test_partition_while_a_router_is_unconfirmed() -> None:
-    """Guards against sealing routers that keep serving in a region that is cut off."""
+    """Guards against sealing routers that are cut off by a partition but serving."""
     fleet = converged()
     side = {f"10.0.0.{n}:7300" for n in range(3)}
     fleet.cut = lambda sender, receiver: (sender in side) != (receiver in side)
@@ -104,7 +109,10 @@
 
 
 def test_isolated_new_router_recovers_no_rows() -> None:
-    """Guards against a router without a network that seals the whole fleet."""
+    """Guards against a router that seals the whole fleet when its network has failed.
+
+    It is cut off since its start and reads the rows of the other routers.
+    """
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     fleet.cut = lambda sender, receiver: "10.0.0.1:7300" in (sender, receiver)
     isolated = fleet.nodes["10.0.0.1:7300"].membership
@@ -152,7 +160,11 @@
 
 
 def test_routers_find_each_other_despite_rows_of_predecessors() -> None:
-    """Guards against routers that keep probing predecessors after a total restart."""
+    """Guards against routers that do not find each other after a total restart.
+
+    The table still holds the open rows of all previous incarnations, which have the
+    same names and addresses.
+    """
     fleet = BeatFleet(Network(), MembershipOptions(), random.Random(1))
     entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE)]
     for entry in entries:
@@ -167,7 +179,7 @@
 
 
 def test_rows_do_not_count_as_present_members() -> None:
-    """Guards against counting rows as contact with the fleet."""
+    """Guards against a member count that includes unconfirmed routers."""
     view = MemberView()
     view.add_unconfirmed(row("1.1"), 0.0)
     assert view.present_count == 0
