--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -14,7 +14,14 @@
 class AttemptState(Enum):
     """State of a closed attempt, as reported by its backend server.
 
-    The server starts no attempt after it has been closed, and ends a running one.
+    When an attempt is closed, the server cancels it if it is running, and does not
+    start it later.
+
+    Attributes:
+        FINISHED: It ran to its end.
+        CANCELLED: It ran and was cancelled.
+        NEVER_RAN: It has not run, and will not.
+        UNKNOWN: The server could not be reached or has no record of the attempt.
     """
 
     FINISHED = "finished"
--- a/ebonyhold/coordination/_breaker.py
+++ b/ebonyhold/coordination/_breaker.py
@@ -115,8 +115,8 @@
             self.reopen(now)
             return
         if self.state is BreakerState.OPEN:
-            # The call began before the breaker opened.  Counting it would lengthen the
-            # outage without new evidence.
+            # The call began before the breaker opened.  Its failure is no new evidence
+            # and must not keep the breaker open for longer.
             return
         self.record(Result(now, ok=False))
         if self.is_failing():
--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -68,7 +68,7 @@
 
 
 BACKOFF_FACTOR = 0.7
-"""Multiplies the rate when a call is refused."""
+"""Factor by which `AdaptiveRate` lowers its rate after a refused call."""
 
 RECOVERY_RATE = 0.05
 """Share of the full rate that is regained each second."""
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -86,7 +86,7 @@
     """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return the draw that fills the wanted grant, or the return of the excess."""
+        """Return the change to the wanted grant; none within the tolerances."""
         wanted = self.wanted(view)
         left = max(view.budget.remaining, 0) if view.budget else 0
         if view.need:
--- a/ebonyhold/coordination/_grants.py
+++ b/ebonyhold/coordination/_grants.py
@@ -100,7 +100,7 @@
         self.available += hold - charge
 
     def filed(self, charge: Tokens, paid: Tokens) -> None:
-        """Record that a bill was filed; the unpaid part of its charge is available."""
+        """Record a filed bill; the unpaid part of its charge is available again."""
         self.unfiled -= charge
         self.available += charge - paid
 
--- a/ebonyhold/coordination/_heartbeats.py
+++ b/ebonyhold/coordination/_heartbeats.py
@@ -18,7 +18,7 @@
         period: The time from one probe to the next, in seconds.
         answer_within: How long to wait for an answer before other routers are asked to
             relay the probe, in seconds.
-        relays: How many routers are asked to relay a probe.
+        relays: The maximum number of routers that are asked to relay a probe.
         suspicion_periods: Length of a suspicion, in periods for each doubling of the
             fleet's size.
         unlisted_factor: Multiplies the length of a suspicion of a router that is not in
@@ -30,9 +30,9 @@
         partition_delay: How long a listed router must be gone before it may be
             recovered when a partition is assumed, in seconds.  Connections between
             regions can fail for minutes.
-        grace: How long an incarnation with an open row in the table must be unknown
-            here before it may be recovered, in seconds.
-        max_updates: The maximum number of updates in one message.
+        grace: How long the open row of an incarnation that is not in the view must be
+            observed before the incarnation may be recovered, in seconds.
+        max_updates: The maximum number of gossiped updates in one heartbeat.
         page_size: The maximum number of members sent to a router that lacks some.
         repeats: How often an update is sent, for each doubling of the fleet's size.
         forget_after: How long a gone router is kept in the view, in seconds.
@@ -54,7 +54,13 @@
 
 
 class BeatKind(Enum):
-    """The purpose of a heartbeat."""
+    """The purpose of a heartbeat.
+
+    Attributes:
+        PROBE: Requests an acknowledgement from the receiver.
+        ACK: Acknowledges a probe, directly or through a relay.
+        RELAY: Requests that the receiver probes another router.
+    """
 
     PROBE = 0
     ACK = 1
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -141,7 +141,7 @@
             self.view.add_unconfirmed(update, now)
 
     def introduce(self) -> list[Outgoing]:
-        """Return probes that announce this router to a few unconfirmed ones."""
+        """Return probes that announce this router to a few unconfirmed routers."""
         addresses = {
             member.update.address
             for member in self.view.members.values()
--- a/ebonyhold/coordination/_operations.py
+++ b/ebonyhold/coordination/_operations.py
@@ -21,7 +21,7 @@
 def plan_topup(
     topup: Seen[TopUpRow], budget: Seen[BudgetRow], requested: TopUpRow
 ) -> Transaction | None:
-    """Plan the addition of prepaid tokens; None if this key has already added them.
+    """Plan the addition of prepaid tokens; None if the key's top-up already exists.
 
     Raises:
         ValueError: The amount is not above zero, or the key was used with another
@@ -46,7 +46,7 @@
     request: Seen[RequestRow],
     requested: RefundRow,
 ) -> Transaction | None:
-    """Plan the refund of a part of one bill; None if this key has already refunded it.
+    """Plan the refund of a part of one bill; None if the key's refund already exists.
 
     Raises:
         ValueError: There is no such bill, the amount exceeds what is left of it, or the
--- a/ebonyhold/coordination/_orders.py
+++ b/ebonyhold/coordination/_orders.py
@@ -125,7 +125,7 @@
     Attributes:
         policy: The thresholds and limits.
         loading: Loads that were ordered and are not reported yet, with their times.
-        since: For a model and an action, since when its condition has held.
+        since: For a model and an action, since when the action's condition has held.
     """
 
     policy: PlacementPolicy = field(factory=PlacementPolicy)
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -117,7 +117,7 @@
     """Draws the tokens of each request from the table, and returns unused ones."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return a draw of the tokens that requests need, or a return of the unused."""
+        """Return a draw of the needed tokens, or a give-back of all available ones."""
         if view.need:
             return GrantSize(draw=view.need)
         return GrantSize(give_back=view.available)
@@ -183,7 +183,7 @@
     """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return the draw that fills the wanted grant, or the return of the excess."""
+        """Return the change to the wanted grant; none within the tolerances."""
         wanted = self.wanted(view)
         if view.need:
             return GrantSize(draw=view.need + wanted)
@@ -215,7 +215,7 @@
     asks_peers = True
 
     give_share = 0.5
-    """The maximum share of the available tokens for a peer that lacks fewer."""
+    """A peer gets more than it lacks only up to this share of the available tokens."""
 
     give_multiple = 4
     """A peer gets this many times what it lacks, within `give_share`.
--- a/ebonyhold/coordination/_recoverable.py
+++ b/ebonyhold/coordination/_recoverable.py
@@ -134,7 +134,8 @@
         """Return how long a suspicion lasts before the member is declared gone.
 
         It grows with the logarithm of the fleet's size, as does the time that a
-        suspicion and its refutation need to reach all routers.
+        suspicion and its refutation need to reach all routers.  It is shorter for a
+        member that the platform does not list.
         """
         doublings = math.log2(self.view.present_count + 2)
         length = (
--- a/ebonyhold/coordination/_recovery.py
+++ b/ebonyhold/coordination/_recovery.py
@@ -141,14 +141,14 @@
     else:
         kept = evolve(row, returned=row.returned + back, sequence=row.sequence + 1)
         return Transaction(
-            checks, (grant.put(kept), budget.put(_less(budget.value, back)))
+            checks, (grant.put(kept), budget.put(_reduced(budget.value, back)))
         )
     if back == 0:
         return Transaction(checks, (write,))
-    return Transaction(checks, (write, budget.put(_less(budget.value, back))))
+    return Transaction(checks, (write, budget.put(_reduced(budget.value, back))))
 
 
-def _less(row: BudgetRow, back: Tokens) -> BudgetRow:
+def _reduced(row: BudgetRow, back: Tokens) -> BudgetRow:
     return evolve(row, outstanding=row.outstanding - back)
 
 
--- a/tests/coordination/test_admission.py
+++ b/tests/coordination/test_admission.py
@@ -30,7 +30,11 @@
         pytest.param([("a", 0), ("a", 0)], {}, 5, [0, 1], id="in order"),
         pytest.param([("a", -100), ("a", 0)], {}, 1, [1], id="live before batch"),
         pytest.param(
-            [("a", 0), ("a", 0), ("a", 0), ("b", 0)], {}, 2, [0, 3], id="no flood"
+            [("a", 0), ("a", 0), ("a", 0), ("b", 0)],
+            {},
+            2,
+            [0, 3],
+            id="fair to workspaces",
         ),
         pytest.param(
             [("a", 0)] * 4 + [("b", 0)] * 4,
@@ -62,16 +66,16 @@
     assert numbers(queue.start(free, 0.0)) == started
 
 
-def test_only_the_flooding_workspace_is_refused() -> None:
+def test_only_the_workspace_at_its_limit_is_refused() -> None:
     """One workspace sends a thousand requests at once, another sends one.
 
     Ten of the thousand wait, as the first workspace's limit allows, and the others are
     refused.  The single request of the second workspace starts after the first of them.
     """
     queue = AdmissionQueue()
-    flood = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
-    assert sum(refused is None for refused in flood) == 10
-    assert all(refused.workspace_bound for refused in flood if refused)
+    refusals = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
+    assert sum(refused is None for refused in refusals) == 10
+    assert all(refused.workspace_bound for refused in refusals if refused)
     assert queue.offer(ticket(1000, "b"), ONE, 0.0) is None
     assert numbers(queue.start(2, 0.0)) == [0, 1000]
 
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ("found", "mine"),
+    ("found", "held"),
     [
         (None, False),
         (row("b.1", 5, 10), True),
@@ -100,7 +100,7 @@
     ],
 )
 def test_a_lost_answer_is_resolved_by_reading_back(
-    found: Row | None, mine: bool
+    found: Row | None, held: bool
 ) -> None:
     """The answer to a commit is lost, so the row shows whether the commit took effect.
 
@@ -109,7 +109,7 @@
     """
     plan = acquire(row("a.1", 4, 9), 0.0, 100.0)
     assert plan is not None
-    assert (resolve_lease(plan, found) is not None) == mine
+    assert (resolve_lease(plan, found) is not None) == held
 
 
 def test_a_row_of_another_form_is_an_error() -> None:
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -102,17 +102,17 @@
     correctly, and must continue to probe.
     """
     own = MemberUpdate("me.1", "10.0.0.9:1", "d", MemberStatus.ALIVE)
-    part = Membership(own, random.Random(1), 0.0)
+    membership = Membership(own, random.Random(1), 0.0)
     now = 0.0
     for sender, beat in received:
-        part.receive(sender, beat, now)
-        now = max(now + 0.1, part.wake_at)
-        part.tick(now)
-    assert part.me.status is MemberStatus.ALIVE
-    assert "me.1" not in part.view.members
-    assert part.view.present_count == len(part.view.present())
-    assert part.wake_at > now
-    part.gone(now + 1e4)
+        membership.receive(sender, beat, now)
+        now = max(now + 0.1, membership.wake_at)
+        membership.tick(now)
+    assert membership.me.status is MemberStatus.ALIVE
+    assert "me.1" not in membership.view.members
+    assert membership.view.present_count == len(membership.view.present())
+    assert membership.wake_at > now
+    membership.gone(now + 1e4)
 
 
 @pytest.mark.parametrize("size", [2, 3, 9, 30])
@@ -165,9 +165,9 @@
 
 
 @pytest.mark.parametrize(
-    ("pause", "convicted"), [(1.0, False), (3.0, False), (30.0, True)]
+    ("pause", "declared_gone"), [(1.0, False), (3.0, False), (30.0, True)]
 )
-def test_a_paused_router_becomes_alive_again(pause: float, convicted: bool) -> None:
+def test_a_paused_router_becomes_alive_again(pause: float, declared_gone: bool) -> None:
     """The VM of one router is paused and then continues.
 
     A short pause causes at most a suspicion.  In a long one the other routers declare
@@ -178,7 +178,7 @@
     victim = fleet.nodes[address(1)]
     victim.paused_until = fleet.now + pause
     fleet.run(fleet.now + pause - 0.01)
-    assert (MemberStatus.GONE in statuses_of(fleet)) == convicted
+    assert (MemberStatus.GONE in statuses_of(fleet)) == declared_gone
     fleet.run(fleet.now + 30.0)
     assert statuses_of(fleet) == {MemberStatus.ALIVE}
     assert victim.membership.suspicions == 0
@@ -277,7 +277,7 @@
     assert MemberStatus.GONE not in statuses
 
 
-def test_recovery_waits_longer_when_many_are_silent() -> None:
+def test_recovery_waits_longer_when_many_are_gone() -> None:
     """Three of nine routers are cut off from the others but keep serving.
 
     The six others declare them gone.  Sealing would cut the streams of these three, and
@@ -321,7 +321,11 @@
 def test_which_open_rows_may_be_recovered(
     router: str, unknown_for: float, allowed: bool
 ) -> None:
-    """An open row may be recovered after the grace period if it is not a member's."""
+    """An open row is never recovered while its incarnation is a present member.
+
+    The row of an incarnation that is not a member may be recovered after the grace
+    period of 20 seconds.
+    """
     fleet = converged()
     leaving = fleet.nodes[address(5)]
     fleet.send(address(5), leaving, leaving.membership.leave())
