--- a/ebonyhold/coordination/_breaker.py
+++ b/ebonyhold/coordination/_breaker.py
@@ -11,7 +11,13 @@
 
 
 class BreakerState(Enum):
-    """Whether calls are allowed."""
+    """Whether calls are allowed.
+
+    Attributes:
+        CLOSED: All calls are allowed.
+        OPEN: No call is allowed until the open time has passed.
+        HALF_OPEN: A limited number of calls is allowed, as probes.
+    """
 
     CLOSED = "closed"
     OPEN = "open"
@@ -141,7 +147,7 @@
             self.results.popleft()
 
     def is_failing(self) -> bool:
-        """Return whether the results in the window are to open the breaker."""
+        """Return whether the results in the window meet the policy for opening."""
         calls = len(self.results)
         if calls < self.policy.least_calls:
             return False
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -21,7 +21,7 @@
 
 
 BASE_SHARE_DIVISOR = 4.0
-"""A grant is at least an even share of the unspent budget divided by this.
+"""A grant covers at least an even share of the unspent budget divided by this.
 
 This minimum serves the first requests of a workspace at a router that has received few
 or none of its requests before.
--- a/ebonyhold/coordination/_ejection.py
+++ b/ebonyhold/coordination/_ejection.py
@@ -59,7 +59,7 @@
 
 @define
 class Ejector:
-    """Decides which failing servers get no work."""
+    """Decides which failing servers get no requests."""
 
     policy: EjectionPolicy = field(factory=EjectionPolicy)
     records: dict[BackendName, ServerRecord] = field(factory=dict)
--- a/ebonyhold/coordination/_grants.py
+++ b/ebonyhold/coordination/_grants.py
@@ -105,12 +105,12 @@
         self.available += charge - paid
 
     def give(self, amount: Tokens) -> None:
-        """Move available tokens to another router."""
+        """Record that available tokens were given to another router."""
         self.available -= amount
         self.given += amount
 
     def receive(self, amount: Tokens) -> None:
-        """Add tokens received from another router."""
+        """Record tokens received from another router; they are available now."""
         self.available += amount
         self.received += amount
 
--- a/ebonyhold/coordination/_members.py
+++ b/ebonyhold/coordination/_members.py
@@ -185,7 +185,7 @@
 
         The row is ignored if the incarnation is already a member, or if another
         incarnation of its name is present, which may still be serving.  If the row's
-        incarnation is the later one, its own update replaces the other.
+        incarnation is the later one, an update from that router replaces the other.
         """
         same = self.by_name.get(update.name, [])
         if update.router in self.members or any(other.present for other in same):
@@ -214,7 +214,7 @@
         return member
 
     def change(self, member: Member, update: MemberUpdate, now: Seconds) -> None:
-        """Replace the update of a member, and adjust its times."""
+        """Replace a member's update, and the times of its suspicion and its end."""
         self.present_count -= member.counted
         member.update = update
         self.present_count += member.counted
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -268,7 +268,7 @@
         return sorted((found | known | self.seeds) - {self.me.address})
 
     def request_relays(self, now: Seconds) -> list[Outgoing]:
-        """Return relay requests if the current probe is unanswered; at most once."""
+        """Return relay requests for an unanswered probe, at most once per probe."""
         probe = self.probe
         if probe is None or probe.relayed or not probe.target:
             return []
--- a/ebonyhold/coordination/_recoverable.py
+++ b/ebonyhold/coordination/_recoverable.py
@@ -48,7 +48,11 @@
         )
 
     def is_recoverable(self, member: Member, now: Seconds, connected: bool) -> bool:
-        """Return whether a member may be recovered, given `is_connected`."""
+        """Return whether a member may be recovered.
+
+        A gone member may be recovered immediately if it was replaced or is not listed.
+        Otherwise it must be gone for `recovery_delay`, and this router be connected.
+        """
         if member.gone_at is None:
             return False
         if self.is_superseded(member) or not self.is_listed(member):
--- a/ebonyhold/coordination/_recovery.py
+++ b/ebonyhold/coordination/_recovery.py
@@ -116,7 +116,7 @@
     grant: Seen[GrantRow],
     stranded: Tokens,
 ) -> Transaction | None:
-    """Plan to return the tokens left in a settled grant to the budget.
+    """Plan to return a settled grant's tokens to the budget, except stranded ones.
 
     The grant's row is deleted if it then holds no tokens.  The result is None if no
     grant or budget row exists, or if nothing can be returned or deleted.
--- a/ebonyhold/coordination/_rows.py
+++ b/ebonyhold/coordination/_rows.py
@@ -213,7 +213,7 @@
     Attributes:
         PENDING: Given, but it is not known whether it was received.
         SETTLED: Moved from the giver's to the receiver's grant row.
-        LAPSED: Never received; the tokens were returned.
+        LAPSED: Never received; the tokens stay with the giver or return to the budget.
     """
 
     PENDING = "pending"
--- a/ebonyhold/coordination/_startup.py
+++ b/ebonyhold/coordination/_startup.py
@@ -21,8 +21,8 @@
 
     Attributes:
         rate: Starts per second that the platform can serve besides its other work.
-        quorum: The share of the listed routers that must be alive to treat this as a
-            single start.
+        quorum: If at least this share of the listed routers is alive, a router starts
+            without a wait.
         assumed_size: The assumed number of routers if no list could be read.
         max_spread: The maximum wait before the first call, in seconds.
         backoff: The waits after refused calls.  They do not grow with the fleet's size,
--- a/ebonyhold/coordination/_stops.py
+++ b/ebonyhold/coordination/_stops.py
@@ -9,7 +9,10 @@
 from ebonyhold.types import BackendName, RequestId, Seconds
 
 CLOCK_MARGIN: Seconds = 1.0
-"""New requests end this long before a planned stop, because clocks of VMs differ."""
+"""A server gets no new requests from this long before a planned stop.
+
+The margin allows for differences between the clocks of the VMs.
+"""
 
 
 @frozen
--- a/ebonyhold/coordination/_transactions.py
+++ b/ebonyhold/coordination/_transactions.py
@@ -96,8 +96,8 @@
 
         Raises:
             ConflictError: A check failed; nothing was written.
-            UnavailableError: It had no effect.
-            UnknownOutcomeError: It may have taken effect.
+            UnavailableError: The table cannot be reached; nothing was written.
+            UnknownOutcomeError: The transaction may have taken effect.
         """
         ...
 
@@ -118,8 +118,8 @@
 
         Raises:
             ConflictError: The object exists and `if_absent` is set.
-            UnavailableError: It had no effect.
-            UnknownOutcomeError: It may have taken effect.
+            UnavailableError: The store cannot be reached; nothing was written.
+            UnknownOutcomeError: The object may have been written.
         """
         ...
 
--- a/ebonyhold/coordination/_transfers.py
+++ b/ebonyhold/coordination/_transfers.py
@@ -56,8 +56,8 @@
 
     None if the transfer is already settled or lapsed.
 
-    Only the receiver itself or the router that sealed it may call this, because it
-    requires the receipt in the receiver's journal.
+    Only the receiver itself or the router that sealed it may call this, because the
+    receiver's journal must already contain the receipt.
 
     Args:
         transfer: The transfer's row.
