--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -225,7 +225,7 @@
             self.learn(update, now)
 
     def expire(self, now: Seconds) -> None:
-        """Declare suspects gone after their time, and drop expired relayed probes."""
+        """Declare members gone whose suspicion timed out; drop old relayed probes."""
         for gone in self.suspected.expire(now):
             self.learn(gone, now)
         for sequence, relayed in list(self.relayed.items()):
--- a/ebonyhold/coordination/_orders.py
+++ b/ebonyhold/coordination/_orders.py
@@ -296,7 +296,7 @@
 def share_in_use(engines: Sequence[EngineView]) -> float:
     """Return the engines' load per slot; infinite without slots.
 
-    It is above 1 if requests are queued.
+    It may be above 1, because the load includes queued requests.
     """
     slots = sum(engine.slots for engine in engines)
     return sum(engine.load for engine in engines) / slots if slots else math.inf
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -183,7 +183,10 @@
     """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return the change to the wanted grant; none within the tolerances."""
+        """Return the change to the wanted grant.
+
+        There is none from `refill_below` to `return_above` if no request waits.
+        """
         wanted = self.wanted(view)
         if view.need:
             return GrantSize(draw=view.need + wanted)
