--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -12,7 +12,17 @@
 
 
 class AttemptState(Enum):
-    """State of a closed attempt, as reported by its backend server."""
+    """State of a closed attempt, as reported by its backend server.
+
+    When an attempt is closed, the server cancels it if it is running, and does not
+    start it later.
+
+    Attributes:
+        FINISHED: It ran to its end.
+        CANCELLED: It ran and was cancelled.
+        NEVER_RAN: It has not run, and will not.
+        UNKNOWN: The server could not be reached or has no record of the attempt.
+    """
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -27,7 +37,7 @@
     Attributes:
         state: Whether it ran, and whether it finished.
         prompt_tokens: Tokens of the prompt.
-        completion_tokens: Tokens generated until then.
+        completion_tokens: Tokens generated until the attempt ended.
         boot: The server's boot identifier.  It changes with a restart, in which the
             server loses its record of earlier attempts.
     """
@@ -67,7 +77,7 @@
 
 
 def router_of(attempt: AttemptId) -> RouterId:
-    """Return the incarnation that started an attempt.
+    """Return the incarnation that dispatched an attempt.
 
     >>> router_of("r1.7~3~2")
     'r1.7'
--- a/tests/coordination/test_admission.py
+++ b/tests/coordination/test_admission.py
@@ -30,7 +30,11 @@
         pytest.param([("a", 0), ("a", 0)], {}, 5, [0, 1], id="in order"),
         pytest.param([("a", -100), ("a", 0)], {}, 1, [1], id="live before batch"),
         pytest.param(
-            [("a", 0), ("a", 0), ("a", 0), ("b", 0)], {}, 2, [0, 3], id="no flood"
+            [("a", 0), ("a", 0), ("a", 0), ("b", 0)],
+            {},
+            2,
+            [0, 3],
+            id="fair to workspaces",
         ),
         pytest.param(
             [("a", 0)] * 4 + [("b", 0)] * 4,
@@ -62,15 +66,16 @@
     assert numbers(queue.start(free, 0.0)) == started
 
 
-def test_only_the_flooding_workspace_is_refused() -> None:
+def test_only_the_workspace_at_its_limit_is_refused() -> None:
     """One workspace sends a thousand requests at once, another sends one.
 
-    The flood fills its own limit and is refused there; the other request starts next.
+    Ten of the thousand wait, as the first workspace's limit allows, and the others are
+    refused.  The single request of the second workspace starts after the first of them.
     """
     queue = AdmissionQueue()
-    flood = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
-    assert sum(refused is None for refused in flood) == 10
-    assert all(refused.workspace_bound for refused in flood if refused)
+    refusals = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
+    assert sum(refused is None for refused in refusals) == 10
+    assert all(refused.workspace_bound for refused in refusals if refused)
     assert queue.offer(ticket(1000, "b"), ONE, 0.0) is None
     assert numbers(queue.start(2, 0.0)) == [0, 1000]
 
@@ -78,8 +83,8 @@
 def test_a_request_that_cannot_start_in_time_is_refused_immediately() -> None:
     """Requests complete at one per second and five are waiting.
 
-    A sixth one with a deadline in two seconds is refused immediately, and is given the
-    time that the queue takes to drain.
+    A sixth request with a deadline in two seconds is refused immediately.  Its
+    suggested delay is the time that the queue needs to drain, five seconds.
     """
     queue = AdmissionQueue()
     for number in range(3):
@@ -94,10 +99,10 @@
 
 
 def test_a_burst_waits_and_a_standing_queue_sheds() -> None:
-    """In a burst, two requests may wait for half a second.
+    """Two requests may wait for longer than `shed_after` while the queue is a burst.
 
-    When the queue has not been empty for more than a second, the old requests are shed
-    and the newest starts first.
+    After the queue has been non-empty for more than a second, these two are shed and
+    the newest request starts first.
     """
     queue = AdmissionQueue()
     queue.offer(ticket(0, arrived=0.0, shed_after=0.25), ONE, 0.0)
