--- a/ebonyhold/forwarding/_accept.py
+++ b/ebonyhold/forwarding/_accept.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterator
 
 BACKLOG = 1024
-"""Connections that the kernel queues until they are accepted."""
+"""Maximum number of connections that the kernel queues until they are accepted."""
 
 
 def listen_at(address: tuple[str, int]) -> socket.socket:
     """Return a non-blocking socket that listens at an address.
 
     Raises:
-        OSError: The address cannot be listened at.
+        OSError: It is not possible to listen on the address.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listening = socket.create_server(address, family=family, backlog=BACKLOG)
@@ -22,13 +22,13 @@
 
 
 def accept_all(listening: socket.socket) -> Iterator[socket.socket]:
-    """Accept all queued connections without waiting.
+    """Accept all queued connections without waiting, and yield their sockets.
 
-    A cancelled asynchronous accept may already have taken a connection from the queue.
-    Its caller would then have an open connection that nobody reads from.
+    An asynchronous accept is not used, because cancelling it can lose a connection that
+    was already taken from the queue: it would stay open but never be served.
 
     Raises:
-        OSError: The system is out of sockets or memory.
+        OSError: No file descriptors or memory are left.
     """
     while True:
         try:
--- a/ebonyhold/forwarding/_attempt.py
+++ b/ebonyhold/forwarding/_attempt.py
@@ -28,15 +28,15 @@
 MAX_WHOLE_ANSWER = 1_048_576
 """Size limit, in bytes, of an answer that is read whole before it is passed on.
 
-If such an answer breaks off, nothing of it was sent to the caller, so the request can
-still be retried or refused with an error.
+If such an answer breaks off or is larger, nothing of it was sent to the caller, so the
+request can still be retried or refused with an error.
 """
 
 SAFE_TIMEOUT: Seconds = 0.3
-"""Minimum time without an answer after which a safe request is sent again."""
+"""Minimum timeout for the answer to a safe request that can be sent again."""
 
 STREAM_TIMEOUT: Seconds = 1.2
-"""Minimum time without an event after which a stream is continued at another server.
+"""Minimum time without data after which a stream is resumed at another server.
 
 Callers give up a stream after two seconds without an event. A busy but healthy engine
 sends an event in less than half of this time.
@@ -45,7 +45,7 @@
 TIMEOUT_TARGETS = 3.0
 """The timeout as a multiple of the route's target latency.
 
-It applies where it is longer than the minimum times above.
+It applies if it is longer than SAFE_TIMEOUT or STREAM_TIMEOUT.
 """
 
 
@@ -66,7 +66,11 @@
     dialect: Dialect
 
     async def run(self) -> AttemptResult:
-        """Send the request and return how the attempt ended."""
+        """Send the request and return how the attempt ended.
+
+        A failed connection and a missing or incomplete answer are recorded in
+        `backends` and returned in the result; BackendLostError is not raised.
+        """
         backend = self.entry.backend
         try:
             channel = await self.pool.get(backend.name, backend.address)
@@ -84,8 +88,8 @@
         finally:
             self.entry.in_flight -= 1
             work.end()
-            # Engines abort a request when its connection closes, so an abandoned
-            # request is not processed any longer while another server answers it.
+            # Engines abort a request when its connection closes. If the connection
+            # stayed open, the server would go on processing an abandoned request.
             if not kept:
                 await channel.close()
         if kept:
@@ -103,6 +107,9 @@
 
         Returns:
             The result, and whether the connection can be reused.
+
+        Raises:
+            BackendLostError: No complete, stamped answer arrived in time.
         """
         exchange = self.exchange
         exchange.sends += 1
@@ -139,10 +146,15 @@
         return Outbound(head.method, head.target, fields, exchange.body, head.has_body)
 
     async def read_answer(self, channel: Channel) -> tuple[AnswerHead, AnswerFacts]:
-        """Read the head of the answer to this request.
+        """Return the head of the answer to this request, also decoded.
 
-        A server may send a second, late answer to an earlier request on the same
-        connection. Its request identifier differs, and it is skipped.
+        Answers with another request identifier are skipped: a server may send a second,
+        late answer to an earlier request. An answer which states that the server did
+        not run the request is returned whatever its identifier.
+
+        Raises:
+            BackendLostError: No answer arrived in time, the connection broke, or
+                MAX_STRAY answers were skipped.
         """
         for _ in range(MAX_STRAY):
             head = await self.read_next_head(channel)
@@ -151,7 +163,7 @@
                 return head, facts
             if facts.not_run:
                 return head, facts
-            log.warning("stray answer skipped", extra=self.fields())
+            log.warning("skipping an answer to another request", extra=self.fields())
             await channel.skip_answer()
         raise BackendLostError("too many answers to other requests")
 
@@ -162,10 +174,10 @@
         raise SilenceError("no answer in time")
 
     def answer_timeout(self) -> Seconds | None:
-        """Return how long to wait for the server, or None for no limit.
+        """Return the timeout for the next data from the server, or None for no timeout.
 
-        Only requests that may be retried have a limit. Others must wait for a late
-        answer, because no other server may answer them.
+        A request that cannot be sent to another server has no timeout: it waits for
+        this server's answer until its deadline.
         """
         route = self.exchange.match.route
         if not (route.idempotent and self.exchange.attempts_left):
@@ -176,7 +188,10 @@
     async def handle_declined(
         self, channel: Channel, head: AnswerHead, facts: AnswerFacts
     ) -> tuple[AttemptResult, bool]:
-        """Handle an answer which states that the server did not run the request."""
+        """Handle an answer which states that the server did not run the request.
+
+        The server's entry is marked as moved or, for FULL_BACKOFF, as full.
+        """
         await read_rest(channel)
         if facts.moved:
             self.entry.moved = True
@@ -193,6 +208,10 @@
 
         An answer with status 500 or above is returned in the result, so that the
         request can be retried.
+
+        Raises:
+            BackendLostError: The answer is incomplete or too large, or a part of a
+                stream was already sent to the caller.
         """
         body = await read_rest(channel)
         answer = WholeAnswer(head, body)
@@ -211,7 +230,9 @@
     async def relay_stream(
         self, channel: Channel, head: AnswerHead, work: RequestWork
     ) -> None:
-        """Pass on the events of a stream as they arrive, never a part of an event.
+        """Pass on the events of a stream as they arrive, each one whole.
+
+        Bytes after the last complete event are passed on when the answer ends normally.
 
         Raises:
             BackendLostError: The stream broke off; the caller has whole events only.
@@ -238,14 +259,17 @@
         raise SilenceError("the stream stalled")
 
     def undelivered(self, events: list[StreamEvent]) -> list[StreamEvent]:
-        """Return the events that have not been sent to the caller yet."""
+        """Return the events that have not been sent to the caller yet.
+
+        An event without a number always counts as not sent.
+        """
         last = self.exchange.last_event
         if last is None:
             return events
         return [e for e in events if e.number is None or e.number > last]
 
     def record_events(self, events: list[StreamEvent]) -> None:
-        """Record events as sent to the caller."""
+        """Count events that were sent to the caller, and store the last number."""
         exchange = self.exchange
         exchange.events += len(events)
         numbers = [event.number for event in events if event.number is not None]
--- a/ebonyhold/forwarding/_backends.py
+++ b/ebonyhold/forwarding/_backends.py
@@ -15,19 +15,21 @@
 log = logging.getLogger(__name__)
 
 LAPSE_GRACE: Seconds = 2.2
-"""How long a server stays in use whose entry expired while the store was unreachable.
+"""How long a server is kept whose list entry is missing after an outage of the store.
 
-Servers renew their entries within two seconds of the store's return. Without this
-grace, a long outage of the store would remove all running servers at once.
+Servers renew their entries within two seconds of the end of an outage. Without this
+grace period, a long outage would remove all running servers at once.
 """
 
 EJECTION = EjectionPolicy(errors=4, lost=1, first=0.5, most=4.0, most_lost=2.0)
-"""Shorter ejections than the defaults: a server that has recovered is needed at once,
-and a wrong guess costs one failed connection.
+"""Shorter ejections than the defaults, with one failed connection sufficient.
+
+A server that has recovered is needed at once, and trying a server that is still
+unreachable costs only one failed connection.
 """
 
 FULL_BACKOFF: Seconds = 0.15
-"""How long a server gets no requests after it declined one for lack of capacity."""
+"""How long a server that declined a request is used only if no other is left."""
 
 
 @define(eq=False)
@@ -38,10 +40,10 @@
         backend: The server's entry in the server list.
         in_flight: Number of this router's requests that it is processing.
         work: Estimated load of those requests.
-        full_until: Until when it gets no requests, after it declined one as full.
+        full_until: Until when it counts as full, after it declined a request.
         moved: Whether another server answers at its address.
-        drop_at: When to remove it; set if its entry expired while the store was
-            unreachable.
+        drop_at: When to remove it, if its list entry is missing after an outage of the
+            store; None otherwise.
     """
 
     backend: Backend
@@ -67,17 +69,20 @@
     def replace(
         self, listed: Mapping[BackendName, Backend], now: Seconds, after_outage: bool
     ) -> None:
-        """Replace the table by a complete server list that was just read."""
+        """Update the table from a complete server list.
+
+        Servers that are not listed are removed as in `remove`.
+        """
         for backend in listed.values():
             self.update(backend)
         for name in [name for name in self.entries if name not in listed]:
             self.remove(name, now, after_outage)
 
     def update(self, backend: Backend) -> None:
-        """Add or update one server."""
+        """Add a server, or update it; a restarted server loses its earlier state."""
         known = self.entries.get(backend.name)
         if known is None or known.backend.started_at != backend.started_at:
-            # A new incarnation under the same name: the previous state does not apply.
+            # The server is new, or has restarted under the same name.
             self.entries[backend.name] = BackendEntry(backend)
             self.ejector.succeeded(backend.name)
             log.info("server listed", extra=fields_of(backend))
@@ -89,10 +94,10 @@
         known.drop_at = None
 
     def remove(self, name: BackendName, now: Seconds, after_outage: bool) -> None:
-        """Remove a server whose entry is gone.
+        """Remove a server that is no longer listed.
 
-        After an outage of the store, a ready server is kept for LAPSE_GRACE, since its
-        entry may only have expired.
+        After an outage of the store, a ready server is kept for LAPSE_GRACE first: it
+        may be running, but unable to renew its list entry during the outage.
         """
         entry = self.entries.get(name)
         if entry is None:
@@ -105,7 +110,7 @@
         self.drop(entry)
 
     def expire(self, now: Seconds) -> None:
-        """Remove the servers whose grace period is over."""
+        """Remove the servers whose LAPSE_GRACE has passed."""
         for entry in list(self.entries.values()):
             if entry.drop_at is not None and now >= entry.drop_at:
                 self.drop(entry)
@@ -119,24 +124,24 @@
     def is_current(self, entry: BackendEntry) -> bool:
         """Return whether an entry is still the current one of its server.
 
-        During an attempt, the server may be removed or restart under the same name. The
-        result must then neither count against the new incarnation nor create a failure
+        It is not if the server was removed or restarted during an attempt. Recording
+        the result would then count against the restarted server, or create a failure
         record for a removed server, which would never be deleted.
         """
         return self.entries.get(entry.backend.name) is entry
 
     def lost(self, entry: BackendEntry, now: Seconds) -> None:
-        """Record that no connection to a server could be made."""
+        """Count a failed connection, if the entry is still current."""
         if self.is_current(entry):
             self.ejector.lost(entry.backend.name, now)
 
     def failed(self, entry: BackendEntry, now: Seconds) -> None:
-        """Record a server error, or an answer that did not arrive."""
+        """Count a server error or a lost answer, if the entry is still current."""
         if self.is_current(entry):
             self.ejector.failed(entry.backend.name, now)
 
     def succeeded(self, entry: BackendEntry) -> None:
-        """Record a complete answer from a server."""
+        """Clear the counted failures, if the entry is still current."""
         if self.is_current(entry):
             self.ejector.succeeded(entry.backend.name)
 
@@ -145,7 +150,8 @@
     ) -> list[BackendEntry]:
         """Return the servers of a service that may get a request now.
 
-        Ejected and full servers are left out unless no others remain.
+        These are the ready servers that are not in `tried`, moved, ejected or full. If
+        there are none, full servers are returned; if all are ejected, these are.
         """
         excluded = set(tried)
         ready = [
--- a/ebonyhold/forwarding/_caller.py
+++ b/ebonyhold/forwarding/_caller.py
@@ -38,7 +38,11 @@
 
 
 class ReadFault(Enum):
-    """Why no request could be read; values from 400 on are the answer's HTTP status."""
+    """Why no request could be read; values from 400 on are the answer's HTTP status.
+
+    No answer is sent for IDLE (no request has begun) and LEFT (the caller has
+    disconnected).
+    """
 
     IDLE = 0
     LEFT = 1
@@ -72,10 +76,10 @@
     Attributes:
         method: The method.
         target: The request target, exactly as sent.
-        headers: The end-to-end fields, without the length of the body.
+        headers: The end-to-end fields, without the content length.
         has_body: Whether the head announces a body.
-        length: The announced length; None if the body is chunked.
-        arrived_at: When its last byte was read.
+        length: The content length; None if the body is chunked or absent.
+        arrived_at: When the head was read.
     """
 
     method: bytes
@@ -87,7 +91,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the header fields without those that apply to this connection only."""
+    """Return the fields except CONNECTION_FIELDS and those that Connection names."""
     named = {
         token.strip().lower()
         for name, value in headers
@@ -127,10 +131,10 @@
 
 
 def head_size(event: h11.Request) -> int:
-    """Return the size of a head in bytes.
+    """Return the approximate size of a head in bytes.
 
-    It is needed because the parser does not apply its size limit to a head that arrives
-    in one piece.
+    The limit is checked separately, because the parser does not apply its own limit to
+    a head that arrives in one piece.
     """
     fields = sum(len(name) + len(value) + 4 for name, value in event.headers)
     return len(event.method) + len(event.target) + fields
@@ -145,8 +149,8 @@
         limits: The limits that apply to the caller's requests.
         inbox: The bytes received from the caller.
         parser: The protocol state.
-        received_at: When the bytes last passed to the parser arrived. The current
-            request had arrived by then, even if it was queued behind others.
+        received_at: When the latest bytes that the parser has read arrived. Any time
+            for which a pipelined request is queued behind others comes after this.
         last: Whether to close the connection after the next answer, unless another
             request has begun to arrive by then.
         final: Whether to close the connection after the next answer in any case.
@@ -175,7 +179,7 @@
         )
 
     async def next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        """Return the next protocol event.
+        """Return the next protocol event, waiting for bytes if necessary.
 
         Raises:
             ReadFaultError: The bytes are not valid HTTP.
@@ -195,8 +199,8 @@
         """Read a request that has begun to arrive, with its body.
 
         Raises:
-            ReadFaultError: The request is invalid, or reading was cancelled because the
-                router is stopping.
+            ReadFaultError: The request is invalid, too large, too slow or incomplete,
+                or `stop_reading` was called.
         """
         head: RequestHead | None = None
         try:
@@ -213,7 +217,7 @@
         raise ReadFaultError(ReadFault.STOPPING, head)
 
     def stop_reading(self) -> None:
-        """Cancel the reading of a request that has arrived only in part."""
+        """Make `read_whole` fail with STOPPING if it is waiting for more bytes."""
         if self.reading_scope is not None:
             self.reading_scope.cancel()
 
@@ -221,7 +225,8 @@
         """Read the head of a request that has begun to arrive.
 
         Raises:
-            ReadFaultError: The head is invalid or did not arrive in time.
+            ReadFaultError: The head is invalid or too large, did not arrive in time, or
+                the caller disconnected.
         """
         with anyio.move_on_after(self.limits.head_timeout):
             event = await self.next_event()
@@ -236,7 +241,8 @@
         """Wait until a request begins to arrive.
 
         Raises:
-            ReadFaultError: No request began in time, or the connection is closing.
+            ReadFaultError: No request began in time, the caller disconnected, or
+                `close_when_idle` was called.
         """
         if self.parser.trailing_data[0] or self.inbox.waiting:
             return
@@ -250,7 +256,7 @@
             raise ReadFaultError(fault)
 
     def close_when_idle(self) -> None:
-        """Close the connection now, or after the answer if a request is in progress."""
+        """Close the connection now if it is idle, otherwise after the next answer."""
         self.last = True
         if self.idle_scope is not None:
             self.idle_scope.cancel()
@@ -259,7 +265,8 @@
         """Read the whole body.
 
         Raises:
-            ReadFaultError: The body is malformed, too large, or paused for too long.
+            ReadFaultError: The body is malformed, too large or incomplete, or no bytes
+                of it arrived for `idle_timeout`.
         """
         if head.length is not None and head.length > self.limits.body_bytes:
             raise ReadFaultError(ReadFault.BODY_TOO_LARGE)
@@ -285,7 +292,7 @@
             await self.stream.send(self.parser.send(interim) or b"")
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a complete answer in one call."""
+        """Write a complete answer with its content length in a single write."""
         length = (b"content-length", b"%d" % len(body))
         head = self.head(status, [*headers, length])
         data = self.parser.send(h11.Data(data=body)) or b"" if body else b""
@@ -293,7 +300,10 @@
         await self.stream.send(head + data + end)
 
     def head(self, status: int, headers: Headers) -> bytes:
-        """Return the bytes of an answer's head, with "Connection: close" if needed."""
+        """Return the bytes of an answer's head, and record that the answer has started.
+
+        The head contains "Connection: close" if the connection closes after the answer.
+        """
         self.started = True
         self.close_announced = self.final or (self.last and not self.more_received)
         if self.close_announced:
@@ -305,8 +315,8 @@
     def more_received(self) -> bool:
         """Whether another request has begun to arrive.
 
-        The caller sent it before it could know that the connection would close. If the
-        connection closed now, that request would get no answer.
+        Such a request was sent before the close was announced, and would get no answer
+        if the connection closed now.
         """
         return bool(self.inbox.waiting or self.parser.trailing_data[0])
 
@@ -333,11 +343,10 @@
         return True
 
     async def linger(self) -> None:
-        """Let the caller read the last answer before the connection is closed.
+        """Wait up to LINGER for the caller to close its side after the last answer.
 
-        Closing a connection with unread bytes resets it, and a reset discards the
-        answer that is still on its way. A caller that had sent further requests then
-        got no answer at all.
+        Closing a connection with unread bytes, such as further requests, resets it. A
+        reset would discard an answer that the caller has not received yet.
         """
         if not self.close_announced or self.inbox.ended:
             return
@@ -348,12 +357,12 @@
                 await self.inbox.changed.wait()
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Close the connection, even if the calling task is being cancelled."""
         await close_shielded(self.stream)
 
 
 def fault_of(error: h11.RemoteProtocolError) -> ReadFault:
-    """Return the read fault that corresponds to a protocol error."""
+    """Return HEAD_TOO_LARGE if the parser's size limit was exceeded, else MALFORMED."""
     if error.error_status_hint == ReadFault.HEAD_TOO_LARGE.value:
         return ReadFault.HEAD_TOO_LARGE
     return ReadFault.MALFORMED
--- a/ebonyhold/forwarding/_calls.py
+++ b/ebonyhold/forwarding/_calls.py
@@ -22,7 +22,7 @@
 """Size limit, in bytes, of the answer to a call.
 
 The changes of a table include every version of a large row: a few hundred routes in
-ten versions make some 2 MB. With a smaller limit, a reader could never read them.
+ten versions make some 2 MB. With a limit below that, reading them would always fail.
 """
 
 
@@ -55,7 +55,7 @@
 
     @property
     def name(self) -> str:
-        """Return the key of this address in the connection pool."""
+        """The key of this address in the connection pool."""
         return f"{self.address[0]}:{self.address[1]}"
 
     async def call(self, request: Outbound, timeout: Seconds) -> WholeAnswer:
@@ -63,10 +63,11 @@
 
         Args:
             request: The request to send.
-            timeout: Maximum time from sending to the end of the answer.
+            timeout: Maximum time from sending to the end of the answer, in seconds; the
+                time to connect comes on top.
 
         Raises:
-            CallNotSentError: No connection could be made.
+            CallNotSentError: `start` was not called, or no connection could be made.
             BackendLostError: The call was sent, but no complete answer arrived.
         """
         if self.pool is None:
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -19,7 +19,7 @@
 CONNECT_TIMEOUT: Seconds = 0.25
 """Maximum time to wait for a connection to a backend server.
 
-The farthest server accepts within some 5 ms; a server without power never does.
+The farthest server accepts within some 5 ms; a server without power never responds.
 """
 
 USER_TIMEOUT_MS = 2_000
@@ -32,27 +32,28 @@
 """How long an unused connection is kept if the server names no keep-alive timeout."""
 
 IDLE_MARGIN: Seconds = 0.5
-"""How long before the server's keep-alive timeout an unused connection is closed.
+"""How long before the server's keep-alive timeout a connection is no longer reused.
 
-A request sent while the server closes the connection may or may not have run.
+If the server closes the connection while a request is being sent, it is unknown
+whether the request ran.
 """
 
 KEEP_ALIVE = re.compile(rb"timeout=(\d{1,9})")
 """The keep-alive timeout of a server, in seconds.
 
-Of a longer number only the first nine digits are read: such a timeout is longer than
-any use, and Python refuses to convert numbers of several thousand digits.
+Only the first nine digits of a longer number are read, because Python refuses to
+convert numbers of several thousand digits. No connection is kept for that long.
 """
 
 LARGE_BODY = 32_768
-"""Size in bytes above which a request is written while its answer is read.
+"""Size of a whole request, in bytes, above which its answer is read while it is sent.
 
-A server may answer before it has read the body. If the request were written first,
+A server may answer before it has read the body. If the request were sent first,
 both sides could block, each waiting for the other to read.
 """
 
 MAX_STRAY = 4
-"""Answers to earlier requests that may arrive before the connection is given up."""
+"""Number of answers to other requests after which the connection is given up."""
 
 
 class ConnectTimeoutError(BackendLostError):
@@ -80,7 +81,7 @@
     has_body: bool
 
     def event(self) -> h11.Request:
-        """Return the head as an h11 event."""
+        """Return the head as an h11 event, with the length of a body."""
         fields = list(self.headers)
         if self.has_body:
             fields.append((b"content-length", b"%d" % len(self.body)))
@@ -88,7 +89,11 @@
 
 
 def idle_time(headers: Headers) -> Seconds:
-    """Return how long the server allows a connection to stay unused, less a margin."""
+    """Return how long a connection may stay unused and still be reused.
+
+    This is the server's keep-alive timeout less IDLE_MARGIN, but at least 0, or
+    DEFAULT_IDLE_TIME if the server names no timeout.
+    """
     for name, value in headers:
         if name == b"keep-alive":
             found = KEEP_ALIVE.search(value)
@@ -104,10 +109,10 @@
     Attributes:
         stream: The connection.
         tasks: Starts the task that reads the connection.
-        address: The host and port that it is connected to.
+        address: The server's host and port.
         inbox: The bytes received from the server.
         parser: The protocol state of the current request.
-        request: The current request.
+        request: The current request; None between requests.
         writing: Whether a large request is still being written.
         closed: Whether this side has closed the connection.
         usable_until: Until when the connection may be reused.
@@ -128,10 +133,11 @@
         self.parser = h11.Connection(h11.CLIENT)
 
     async def send(self, request: Outbound) -> None:
-        """Send a request.
+        """Send a request; one larger than LARGE_BODY is sent by another task.
 
         Raises:
-            BackendLostError: The connection is broken.
+            BackendLostError: The connection is broken. For a large request, reading the
+                answer raises this error instead.
         """
         self.request = request
         data = self.encode(request)
@@ -145,14 +151,14 @@
             raise BackendLostError("the connection broke while sending") from error
 
     def encode(self, request: Outbound) -> bytes:
-        """Return the bytes of a request, and update the parser as if it were sent."""
+        """Return the bytes of a request; set the parser to its state after sending."""
         data = self.parser.send(request.event()) or b""
         if request.body:
             data += self.parser.send(h11.Data(data=request.body)) or b""
         return data + (self.parser.send(h11.EndOfMessage()) or b"")
 
     async def write_while_reading(self, data: bytes) -> None:
-        """Write a large request while its answer may already be read."""
+        """Send a large request; if this fails, mark the inbox as broken."""
         try:
             await self.stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -162,7 +168,7 @@
         self.writing = False
 
     async def next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        """Return the next event of the answer.
+        """Return the next event of the answer, waiting for bytes if necessary.
 
         Raises:
             BackendLostError: The connection broke, or the bytes are not valid HTTP.
@@ -180,10 +186,10 @@
             self.parser.receive_data(data)
 
     async def read_head(self) -> AnswerHead:
-        """Read the head of the next answer.
+        """Read the head of the next answer; interim answers (1xx) are skipped.
 
         Raises:
-            BackendLostError: The connection ended before a head arrived.
+            BackendLostError: The connection ended before a valid head arrived.
         """
         while True:
             event = await self.next_event()
@@ -206,7 +212,7 @@
         raise BackendLostError("the answer ended early")
 
     async def skip_answer(self) -> None:
-        """Skip the answer to an earlier request, so that the next answer can be read.
+        """Discard the body of an answer whose head was read, to read the next answer.
 
         Raises:
             BackendLostError: The answer ended early, or the connection closed after it.
@@ -217,8 +223,8 @@
         self.parser = h11.Connection(h11.CLIENT)
         if self.request is None or ended:
             raise BackendLostError("the connection ended after a stray answer")
-        # This sends nothing, because the request was sent already; it only brings the
-        # new parser into the state after sending.
+        # The request was sent already. Its bytes are not needed here, only the effect
+        # of `encode` on the state of the new parser.
         self.encode(self.request)
         if rest:
             self.parser.receive_data(rest)
@@ -227,7 +233,8 @@
         """Prepare the connection for another request after a complete answer.
 
         Returns:
-            Whether the connection can be reused.
+            Whether the connection can be reused: it is open, the whole request was
+            sent, and no bytes are left unread.
         """
         done = self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
         if not done or self.writing or not self.is_quiet():
@@ -244,7 +251,7 @@
         return not (self.inbox.waiting or self.inbox.ended or self.closed)
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Close the connection, and wake the tasks that wait for its bytes."""
         if not self.closed:
             self.closed = True
             self.inbox.ended = True
@@ -256,7 +263,7 @@
 async def open_channel(
     address: tuple[str, int], tasks: TaskStarter, timeout: Seconds = CONNECT_TIMEOUT
 ) -> Channel:
-    """Connect to a backend server.
+    """Connect to a backend server, and start the task that reads the connection.
 
     Raises:
         ConnectTimeoutError: The server did not accept in time; nothing was sent.
--- a/ebonyhold/forwarding/_choice.py
+++ b/ebonyhold/forwarding/_choice.py
@@ -15,44 +15,50 @@
 """How many more requests a server of the own failure domain may have in flight than one
 of another domain and still be chosen.
 
-A request to another domain costs the delay between domains twice, some 1 to 3 ms, and
-traffic between them. A request queued behind another waits until that one ends.
+A request to another domain takes some 1 to 3 ms longer, twice the delay between the
+domains, and causes traffic between them. A request queued behind another request waits
+until that one ends.
 """
 
 
 def rank(key: str, name: str) -> bytes:
-    """Return a server's rendezvous hash for a key; all routers compute the same."""
+    """Return a server's rendezvous hash for a key; it is the same at all routers."""
     return hashlib.blake2b(f"{key}/{name}".encode(), digest_size=8).digest()
 
 
 def choose_by_prompt(
     request: CallerRequest, entries: Sequence[BackendEntry], now: Seconds
 ) -> BackendEntry:
-    """Return the server that can read a prompt soonest.
+    """Return the server with the lowest cost of reading a prompt.
 
-    The cost at a server is its load in prompt tokens, plus the shared tokens of this
-    prompt if they are probably not in its cache. They probably are at a server that
-    this router sent them to recently, and at the first server in rendezvous hashing
-    order. All routers have the same order, so few servers read a popular prompt.
+    The cost is the server's load in prompt tokens, plus the shared tokens of this
+    prompt unless the server probably has them in its cache. This is assumed of servers
+    that this router has sent them to within CACHED_FOR, and of the first server in
+    rendezvous hashing order. The order is the same at all routers, so that few servers
+    read a popular prompt.
     """
     key = sharing_key(request)
     shared = shared_tokens(request)
     ordered = sorted(entries, key=lambda entry: rank(key, entry.backend.name))
 
     def cost(entry: BackendEntry) -> float:
-        kept = entry is ordered[0] or entry.work.has_cached(key, now)
-        return entry.work.waiting + (0 if kept else shared)
+        cached = entry is ordered[0] or entry.work.has_cached(key, now)
+        return entry.work.waiting + (0 if cached else shared)
 
     return min(ordered, key=cost)
 
 
 def choose_nearby(entries: Sequence[BackendEntry], domain: str) -> BackendEntry:
-    """Return the least loaded server, preferring the own failure domain."""
+    """Return the server with the fewest requests of this router in flight.
+
+    A server of the own failure domain may have NEAR_SLACK more than the others. Among
+    equal servers the choice is random.
+    """
 
     def load(entry: BackendEntry) -> float:
         here = entry.backend.domain == domain
-        share = entry.in_flight - (NEAR_SLACK + 0.5 if here else 0)
-        return share + random.random() * 0.1
+        adjusted = entry.in_flight - (NEAR_SLACK + 0.5 if here else 0)
+        return adjusted + random.random() * 0.1
 
     return min(entries, key=load)
 
@@ -60,7 +66,12 @@
 def choose(
     request: CallerRequest, entries: Sequence[BackendEntry], domain: str, now: Seconds
 ) -> BackendEntry:
-    """Return the server for a request; ``entries`` must not be empty."""
+    """Return the server for a request; ``entries`` must not be empty.
+
+    A request with prompt parts goes to the server with the lowest cost of reading its
+    prompt. Other requests go to the server with the fewest requests in flight, with a
+    preference for the own failure domain.
+    """
     if sharing_key(request):
         return choose_by_prompt(request, entries, now)
     return choose_nearby(entries, domain)
--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_departure.py
@@ -18,23 +18,23 @@
 log = logging.getLogger(__name__)
 
 SAMPLES = 64
-"""Durations kept per route: some 20 s of requests on an ordinary route at one router,
-so that estimates follow the current load.
+"""Number of latest durations kept per route. On an ordinary route, one router gets that
+many requests in some 20 s, so the estimates follow the current load.
 """
 
 MAX_ROUTES = 1_000
-"""Maximum number of routes with recorded durations. Without a limit, memory would grow
-with every configuration that names new routes.
+"""Maximum number of routes with recorded durations. Above it, the route added first is
+dropped: memory would otherwise grow with every configuration that names new routes.
 """
 
 MIN_SAMPLES = 24
-"""Durations needed for an estimate: some 8 s of requests on an ordinary route at one
-router. A router that has just started has fewer, mostly of short requests, since these
-end first.
+"""Number of durations below which an estimate is at least DEFAULT_ESTIMATE. On an
+ordinary route, one router gets that many requests in some 8 s. A router that has just
+started has recorded fewer, mostly of short requests, since these end first.
 """
 
 SLACK: Seconds = 0.1
-"""Added to the longest duration: even the shortest requests vary by this much."""
+"""Added to the longest duration, since even short requests vary by this much."""
 
 SAFETY_FACTORS: dict[RouteKind, float] = {
     RouteKind.STREAM: 2.0,
@@ -44,18 +44,18 @@
 """The factor by which the longest recent duration, with its slack, is multiplied.
 
 The durations of streams have a long tail and cannot be known beforehand, and a stream
-that is still running at the end of the shutdown is cut. Of 8,604 requests of three
+that is still running at the end of the shutdown is cut. Of 8,604 requests in three
 deployments under bursts, 222 took longer than the longest of the 64 before them plus
-the slack, and 6 took longer than twice that. The other kinds need no such factor: an
-answer that is passed on whole can still be replaced by an error from the router.
+the slack, and 6 took longer than twice that. Other requests need no such factor: their
+answers are passed on whole, so the router can still send an error instead.
 """
 
 
 DEFAULT_ESTIMATE: Seconds = 3.0
 """The duration assumed for a route with too few recorded requests.
 
-Ordinary long streams take some 2 s, and plain services may be as slow. With an assumed
-duration of 1 s, a booking that takes 1.5 s was accepted and given up 1.2 s later,
+Ordinary long streams take some 2 s, and plain services may be as slow. If 1 s were
+assumed, a booking of 1.5 s would be accepted with 1.2 s left, and then given up
 although it may have run.
 """
 
@@ -65,9 +65,9 @@
 
     Attributes:
         SERVING: No shutdown was requested.
-        STOPPING: The load balancer may not have taken it out of rotation yet.
-        LEAVING: It should be out of rotation, and waits for its requests to end.
-        RETURNING: It returns its grants, so priced requests are refused.
+        STOPPING: The load balancer may still have the router in rotation.
+        LEAVING: The router should be out of rotation, and waits for requests to end.
+        RETURNING: The router returns its grants, so priced requests are refused.
         OVER: The time for answers has passed, so all requests are refused.
     """
 
@@ -80,37 +80,42 @@
 
 @define
 class RouteTimes:
-    """Durations of recent requests, from the last request byte to the last answer byte.
+    """Durations of recent requests, from the end of reading to the last answer byte.
 
     Attributes:
-        lengths: The latest durations of each route, in seconds.
+        durations: The latest durations of each route, in seconds.
     """
 
-    lengths: dict[str, deque[Seconds]] = field(factory=dict)
+    durations: dict[str, deque[Seconds]] = field(factory=dict)
 
-    def record(self, route: str, length: Seconds) -> None:
+    def record(self, route: str, duration: Seconds) -> None:
         """Record the duration of a request that got a complete answer from a server."""
-        if route not in self.lengths and len(self.lengths) >= MAX_ROUTES:
-            oldest = next(iter(self.lengths))
-            del self.lengths[oldest]
-        known = self.lengths.setdefault(route, deque(maxlen=SAMPLES))
-        known.append(length)
+        if route not in self.durations and len(self.durations) >= MAX_ROUTES:
+            oldest = next(iter(self.durations))
+            del self.durations[oldest]
+        known = self.durations.setdefault(route, deque(maxlen=SAMPLES))
+        known.append(duration)
 
     def estimate(self, route: Route) -> Seconds:
-        """Return a duration that requests of this route rarely exceed."""
-        known = self.lengths.get(route.name, ())
+        """Return a duration that requests of this route rarely exceed.
+
+        It is the longest recorded duration plus SLACK, at least DEFAULT_ESTIMATE if
+        fewer than MIN_SAMPLES are recorded, times the safety factor. The route's
+        timeout is its maximum.
+        """
+        known = self.durations.get(route.name, ())
         longest: Seconds = max(known, default=0.0) + SLACK
         if len(known) < MIN_SAMPLES:
             longest = max(longest, DEFAULT_ESTIMATE)
         return min(route.timeout, longest * SAFETY_FACTORS[route.kind])
 
-    def shown(self, route: Route) -> Seconds:
-        """Return the longest recorded duration plus slack, however few were recorded.
+    def longest(self, route: Route) -> Seconds:
+        """Return the longest recorded duration plus SLACK, however few were recorded.
 
-        It is infinite for streams, whose durations have a long tail, and for a route
-        without recorded requests.
+        The result is infinite for streams, whose durations have a long tail, and for a
+        route without recorded requests.
         """
-        known = self.lengths.get(route.name)
+        known = self.durations.get(route.name)
         if not known or route.kind is RouteKind.STREAM:
             return math.inf
         return max(known) + SLACK
@@ -126,9 +131,10 @@
         priced: Whether it needs tokens of a grant.
         left: The time until the deadline for the last answer, in seconds.
         estimate: The estimated duration of the request, in seconds.
-        waited: How long it was queued behind other answers on its connection before
-            it was judged, in seconds.
-        shown: The longest recorded duration on its route plus slack, in seconds.
+        waited: How long it was queued behind other requests on its connection, in
+            seconds.
+        longest: The longest recorded duration on its route plus SLACK, in seconds;
+            infinity for streams and routes without records.
     """
 
     request: RequestId
@@ -137,11 +143,11 @@
     left: Seconds
     estimate: Seconds
     waited: Seconds = 0.0
-    shown: Seconds = math.inf
+    longest: Seconds = math.inf
 
     @property
     def arrived_in_time(self) -> bool:
-        """Whether it would have been accepted at the time it arrived."""
+        """Whether its estimated duration fitted into the time left when it arrived."""
         return self.estimate <= self.left + self.waited
 
 
@@ -150,16 +156,18 @@
     """Admission of requests while a router shuts down.
 
     The load balancer still sends callers here while fewer than half of the failure
-    domain's VMs are in rotation, and a closed port would cost each of them a failed
-    attempt. So a request is accepted if it will very likely end in time. All others
-    are refused at once, so that none is read and then left without an answer.
+    domain's VMs are in rotation, and a closed port would cost each caller a failed
+    attempt. So all requests are accepted while STOPPING. Afterwards a request is
+    accepted if it is expected to end in time and needs no tokens of grants that are
+    being returned. Others are refused at once, so that each one gets an answer.
 
     Attributes:
         stage: The current stage.
         last_answer_at: When the last answer must have been sent.
         times: Durations of recent requests.
         judged: Called for each late request with whether it was accepted, for metrics.
-        open: The scopes of the current requests, cancelled at `last_answer_at`.
+        scopes: The cancel scopes of the current requests; a shutdown limits their
+            deadlines to `last_answer_at`.
         taken: Number of late requests that were accepted.
         refused: Number of late requests that were refused.
     """
@@ -168,31 +176,31 @@
     last_answer_at: Seconds = math.inf
     times: RouteTimes = field(factory=RouteTimes)
     judged: Callable[[bool], None] = lambda taken: None
-    open: set[anyio.CancelScope] = field(factory=set)
+    scopes: set[anyio.CancelScope] = field(factory=set)
     taken: int = 0
     refused: int = 0
 
     def begin(self, last_answer_at: Seconds) -> None:
-        """Start the shutdown; current requests end by `last_answer_at`."""
+        """Start the shutdown; requests running at `last_answer_at` are cancelled."""
         self.stage = Stage.STOPPING
         self.last_answer_at = last_answer_at
-        for scope in self.open:
+        for scope in self.scopes:
             scope.deadline = min(scope.deadline, last_answer_at)
 
     @contextmanager
     def bounded(self, deadline: Seconds) -> Iterator[None]:
-        """Cancel a request at its own deadline or at `last_answer_at`.
+        """Leave the enclosed block at `deadline` or, if earlier, `last_answer_at`.
 
-        A request that outlasts the shutdown then gets an error, as at its own deadline,
-        instead of a closed connection.
+        No exception is raised, so the caller of a request that would outlast the
+        shutdown can still be sent an error, as at the request's own deadline.
         """
         cutoff = min(deadline, self.last_answer_at)
         with anyio.CancelScope(deadline=cutoff) as scope:
-            self.open.add(scope)
+            self.scopes.add(scope)
             try:
                 yield
             finally:
-                self.open.discard(scope)
+                self.scopes.discard(scope)
 
     def admits(
         self, request: RequestId, route: Route, priced: bool, received_at: Seconds
@@ -215,14 +223,14 @@
             left=self.last_answer_at - now,
             estimate=self.times.estimate(route),
             waited=now - received_at,
-            shown=self.times.shown(route),
+            longest=self.times.longest(route),
         )
         taken = accepts_late(self.stage, late)
         self.record(late, taken)
         return taken
 
     def record(self, late: LateRequest, taken: bool) -> None:
-        """Count a late request, and log the decision with its reasons."""
+        """Count a late request, and log the decision with the data it is based on."""
         self.taken += taken
         self.refused += not taken
         self.judged(taken)
@@ -237,8 +245,8 @@
                 "ms_estimated": round(late.estimate * 1000),
                 "ms_waited": round(late.waited * 1000),
                 "ms_shown": None
-                if math.isinf(late.shown)
-                else round(late.shown * 1000),
+                if math.isinf(late.longest)
+                else round(late.longest * 1000),
             },
         )
 
@@ -246,18 +254,19 @@
 def accepts_late(stage: Stage, late: LateRequest) -> bool:
     """Return whether a late request is accepted.
 
-    A router that is STOPPING accepts every request, because its whole grace period is
-    still left and callers do not know of the stop yet. A request that arrived in time
-    but was queued behind others is judged by the longest duration recorded on its
-    route: DEFAULT_ESTIMATE alone must not cause its refusal.
+    While STOPPING, every request is accepted, because nearly all of the grace period is
+    left and the load balancer still sends requests here. When OVER, none is. Otherwise
+    the estimated duration must fit into the time left. If it fitted when the request
+    arrived, but the request was then queued behind others, it is enough that the
+    longest recorded duration fits: DEFAULT_ESTIMATE alone must not cause a refusal.
     """
     if stage is Stage.STOPPING:
         return True
     if stage is Stage.OVER:
         return False
     if stage is Stage.RETURNING and late.priced:
-        # The router is returning its grants, and no one would return new ones.
+        # Grants are being returned; a new one might not be returned before the exit.
         return False
     if late.estimate <= late.left:
         return True
-    return late.arrived_in_time and late.shown <= late.left
+    return late.arrived_in_time and late.longest <= late.left
--- a/ebonyhold/forwarding/_dialect.py
+++ b/ebonyhold/forwarding/_dialect.py
@@ -1,4 +1,4 @@
-"""The header fields of callers and backend servers, as typed messages."""
+"""The interface to the header fields that callers and backend servers use."""
 
 from __future__ import annotations
 
@@ -24,7 +24,13 @@
         ...
 
     def dispatch_headers(self, headers: Headers, dispatch: Dispatch) -> Headers:
-        """Return the caller's end-to-end fields and those of this dispatch."""
+        """Return the fields of a request to a backend server.
+
+        Args:
+            headers: The caller's end-to-end fields; those that only the router may set
+                are left out.
+            dispatch: The values of the fields that the router sets.
+        """
         ...
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
--- a/ebonyhold/forwarding/_events.py
+++ b/ebonyhold/forwarding/_events.py
@@ -8,7 +8,7 @@
 
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d{1,18})(?!\d)")
-"""The identifier of an event, if it is a number of at most 18 digits.
+"""Matches the identifier of an event if it is a number of at most 18 digits.
 
 Longer numbers do not fit into 64 bits and are ignored. Python also refuses to convert
 numbers of several thousand digits.
@@ -21,7 +21,7 @@
 
     Attributes:
         raw: The bytes, with the empty line at the end.
-        number: The event's identifier; None if it has none.
+        number: The event's identifier; None if EVENT_ID matches none.
     """
 
     raw: bytes
@@ -42,7 +42,7 @@
     rest: bytes = field(default=b"")
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are complete with these bytes."""
+        """Add bytes to `rest`; remove and return the events that are now complete."""
         self.rest += data
         events: list[StreamEvent] = []
         while True:
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -18,7 +18,15 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt at a backend server ended."""
+    """How an attempt at a backend server ended.
+
+    Attributes:
+        DELIVERED: The caller got the complete answer.
+        NOT_SENT: No connection could be made.
+        NOT_RUN: The server stated that it did not run the request.
+        FAILED: The server answered with status 500 or above.
+        LOST: No valid and complete answer arrived in time.
+    """
 
     DELIVERED = "delivered"
     NOT_SENT = "not_sent"
@@ -41,8 +49,8 @@
 
     Attributes:
         end: How it ended.
-        answer: The server's error answer; the caller gets it if no other server
-            succeeds.
+        answer: The server's error answer if `end` is FAILED. The caller gets it if no
+            other attempt succeeds.
         reason: Why it failed, for logs.
     """
 
@@ -63,11 +71,11 @@
         match: The route, service and workspace of the request.
         deadline: When the caller must have an answer.
         event_tokens: Maximum number of tokens in one event of its stream.
-        sends: How often it was sent to a server.
+        sends: How often it was sent to a server, also if the server declined it.
         connects: How many connections to servers failed.
         tried: The servers that it was sent to, or that could not be reached.
         may_have_run: Whether a server may have run it.
-        last_event: The number of the last event that the caller has received.
+        last_event: The number of the last event that the caller has; None if none.
         events: How many events were passed on.
         failure: The last error answer of a server.
         reasons: Why attempts failed, for logs.
@@ -94,7 +102,11 @@
 
     @property
     def charge(self) -> Tokens:
-        """The tokens to charge: prompt and output so far, or 0 if it never ran."""
+        """The tokens to charge; 0 if the request cannot have run.
+
+        Each event that was passed on counts as `event_tokens` of output, up to the
+        maximum that the request states.
+        """
         if not self.may_have_run:
             return 0
         output = min(self.events * self.event_tokens, self.caller.most_output)
@@ -106,7 +118,7 @@
         return self.sends < self.match.route.most_attempts
 
     async def deliver(self, answer: WholeAnswer) -> None:
-        """Pass on a complete answer unchanged."""
+        """Pass on a complete answer, without the fields of the server's connection."""
         fields = end_to_end(answer.head.headers)
         if answer.head.status in BODILESS or self.head.method == b"HEAD":
             await self.deliver_bodiless(answer.head.status, fields)
@@ -116,7 +128,7 @@
         )
 
     async def deliver_bodiless(self, status: int, fields: Headers) -> None:
-        """Pass on an answer that has no body, whatever its content length."""
+        """Pass on an answer without a body; a content length field is kept."""
         head = self.connection.head(status, fields)
         end = self.connection.parser.send(h11.EndOfMessage()) or b""
         await self.connection.stream.send(head + end)
@@ -133,5 +145,5 @@
 
 
 def without_length(headers: Headers) -> Headers:
-    """Return the fields without the content length, since the body is framed anew."""
+    """Return the fields without the content length, which the router sets itself."""
     return [(name, value) for name, value in headers if name != b"content-length"]
--- a/ebonyhold/forwarding/_forwarder.py
+++ b/ebonyhold/forwarding/_forwarder.py
@@ -46,9 +46,9 @@
 """The outcome of a request whose caller got a complete answer from a server."""
 
 MAX_CONNECTS = 4
-"""Failed connections after which a request is refused.
+"""Number of failed connections after which a request is refused.
 
-A failed connection costs the caller up to a quarter of a second.
+Each of them delays the answer by up to a quarter of a second.
 """
 
 
@@ -94,10 +94,10 @@
         backends: The known servers.
         pool: The connections to servers.
         retries: The retry budget.
-        rules: Returns the current rules; None before the first ones were read.
+        rules: Returns the current rules, or None until some were read.
         purse: Opens a hold on a workspace's budget; None if the workspace has no limit.
-        ended: Called at the end of each request with its route, outcome and duration,
-            for metrics.
+        ended: Called at the end of each request with its route, outcome and duration
+            in seconds, for metrics.
         ages: Returns the age of each cached input in seconds, for logs.
         departure: Decides which requests are accepted during a shutdown.
     """
@@ -116,7 +116,11 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer one request."""
+        """Forward or refuse one request, and report its end to `ended`.
+
+        A request whose headers are malformed is refused without a report. The outcome
+        is "left" if serving is cancelled, because the caller disconnected, or fails.
+        """
         started = anyio.current_time()
         try:
             caller = self.dialect.read_request(head.headers)
@@ -132,10 +136,10 @@
             outcome = error.refusal.code
             await self.refuse(connection, caller, error.refusal, route)
         finally:
-            length = anyio.current_time() - started
-            self.ended(route, outcome, length)
+            duration = anyio.current_time() - started
+            self.ended(route, outcome, duration)
             if outcome == DELIVERED:
-                self.departure.times.record(route, length)
+                self.departure.times.record(route, duration)
             if outcome == "left":
                 fields = {"request": caller.request_id, "route": route}
                 log.info("caller left", extra=fields)
@@ -150,7 +154,8 @@
         """Match a request with the rules, and return it as an exchange.
 
         Raises:
-            Refused: No rules were read yet, no route matches, or the key is unknown.
+            Refused: No rules were read yet, no route matches, or the key is unknown or
+                missing.
         """
         rules = self.rules()
         if rules is None:
@@ -173,10 +178,10 @@
         )
 
     def check_shutdown(self, exchange: Exchange, priced: bool) -> None:
-        """Refuse a request that is unlikely to end before a stopping router exits.
+        """Check whether a request is accepted during a shutdown.
 
         Raises:
-            Refused: The request could be cut off. It has not run.
+            Refused: It is not accepted, and has not run.
         """
         accepted = self.departure.admits(
             exchange.caller.request_id,
@@ -188,7 +193,16 @@
             raise Refused(Refusal.STOPPING)
 
     async def hold_and_forward(self, exchange: Exchange) -> str:
-        """Hold a request's maximum cost, forward it, and charge the actual cost."""
+        """Hold a request's maximum cost, forward it, and charge the actual cost.
+
+        Without a priced workspace, the request is only forwarded.
+
+        Returns:
+            The outcome.
+
+        Raises:
+            Refused: The router is stopping, or the tokens are not available.
+        """
         workspace = exchange.match.workspace
         max_charge = exchange.caller.max_charge
         hold = self.purse(workspace.name) if workspace and max_charge else None
@@ -207,7 +221,11 @@
             hold.settle(max_charge, exchange.charge)
 
     async def forward_in_time(self, exchange: Exchange) -> str:
-        """Forward a request, and answer it at its deadline at the latest."""
+        """Forward a request and return its outcome.
+
+        The request is given up ANSWER_MARGIN after its deadline, or at the end of a
+        shutdown if that is earlier.
+        """
         outcome = ""
         cutoff = exchange.deadline + ANSWER_MARGIN
         with self.departure.bounded(cutoff):
@@ -221,7 +239,7 @@
         return outcome
 
     async def forward(self, exchange: Exchange) -> str:
-        """Send a request to servers in turn until it is answered or refused."""
+        """Send a request to servers in turn until one answers; return the outcome."""
         while True:
             entry = self.next_entry(exchange)
             if isinstance(entry, Refusal):
@@ -267,7 +285,10 @@
         return choose(exchange.caller, entries, self.domain, now)
 
     def no_server_left(self, exchange: Exchange) -> Refusal:
-        """Return the refusal for a request when no untried server is left."""
+        """Return the refusal for a request when no untried server is left.
+
+        SERVERS_FULL means that each server that got the request declined it.
+        """
         if exchange.may_have_run:
             return Refusal.SERVER_LOST
         return Refusal.SERVERS_FULL if exchange.sends else Refusal.NO_SERVER
@@ -275,7 +296,7 @@
     def record_failure(
         self, exchange: Exchange, backend: str, result: AttemptResult
     ) -> None:
-        """Record why an attempt failed."""
+        """Store why an attempt failed, and the server's error answer if any."""
         exchange.reasons.append(f"{backend}: {result.reason}")
         if result.answer is not None:
             exchange.failure = result.answer
@@ -284,7 +305,10 @@
             exchange.tried.append(backend)
 
     def verdict(self, exchange: Exchange, result: AttemptResult) -> Refusal | None:
-        """Return None if another server may be tried, or else the refusal."""
+        """Return None if another server may be tried, or else the refusal.
+
+        Unless the connection failed, another try is counted in the retry budget.
+        """
         if result.end is AttemptEnd.NOT_SENT:
             # Nothing was sent, so no retry budget is used.
             if exchange.connects < MAX_CONNECTS:
@@ -303,7 +327,11 @@
         return None
 
     async def give_up(self, exchange: Exchange, refusal: Refusal) -> str:
-        """Send the final answer to a request that no server has answered."""
+        """End a request without a complete answer from a server; return the outcome.
+
+        The caller gets the last error answer of a server or, if there is none, the
+        refusal. If a part of an answer was sent, the connection is closed instead.
+        """
         if exchange.connection.started:
             # The caller has a part of the answer. Closing the connection before the end
             # is the only way to show that the rest is missing.
@@ -318,7 +346,10 @@
         return refusal.code
 
     def identify(self, head: RequestHead) -> Headers:
-        """Return the fields that identify the request in the router's own answer."""
+        """Return the fields that identify a request in the router's own answer.
+
+        There are none if the request's headers are malformed.
+        """
         try:
             caller = self.dialect.read_request(head.headers)
         except MalformedRequestError:
@@ -332,7 +363,7 @@
         refusal: Refusal,
         route: str = "",
     ) -> None:
-        """Send a refusal to the caller."""
+        """Log a refusal, and send it to the caller."""
         answer = own_answer(refusal, self.dialect.refusal_headers(caller.request_id))
         fields = {"request": caller.request_id, "code": refusal.code, "route": route}
         log.info("refused", extra=fields)
--- a/ebonyhold/forwarding/_inbox.py
+++ b/ebonyhold/forwarding/_inbox.py
@@ -11,12 +11,12 @@
 from ebonyhold.types import Seconds
 
 CHUNK = 65_536
-"""Bytes read from a socket at once."""
+"""Maximum number of bytes read from a socket at once."""
 
 MAX_WAITING = 262_144
-"""Bytes buffered for a slow reader; above this, reading from the socket pauses.
+"""Number of buffered bytes above which reading from the socket pauses.
 
-This is the flow control: a fast sender is slowed down to the speed of the reader.
+This limits a fast sender to the speed at which its bytes are taken.
 """
 
 
@@ -24,9 +24,9 @@
 class Inbox:
     """The bytes received on a connection that have not been taken yet.
 
-    A separate task reads the socket all the time, also while a request is processed.
-    A caller that disconnects is thus noticed at once, and a server that closes an
-    unused connection is noticed before the connection is reused.
+    A separate task reads the socket, also while a request is processed or the
+    connection is unused. It detects at once that a caller has disconnected or that a
+    server has closed an unused connection, unless the buffer is full.
 
     Attributes:
         stream: The connection.
@@ -49,12 +49,15 @@
     on_end: Callable[[], None] | None = None
 
     async def fill(self) -> None:
-        """Read until the connection ends."""
+        """Read until the connection ends.
+
+        An unexpected error is raised, but also marks the connection as broken.
+        """
         try:
             await self.read_until_end()
         finally:
-            # If this task ends by an unexpected error, a task that waits for bytes must
-            # still be woken, or it would wait forever.
+            # After an unexpected error, a task that waits for bytes must still be
+            # woken, or it would wait forever.
             if not self.ended:
                 self.ended = True
                 self.broken = True
@@ -72,21 +75,24 @@
                 self.ended = True
                 self.broken = True
             self.notify()
-            # After a close no one takes bytes any more, so the close must end this wait
-            # too; otherwise this task and its buffer would never be freed.
+            # No bytes are taken after a close, so the close must end this wait too.
+            # Otherwise this task and its buffer would never be freed.
             while len(self.waiting) > MAX_WAITING and not self.ended:
                 self.taken = anyio.Event()
                 await self.taken.wait()
 
     def notify(self) -> None:
-        """Wake the tasks that wait for bytes."""
+        """Wake the tasks that wait for bytes; call `on_end` after the end."""
         self.changed.set()
         self.changed = anyio.Event()
         if self.ended and self.on_end is not None:
             self.on_end()
 
     async def take(self) -> bytes:
-        """Return the bytes received, waiting for at least one; empty at the end."""
+        """Remove and return the buffered bytes.
+
+        Wait for some if there are none; after the end, the result is empty.
+        """
         while not self.waiting and not self.ended:
             await self.changed.wait()
         data = bytes(self.waiting)
--- a/ebonyhold/forwarding/_listener.py
+++ b/ebonyhold/forwarding/_listener.py
@@ -38,11 +38,11 @@
 
 
 Identify = Callable[[RequestHead], Headers]
-"""Returns the fields that identify the request in the router's own answer."""
+"""Returns the fields that identify a request in the router's own answer."""
 
 
 def no_identity(head: RequestHead) -> Headers:
-    """Return no fields, for callers that wait for each answer in turn."""
+    """Return no fields, for callers that match answers to requests by their order."""
     del head
     return []
 
@@ -54,11 +54,11 @@
     Attributes:
         serve: Answers one request.
         limits: Returns the current limits for callers.
-        guard: Keeps an error on one connection from ending all others.
+        guard: Runs the code of one connection, and keeps its errors from other tasks.
         identify: Returns the fields that identify a request in the router's answer.
         connections: The open connections.
-        draining: Whether the process is about to exit.
-        shedding: Whether callers should connect to other routers for a while.
+        draining: Whether connections close after their next answers, for a shutdown.
+        shedding: Whether they do so to move callers to other routers for a while.
         working: Number of requests being answered.
         begun: Number of requests being read or answered.
         idle: Set when `begun` falls to 0, then replaced.
@@ -87,7 +87,8 @@
         """Accept connections until `stop_accepting` is called.
 
         Raises:
-            OSError: The address cannot be listened at, or the system is out of sockets.
+            OSError: It is not possible to listen on the address, or no file descriptors
+                or memory are left.
         """
         listening = listen_at(address)
         log.info("listening", extra={"host": address[0], "port": address[1]})
@@ -114,7 +115,7 @@
             tasks.start_soon(self.serve_socket, connection)
 
     async def serve_socket(self, connection: socket.socket) -> None:
-        """Serve a connection that was just accepted."""
+        """Serve an accepted connection, unless the caller has closed it already."""
         try:
             stream = await SocketStream.from_socket(connection)
         except OSError:
@@ -127,7 +128,7 @@
         await self.handle(stream)
 
     async def handle(self, stream: ByteStream) -> None:
-        """Serve one connection until it ends."""
+        """Serve one connection until it ends; an error of its requests ends only it."""
         connection = CallerConnection(stream, self.limits())
         connection.last = self.draining or self.shedding
         self.connections.add(connection)
@@ -161,11 +162,10 @@
             log.debug("caller's connection broke")
 
     async def answer_fault(self, connection: CallerConnection) -> None:
-        """Answer a request that failed by an internal error, if still possible.
+        """Answer a request that failed by an internal error with status 500.
 
-        The request may have run, so the answer must not deny it. If an answer has
-        begun, the connection is closed instead, so that a part is not taken for the
-        whole.
+        The status leaves open whether the request ran. Nothing is sent if an answer has
+        begun: the close of the connection then shows that its rest is missing.
         """
         if connection.started or connection.parser.our_state is not h11.SEND_RESPONSE:
             return
@@ -177,7 +177,11 @@
             log.debug("caller disconnected before it was sent an error")
 
     async def answer_requests(self, connection: CallerConnection) -> None:
-        """Answer the requests of a connection one after the other."""
+        """Answer the requests of a connection one after the other.
+
+        Returns when no request arrives in time, the caller disconnects, a request is
+        unreadable, or an answer has announced that the connection closes.
+        """
         while True:
             try:
                 await connection.await_first_byte()
@@ -201,7 +205,7 @@
                 self.idle = anyio.Event()
 
     async def answer_one(self, connection: CallerConnection) -> bool:
-        """Read and answer one request; return whether another may follow."""
+        """Read and answer or refuse a request; return whether another may follow."""
         try:
             head, body = await connection.read_whole()
         except ReadFaultError as error:
@@ -224,7 +228,7 @@
             self.working -= 1
 
     def stop_accepting(self) -> None:
-        """Stop accepting connections; `until_closed` waits for the end."""
+        """Stop accepting connections; `until_closed` waits for the socket's close."""
         self.accepting.cancel()
 
     async def until_closed(self) -> None:
@@ -238,14 +242,17 @@
             await self.idle.wait()
 
     async def until_empty(self) -> None:
-        """Return when all connections have ended, including those being read from."""
+        """Return when all connections have ended, including those just accepted."""
         while self.connections or self.arriving:
             await self.empty.wait()
 
     async def answer_read_fault(
         self, connection: CallerConnection, error: ReadFaultError
     ) -> None:
-        """Answer a request that could not be read, if an answer can still be sent."""
+        """Refuse a request that could not be read, and close its connection.
+
+        No answer is sent if the caller has disconnected.
+        """
         refusal = FAULT_REFUSALS.get(error.fault)
         if refusal is None or connection.inbox.ended:
             return
@@ -256,13 +263,16 @@
         await connection.answer(answer.status, answer.headers, answer.body)
 
     def start_draining(self) -> None:
-        """Close each connection after its next answer, so callers connect elsewhere."""
+        """Close each connection after its next answer, so that callers reconnect.
+
+        This also applies to connections that are accepted later.
+        """
         self.draining = True
         for connection in self.connections:
             connection.last = True
 
     def shed(self, shedding: bool) -> None:
-        """Start or stop closing connections after their next answers."""
+        """Set whether connections close after their next answers to shed load."""
         if shedding is self.shedding:
             return
         self.shedding = shedding
@@ -270,7 +280,7 @@
             connection.last = self.draining or shedding
 
     def close_idle(self) -> None:
-        """Close the connections that have no current request."""
+        """Close idle connections now, and the others after their next answers."""
         for connection in list(self.connections):
             connection.close_when_idle()
 
--- a/ebonyhold/forwarding/_pool.py
+++ b/ebonyhold/forwarding/_pool.py
@@ -20,7 +20,7 @@
 """Time between two sweeps that close expired and ended connections."""
 
 MAX_UNUSED = 16
-"""Maximum number of unused connections per server.
+"""Maximum number of unused connections kept per server.
 
 Servers limit the number of connections from all routers together.
 """
@@ -33,7 +33,7 @@
     Attributes:
         tasks: Starts the tasks that read connections.
         connected: Called with the server's name and whether a new connection was made
-            (True) or timed out (False).
+            (True) or timed out (False); not called if it was refused.
         connect_timeout: Maximum time to wait for a new connection.
         unused: The unused connections of each server, the most recently used one last.
         opened: Number of attempts to open a connection so far.
@@ -64,11 +64,11 @@
         return channel
 
     def take(self, name: BackendName, address: tuple[str, int]) -> Channel | None:
-        """Remove and return a usable pooled connection to an address.
+        """Remove and return a usable pooled connection to an address, or None.
 
-        Connections to another address are closed: the server's entry may have changed
-        while a request used the connection, and another server may now have the old
-        address.
+        Unusable connections found on the way are closed, and so are those to another
+        address: the server's address may have changed while a request used the
+        connection, and another server may now have the old address.
         """
         now = anyio.current_time()
         channels = self.unused.get(name, [])
@@ -81,7 +81,7 @@
         return None
 
     async def put(self, name: BackendName, channel: Channel) -> None:
-        """Return a connection to the pool."""
+        """Add a connection to the pool, or close it if MAX_UNUSED are pooled."""
         channels = self.unused.setdefault(name, [])
         if len(channels) >= MAX_UNUSED:
             await channel.close()
--- a/ebonyhold/forwarding/_refusals.py
+++ b/ebonyhold/forwarding/_refusals.py
@@ -14,7 +14,7 @@
 class Refusal(Enum):
     """The reason for a refusal, with its HTTP status and error code.
 
-    Statuses 408, 429 and 503 promise that the request has not run and will not run.
+    Statuses 408, 429 and 503 mean that the request has not run and will not run.
     """
 
     MALFORMED = (400, "malformed_request")
@@ -36,12 +36,12 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status."""
+        """The HTTP status."""
         return self.value[0]
 
     @property
     def code(self) -> str:
-        """Return the error code."""
+        """The error code."""
         return self.value[1]
 
 
@@ -50,17 +50,17 @@
     Refusal.NO_RULES: 0.3,
     # A lost server is usually replaced or back within a second.
     Refusal.NO_SERVER: 0.5,
-    # The time in which a few slots become free.
+    # Servers usually finish a few requests in this time.
     Refusal.SERVERS_FULL: 0.2,
     Refusal.NOT_STARTED: 0.2,
     # Other routers hold the tokens, and the next attempt reaches another router.
     Refusal.BUDGET_UNREACHABLE: 0.05,
     Refusal.SLOW_REQUEST: 0.1,
-    # The next attempt reaches another router. Waiting 0.8 s, when neighbouring routers
-    # that also stop might be back, served callers no better and delayed their answers.
+    # The next attempt reaches another router. A wait of 0.8 s, after which other
+    # routers that are also stopping may be back, delays answers without other benefit.
     Refusal.STOPPING: 0.05,
 }
-"""How long callers should wait before they retry, in seconds."""
+"""The Retry-After of each refusal, in seconds; the others have none."""
 
 
 @frozen
--- a/ebonyhold/forwarding/_retries.py
+++ b/ebonyhold/forwarding/_retries.py
@@ -1,4 +1,4 @@
-"""This router's share of the retry budget of the fleet."""
+"""This router's share of the retry budget of all routers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @frozen
 class RetryRules:
-    """The retry budget of all routers together.
+    """The retry budget of a service, for all routers together.
 
     Attributes:
         ratio: Retries allowed per request.
-        extra: Retries allowed in addition, per window.
+        extra: Retries allowed in addition to those, per window.
         window: The period over which both are counted, in seconds.
     """
 
@@ -51,11 +51,11 @@
 class FleetRetries:
     """Decides whether a request may be retried, without contacting other routers.
 
-    The part of the budget that grows with the number of requests needs no
-    coordination; the fixed part is divided by the number of routers.
+    Each router may use the retries that its own requests earn, and an equal part of
+    the fixed number of extra retries.
 
     Attributes:
-        rules: The retry budget of all routers together.
+        rules: The retry budget of each service, for all routers together.
         routers: Returns the number of routers.
         windows: The recent requests and retries of each service.
     """
@@ -65,7 +65,7 @@
     windows: dict[ServiceName, Window] = field(factory=dict)
 
     def window(self, service: ServiceName, now: Seconds) -> Window:
-        """Return the current window of a service."""
+        """Return the window of a service, without times before its start."""
         found = self.windows.setdefault(service, Window())
         found.forget(now - self.rules.window)
         return found
--- a/ebonyhold/forwarding/_routes.py
+++ b/ebonyhold/forwarding/_routes.py
@@ -24,7 +24,7 @@
 
 
 class UnknownKeyError(EbonyholdError):
-    """The key belongs to no workspace."""
+    """The key is missing or belongs to no workspace, and the route requires one."""
 
     code = "unknown_key"
 
@@ -47,7 +47,7 @@
 
 
 def host_of(headers: Headers) -> str:
-    """Return the host of a request, without its port."""
+    """Return the host of a request, without its port; empty for an IPv6 address."""
     for name, value in headers:
         if name == b"host":
             return value.decode("latin-1").lower().rpartition("]")[2].split(":")[0]
@@ -55,7 +55,7 @@
 
 
 def find_route(rules: Ruleset, host: str, target: str) -> Route:
-    """Return the route with the longest prefix that matches the path.
+    """Return the host's route with the longest prefix that matches the path.
 
     Raises:
         NoRouteError: No route matches.
@@ -74,10 +74,13 @@
 def find_workspace(
     rules: Ruleset, route: Route, request: CallerRequest
 ) -> Workspace | None:
-    """Return the workspace that a request's key belongs to, or None if anonymous.
+    """Return the workspace that a request's key belongs to, or None.
+
+    If the key is missing or unknown, the result is None on an anonymous route, or if no
+    workspaces are configured.
 
     Raises:
-        UnknownKeyError: The route requires a key, and no workspace has this one.
+        UnknownKeyError: The key is missing or unknown, and the route requires one.
     """
     workspace = rules.owners.get(request.key) if request.key else None
     if workspace is None and rules.workspaces and not route.anonymous:
@@ -99,11 +102,11 @@
 def match_request(
     rules: Ruleset, headers: Headers, target: bytes, request: CallerRequest
 ) -> Match:
-    """Match a request with the rules.
+    """Return the route, a service chosen by weight, the workspace and the priority.
 
     Raises:
         NoRouteError: No route matches.
-        UnknownKeyError: The key belongs to no workspace.
+        UnknownKeyError: The key is missing or unknown, and the route requires one.
     """
     route = find_route(rules, host_of(headers), target.decode("latin-1"))
     workspace = find_workspace(rules, route, request)
--- a/ebonyhold/forwarding/_types.py
+++ b/ebonyhold/forwarding/_types.py
@@ -21,7 +21,13 @@
 
 
 class RouteKind(Enum):
-    """Which requests of a route may be repeated."""
+    """Which requests of a route may be sent again after they may have run.
+
+    Attributes:
+        SAFE: All requests.
+        UNSAFE: None.
+        STREAM: Those whose route is resumable; the answer is a stream of events.
+    """
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -30,7 +36,7 @@
 
 @frozen
 class ServiceShare:
-    """A service among which a route is split, with its weight."""
+    """One of the services that a route chooses from, with its weight."""
 
     service: ServiceName
     weight: float
@@ -41,7 +47,7 @@
     """A route: which requests it matches, and how they are forwarded.
 
     Attributes:
-        name: Its name, for logs.
+        name: Its name, for logs and metrics.
         host: The host that it matches, in lower case, without a port.
         prefix: The path prefix that it matches; it ends with a slash.
         shares: The services with their weights; one entry if it is not split.
@@ -114,7 +120,8 @@
         head_bytes: Maximum size of a request head.
         body_bytes: Maximum size of a request body.
         head_timeout: Maximum time from the first byte of a head to its end, in seconds.
-        idle_timeout: Maximum time without a request on a connection, in seconds.
+        idle_timeout: Maximum time to wait for the start of a request or for more of its
+            body, in seconds.
     """
 
     head_bytes: int = 16_384
@@ -156,14 +163,15 @@
     """A backend server's entry in the server list.
 
     Attributes:
-        name: The name of the server's incarnation.
+        name: The name of the server.
         service: The service that it belongs to.
         address: Its host and port.
         domain: Its failure domain.
         slots: How many requests it runs at once.
         state: Whether it accepts new requests.
         started_at: When it started, in milliseconds since the epoch; 0 if unknown.
-        cold_for: How much longer it is slow after its start, as of the entry.
+        cold_for: For how many seconds after the entry was written it is still slow,
+            because it has just started.
     """
 
     name: BackendName
@@ -183,11 +191,13 @@
     Attributes:
         request_id: Identifies the caller's attempt; it is sent unchanged to the server.
         key: The key presented; empty if none.
-        patience: How long the caller waits for an answer; None if not stated.
+        patience: How long the caller waits for an answer, in seconds; None if not
+            stated.
         prompt_tokens: The length of the prompt; 0 if the request generates no text.
         most_output: Maximum number of tokens to generate.
         prompt_parts: The parts of the prompt, in order.
-        resume_after: The last event that the caller has; None for a new stream.
+        resume_after: The number of the last event that the caller has; None for a new
+            stream.
     """
 
     request_id: str
@@ -212,8 +222,9 @@
         backend: The intended server; another one at its address declines the request.
         workspace: The workspace to charge; empty for anonymous requests.
         priority: The priority; 0 is the most urgent.
-        time_left: How long the server may work on the request.
-        resume_after: The last event that was delivered; None for a new stream.
+        time_left: How long the server may work on the request, in seconds.
+        resume_after: The number of the last event sent to the caller; None if the
+            attempt does not resume a stream that this router has begun.
     """
 
     backend: BackendName
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -15,25 +15,27 @@
 RESIDENT_WORK = 0.25
 """Load that each token of a request in flight adds, in equivalent unread prompt tokens.
 
-The token occupies memory until the request ends. A server that runs out of memory
+Each token occupies memory until the request ends. A server that runs out of memory
 preempts requests and reads their prompts again.
 """
 
 CACHED_FOR: Seconds = 10.0
 """How long a server is assumed to cache a shared prompt part that it was sent.
 
-Its memory holds the prompts of about a minute, and it evicts the least recently used.
+A server's memory holds the prompts of about a minute; the least recently used prompts
+are evicted.
 """
 
 MAX_KEYS = 1024
-"""Shared prompt parts whose last use is remembered per server."""
+"""Maximum number of shared prompt parts whose last use is stored per server."""
 
 
 def sharing_key(request: CallerRequest) -> str:
     """Return the identifier of the prompt part that ends the shared prefix.
 
     The last part belongs to a single request or session; the one before it ends the
-    longest prefix that other requests have too.
+    longest prefix that other requests have too. A single part counts as shared; without
+    parts the result is empty.
     """
     parts = request.prompt_parts
     if not parts:
@@ -42,12 +44,12 @@
 
 
 def shared_tokens(request: CallerRequest) -> Tokens:
-    """Return the number of prompt tokens in the shared prefix."""
+    """Return the number of tokens in all prompt parts but the last."""
     return sum(tokens for _, tokens in request.prompt_parts[:-1])
 
 
 def prompt_size(request: CallerRequest) -> Tokens:
-    """Return the number of prompt tokens, from the parts if no total is given."""
+    """Return the larger of the stated prompt tokens and the sum of its parts."""
     parts = sum(tokens for _, tokens in request.prompt_parts)
     return max(request.prompt_tokens, parts)
 
@@ -58,7 +60,7 @@
 
     Attributes:
         unread: Prompt tokens that the server may still have to read.
-        resident: Maximum number of tokens of all requests in flight.
+        resident: Maximum number of prompt and output tokens of all requests in flight.
         sent: When the server was last sent each shared prompt part.
     """
 
@@ -68,7 +70,7 @@
 
     @property
     def waiting(self) -> float:
-        """The load that a new prompt has to wait for, in prompt tokens to be read."""
+        """The load ahead of a new prompt, in prompt tokens to be read."""
         return self.unread + self.resident * RESIDENT_WORK
 
     def has_cached(self, key: str, now: Seconds) -> bool:
@@ -76,11 +78,11 @@
         return now - self.sent.get(key, -CACHED_FOR) < CACHED_FOR
 
     def begin(self, request: CallerRequest, now: Seconds) -> RequestWork:
-        """Add a request's load; end the returned object to remove it."""
+        """Add a request's load; call `end` on the returned object to remove it."""
         key = sharing_key(request)
         size = prompt_size(request)
-        kept = shared_tokens(request) if key and self.has_cached(key, now) else 0
-        work = RequestWork(self, max(0, size - kept), size + request.most_output)
+        cached = shared_tokens(request) if key and self.has_cached(key, now) else 0
+        work = RequestWork(self, max(0, size - cached), size + request.most_output)
         self.unread += work.unread
         self.resident += work.resident
         if key:
@@ -88,7 +90,7 @@
         return work
 
     def record_sent(self, key: str, now: Seconds) -> None:
-        """Remember a shared prompt part, and forget the least recently used one."""
+        """Store the time of a shared prompt part; above MAX_KEYS, drop the oldest."""
         self.sent.pop(key, None)
         self.sent[key] = now
         if len(self.sent) > MAX_KEYS:
@@ -102,7 +104,7 @@
     Attributes:
         server: The load of the server that the request was sent to.
         unread: Prompt tokens of the request that count as not read yet.
-        resident: Maximum number of tokens of the request.
+        resident: Maximum number of prompt and output tokens of the request.
     """
 
     server: ServerWork
@@ -110,7 +112,7 @@
     resident: Tokens
 
     def mark_read(self) -> None:
-        """Record that the prompt was read, because the answer has begun."""
+        """Remove the prompt from the unread tokens, because the answer has begun."""
         self.server.unread -= self.unread
         self.unread = 0
 
--- a/tests/forwarding/kit.py
+++ b/tests/forwarding/kit.py
@@ -1,4 +1,4 @@
-"""A router with scripted backend servers, over loopback sockets."""
+"""A router's forwarding with scripted backend servers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
     port: int = 0
 
     async def serve(self, stream: SocketStream) -> None:
-        """Serve one connection."""
+        """Run the script for each request of a connection until it closes."""
         self.connections += 1
         rest = b""
         try:
@@ -151,12 +151,12 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one chunk of a body; an empty chunk ends the body."""
+    """Return one chunk of a chunked body; a chunk without data ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def event(number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return the event of a stream with the given number."""
     return b"id: %d\ndata: t\n\n" % number
 
 
@@ -168,7 +168,7 @@
         port: The port for callers.
         forwarder: The router's forwarder.
         listener: The router's listener for callers.
-        ended: The route and outcome of each request that ended.
+        ended: The route and outcome of each request that has ended.
     """
 
     port: int
@@ -184,7 +184,7 @@
 
 
 async def read_all(stream: SocketStream) -> bytes:
-    """Return the bytes received until the connection ends, or for 3 s."""
+    """Return the bytes received until the connection ends, but at most for 3 s."""
     data = b""
     with anyio.move_on_after(3.0):
         while True:
@@ -202,7 +202,7 @@
     extra: str = "",
     close: bool = True,
 ) -> bytes:
-    """Return a caller's request."""
+    """Return a caller's request; with ``close``, it asks to close the connection."""
     length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
     end = "Connection: close\r\n" if close else ""
     return (
@@ -229,7 +229,7 @@
 async def rig(
     *servers: Server, hold: UnlimitedHold | None = None, extra_retries: float = 50.0
 ) -> AsyncIterator[Rig]:
-    """Run a router with backend servers."""
+    """Run a router with backend servers, and yield it once it accepts connections."""
     table = BackendTable()
     ended: list[tuple[str, str]] = []
     async with anyio.create_task_group() as tasks:
@@ -246,7 +246,7 @@
             retries=FleetRetries(RetryRules(0.2, extra_retries, 10.0), lambda: 1),
             rules=rules,
             purse=lambda workspace: hold,
-            ended=lambda name, outcome, length: ended.append((name, outcome)),
+            ended=lambda name, outcome, duration: ended.append((name, outcome)),
         )
         port = free_port()
         callers = CallerListener(
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -40,13 +40,13 @@
 
 
 async def declines(server: Server, stream: SocketStream, head: str) -> None:
-    """State that the request did not run."""
+    """Refuse a request for lack of capacity, and state that it did not run."""
     full = "503 Service Unavailable"
     await stream.send(answer(head, b"", full, "X-Ebonyhold-Not-Executed: 1\r\n"))
 
 
 async def moved(server: Server, stream: SocketStream, head: str) -> None:
-    """State that another server has the address."""
+    """Refuse a request because another server has the address now."""
     await stream.send(answer(head, b"", "421 Misdirected Request"))
 
 
@@ -78,13 +78,13 @@
 
 
 async def stray_first(server: Server, stream: SocketStream, head: str) -> None:
-    """Send another answer to an earlier request before the right one."""
+    """Send an answer to another request first, and then the right one."""
     other = answer(head, b"not yours").replace(b"r1", b"r0", 1)
     await stream.send(other + answer(head))
 
 
 async def unframed(server: Server, stream: SocketStream, head: str) -> None:
-    """Answer without a content length, and close the connection."""
+    """Answer without a content length; the close of the connection ends the body."""
     await stream.send(answer(head, b"ok").replace(b"Content-Length: 2\r\n", b""))
     await stream.aclose()
 
@@ -126,7 +126,7 @@
 
 
 async def test_declined_request_gets_retry_after() -> None:
-    """A request that the only server declines is refused with Retry-After."""
+    """A request is refused with Retry-After if the only server declines it."""
     async with rig(Server("bad", declines)) as router:
         got = await router.ask(request("/unsafe/x"))
     assert got.startswith(b"HTTP/1.1 503 ")
@@ -161,7 +161,7 @@
 async def test_caller_disconnect_cancels_the_attempt() -> None:
     """A caller closes its connection while a server works on its request.
 
-    The router then closes the server's connection, so that the server stops too.
+    The router then closes its connection to the server, which ends the work there too.
     """
     server = Server("slow", silent)
     async with rig(server) as router:
@@ -188,8 +188,8 @@
 async def test_an_early_answer_to_a_large_body() -> None:
     """A server answers before it has read a long body.
 
-    The rest of the body is still sent, so that the server cannot take the next request
-    on the connection for a part of it.
+    The rest of the body is still sent. Otherwise the server would read the next request
+    on the connection as a part of this body.
     """
 
     async def serve(server: Server, stream: SocketStream, head: str) -> None:
@@ -241,7 +241,10 @@
 
 
 async def test_a_stream_that_cannot_resume_is_cut() -> None:
-    """The caller's answer has no regular end, which shows that the rest is missing."""
+    """The server of a stream fails, and the route does not allow resuming.
+
+    The caller's answer has no regular end, which shows that the rest is missing.
+    """
     bad, fine = Server("bad", broken_stream), Server("fine", whole_stream)
     async with rig(bad, fine) as router:
         router.forwarder.backends.entries["fine"].in_flight = 9
@@ -294,8 +297,8 @@
 async def test_number_out_of_range_is_ignored(script: Script, path: str) -> None:
     """Guards against a router that exits because of a number in a server's answer.
 
-    Python refuses to convert a number of this length, and the error ended the task
-    group of the process. The number is ignored now, and the answer passed on.
+    Python refuses to convert a number of this length, and an unhandled error would end
+    the task group of the process.
     """
     async with rig(Server("odd", script)) as router:
         for _ in range(2):
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -30,7 +30,7 @@
 LONG_HEAD = request("/safe/x", extra=f"A: {'a' * 3000}\r\n")
 
 HUGE = "9" * 400
-"""A number beyond the range of a float, in a head of permitted size."""
+"""A number beyond the range of a float, short enough for the limit of a head."""
 
 REFUSALS = [
     (request("/none/x"), 404),
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize(("sent", "status"), REFUSALS)
 async def test_refusals(sent: bytes, status: int) -> None:
-    """Requests with errors are refused with the right status."""
+    """Invalid, unauthorized and slow requests are refused with the right status."""
     async with rig(Server("one", good)) as router:
         got = await router.ask(sent)
     assert got.startswith(f"HTTP/1.1 {status} ".encode()), got
@@ -72,7 +72,7 @@
     [(BudgetExhaustedError("x"), 402), (BudgetUnreachableError("x"), 429)],
 )
 async def test_no_tokens(error: Exception, status: int) -> None:
-    """Budget errors are refused without sending the request to a server."""
+    """A request without enough tokens is refused and not sent to a server."""
     server = Server("one", good)
     async with rig(server, hold=RefusedHold(error)) as router:
         counts = "X-Ebonyhold-Token-Counts: 100,40\r\n"
@@ -121,9 +121,9 @@
 async def test_pipelined_requests_are_answered_while_draining() -> None:
     """Guards against dropping pipelined requests during a shutdown.
 
-    The answer to the first of three requests announced the close, and the others were
-    dropped: 26 pipelined requests of one shutdown got no answer. If bytes were unread
-    at the close, the connection was reset, and the first answer was lost too.
+    If the answer to the first of three requests announces the close, the others get no
+    answer. The close with unread bytes also resets the connection, and the first answer
+    may be lost too.
     """
     async with rig(Server("one", good)) as router:
         router.listener.start_draining()
@@ -152,7 +152,7 @@
 
 
 async def test_refusal_of_a_large_body_names_its_request() -> None:
-    """The refusal of a body that is too large contains the request's identifier."""
+    """The refusal of a request with too large a body contains its identifier."""
     async with rig(Server("one", good)) as router:
         whole = request("/safe/x", "POST", b"b" * 100_001)
         got = await router.ask(whole)
@@ -174,9 +174,8 @@
 async def test_late_request_is_answered_before_exit() -> None:
     """Guards against cutting off a request that arrives late in a shutdown.
 
-    It arrived on a new connection while the grants were being returned, and was cut off
-    60 ms later when the process exited: the process had checked for current requests
-    only once, just before.
+    A request can arrive on a new connection while the grants are being returned. If the
+    process has checked for current requests only before, it exits while this one runs.
     """
     served = []
 
@@ -211,9 +210,9 @@
 
 @pytest.mark.parametrize("at_once", [True, False], ids=["one piece", "two pieces"])
 async def test_waiting_for_a_turn_does_not_make_a_request_late(at_once: bool) -> None:
-    """The time a pipelined request is queued counts from its arrival.
+    """Guards against measuring the queueing time of a pipelined request too short.
 
-    Guards against counting it from the end of the answer before it.
+    It starts when the request arrives, not when the answer before it has ended.
     """
     waits: list[float] = []
 
--- a/tests/forwarding/test_calls.py
+++ b/tests/forwarding/test_calls.py
@@ -13,7 +13,7 @@
 from ebonyhold.forwarding import CallNotSentError, HttpCalls, Outbound
 
 pytestmark = pytest.mark.anyio
-Conduct = Callable[[ByteStream], Awaitable[None]]
+Behaviour = Callable[[ByteStream], Awaitable[None]]
 
 REQUEST = Outbound(b"POST", b"/rows", [], b"{}", True)
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
@@ -26,14 +26,14 @@
 
 
 @asynccontextmanager
-async def calling(conduct: Conduct) -> AsyncIterator[HttpCalls]:
-    """Yield calls to a loopback server with the given behaviour."""
+async def calling(serve: Behaviour) -> AsyncIterator[HttpCalls]:
+    """Yield an HttpCalls to a loopback server that handles connections by ``serve``."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
     calls = HttpCalls(("127.0.0.1", port))
     async with listener, anyio.create_task_group() as tasks:
         calls.start(tasks)
-        tasks.start_soon(listener.serve, conduct)
+        tasks.start_soon(listener.serve, serve)
         yield calls
         tasks.cancel_scope.cancel()
 
@@ -64,18 +64,18 @@
 
 
 @pytest.mark.parametrize(
-    "conduct", [close_unanswered, cut_short, send_garbage, never_answer]
+    "serve", [close_unanswered, cut_short, send_garbage, never_answer]
 )
-async def test_sent_call_is_never_reported_as_not_sent(conduct: Conduct) -> None:
-    """A call whose answer is lost may have had an effect."""
-    async with calling(conduct) as calls:
+async def test_sent_call_is_never_reported_as_not_sent(serve: Behaviour) -> None:
+    """A call without a complete answer may have had an effect, so it counts as sent."""
+    async with calling(serve) as calls:
         with pytest.raises(BackendLostError) as caught:
             await calls.call(REQUEST, 0.1)
         assert not isinstance(caught.value, CallNotSentError)
 
 
 async def test_no_connection_means_not_sent() -> None:
-    """A call without a connection raises CallNotSentError."""
+    """A call raises CallNotSentError if the connection is refused."""
     async with calling(answer_all) as calls:
         pass
     async with anyio.create_task_group() as tasks:
@@ -95,14 +95,14 @@
 
 
 async def test_late_answer_is_not_used_for_the_next_call() -> None:
-    """A call times out, and its answer arrives while the next call is waiting."""
-    seen: list[bytes] = []
+    """The late answer to a call that timed out is not returned by the next call."""
+    received: list[bytes] = []
 
     async def answer_the_first_late(stream: ByteStream) -> None:
-        seen.append(await stream.receive())
+        received.append(await stream.receive())
         await anyio.sleep(0.15)
         with suppress(anyio.BrokenResourceError):
-            await stream.send(OK.replace(b"ok", b"no") if len(seen) == 1 else OK)
+            await stream.send(OK.replace(b"ok", b"no") if len(received) == 1 else OK)
 
     async with calling(answer_the_first_late) as calls:
         with pytest.raises(BackendLostError):
@@ -114,9 +114,9 @@
 async def test_large_answer() -> None:
     """Guards against a size limit below the largest regular answer.
 
-    Ten versions of a large configuration come in one answer of 2 MB. With a lower
-    limit, the reader requested the same changes again and again, and kept an old
-    configuration until the history that it needed was gone.
+    Ten versions of a large configuration are one answer of 2 MB. With a lower limit, a
+    router's requests for these changes would fail each time, and it would keep an old
+    configuration.
     """
     body = b"x" * 2_000_000
 
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -67,7 +67,7 @@
 
 
 def test_the_longest_prefix_wins() -> None:
-    """Of two matching routes, the one with the longer prefix is used."""
+    """A path below the prefixes of two routes matches the route with the longer one."""
     base = CONFIGURATION["routes"][0]
     longer = {**base, "name": "long", "prefix": "/a/b/"}
     found = read_configuration(encode({**CONFIGURATION, "routes": [base, longer]}))
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize(("chance", "name"), [(0.0, "s"), (0.89, "s"), (0.91, "t")])
 def test_a_split_route(chance: float, name: str) -> None:
-    """A split route chooses its service by weight."""
+    """A route with weights 90 and 10 uses its first service for chances below 0.9."""
     split = route("x", rules().routes["h.example"]["/safe/"].kind)
     shares = (ServiceShare("s", 90), ServiceShare("t", 10))
     object.__setattr__(split, "shares", shares)
@@ -91,7 +91,7 @@
 
 
 def test_requests_that_share_a_prompt_go_to_one_server() -> None:
-    """All routers choose the same server without coordinating.
+    """Routers choose the same server for a shared prompt without coordinating.
 
     Otherwise every server would read the same long prompt.
     """
@@ -103,7 +103,7 @@
 
 
 def test_a_popular_prompt_does_not_overload_its_server() -> None:
-    """Requests with one popular prompt are spread evenly when there are many."""
+    """40 requests with one shared prompt are spread nearly evenly over 4 servers."""
     servers = entries(0, 0, 0, 0)
     for number in range(40):
         request = shared(f"r{number}")
@@ -123,9 +123,8 @@
 def test_a_short_prompt_does_not_wait_behind_a_long_one() -> None:
     """Guards against choosing a server by its number of requests alone.
 
-    Requests with short prompts waited for a second at a server that was reading a
-    prompt of 54,000 tokens. It had no more requests than the others, so every router
-    went on sending to it.
+    A server that is reading a prompt of 54,000 tokens may have no more requests than
+    the others, but a short prompt would wait there for a second.
     """
     servers = entries(0, 0, 0, 0)
     first = choose(prompt("long", 54_000), servers, "a", 0.0)
@@ -148,7 +147,7 @@
 def test_prompt_moves_when_reading_it_elsewhere_costs_less(
     size: int, stays: bool
 ) -> None:
-    """The first server has 1,200 prompt tokens cached; the other must read them."""
+    """One server has 1,200 tokens of the prompt cached; the other must read them."""
     servers = entries(0, 0)
     first = choose(prompt("r", 90), servers, "a", 0.0)
     first.work.begin(CallerRequest("x", prompt_tokens=size), 0.0)
@@ -156,10 +155,9 @@
 
 
 def test_recently_sent_prompt_counts_as_cached() -> None:
-    """A prompt stays at a server that has recently read it.
+    """A prompt is sent again to a server that it was sent to in the last 10 s.
 
-    Once that server no longer counts as having it cached, the prompt goes back to the
-    first one.
+    Later it goes to the first server in rendezvous hashing order again.
     """
     servers = entries(0, 0)
     first = choose(prompt("r", 90), servers, "a", 0.0)
@@ -171,7 +169,7 @@
 
 
 def test_work_ends_with_its_request() -> None:
-    """No load is left when all requests have ended, even if ended twice."""
+    """No load is left when all requests have ended, even if `end` is called twice."""
     work = ServerWork()
     begun = [work.begin(prompt(f"r{n}", 90 * n), 0.0) for n in range(4)]
     assert work.waiting > 0
@@ -183,7 +181,7 @@
 
 
 def test_remembered_shared_parts_are_limited() -> None:
-    """Each caller may send prompt parts of its own, so their number is limited."""
+    """At most MAX_KEYS prompt parts are stored, since callers may send any number."""
     work = ServerWork()
     for number in range(MAX_KEYS + 50):
         work.begin(
@@ -193,7 +191,7 @@
 
 
 def test_plain_requests_prefer_the_own_failure_domain() -> None:
-    """Plain requests go to another failure domain only when the own one is busier."""
+    """Requests without prompt parts leave the own failure domain if it is busier."""
     servers = entries(0, 0, 0, 0)
     plain = CallerRequest("r")
     assert choose(plain, servers, "a", 0.0).backend.domain == "a"
@@ -215,7 +213,7 @@
 
 
 def test_full_server_is_skipped_for_a_while() -> None:
-    """A full server is skipped for a while, unless all servers are full."""
+    """A server is skipped until `full_until`, unless all servers are full."""
     table = BackendTable()
     table.update(backend("s1"))
     table.update(backend("s2"))
@@ -227,7 +225,7 @@
 
 
 def test_an_unreachable_server_is_tried_again_soon() -> None:
-    """An unreachable server is usable again within 3 s."""
+    """A server whose connection failed is not usable at first, but is so after 3 s."""
     table = BackendTable()
     for name in ("s1", "s2", "s3"):
         table.update(backend(name))
@@ -238,7 +236,7 @@
 
 @pytest.mark.parametrize("routers", [1, 9, 80])
 def test_the_fleet_keeps_the_retry_budget(routers: int) -> None:
-    """All requests fail at once, and each router would retry every one.
+    """All requests fail, and each router tries to retry every one.
 
     Together the routers stay within the shared budget without coordinating.
     """
@@ -254,7 +252,7 @@
 
 
 def test_retries_are_allowed_again_after_the_window() -> None:
-    """The budget is available again after the window has passed."""
+    """All 7 retries of a window of 10 s are used; after 10 s, one is allowed again."""
     retries = FleetRetries(RetryRules(0.0, 10.0, 10.0), lambda: 1)
     assert sum(retries.take("svc", 0.0) for _ in range(20)) == 7
     assert not retries.take("svc", 9.9)
--- a/tests/forwarding/test_departure.py
+++ b/tests/forwarding/test_departure.py
@@ -46,16 +46,15 @@
 ) -> None:
     """Guards against accepting streams that cannot end before the shutdown does.
 
-    Streams were accepted 3.2 to 4.1 s after the signal and cut at 7.1 s. The estimate
-    was the longest of the last 64 durations, which a stream can exceed; after a
-    restart, it was the longest of only two.
+    Such a stream is cut. It is accepted if the estimate is too short: a stream can take
+    longer than the last 64, and after a restart only a few durations are recorded.
     """
     late = LateRequest("r", "stream", priced, left, estimate)
     assert accepts_late(stage, late) is taken
 
 
 @pytest.mark.parametrize(
-    ("stage", "priced", "waited", "left", "shown", "taken"),
+    ("stage", "priced", "waited", "left", "longest", "taken"),
     [
         (Stage.LEAVING, False, 1.3, 2.9, 0.2, True),
         (Stage.LEAVING, True, 1.3, 2.9, 0.2, True),
@@ -73,17 +72,21 @@
         "came late",
         "came late and waited",
         "took longer before",
-        "nothing shown",
+        "no durations",
         "returning",
         "returning, priced",
         "over",
     ],
 )
-def test_request_that_waited_for_its_turn(
-    stage: Stage, priced: bool, waited: float, left: float, shown: float, taken: bool
+def test_short_request_queued_behind_a_stream(
+    stage: Stage, priced: bool, waited: float, left: float, longest: float, taken: bool
 ) -> None:
-    """Guards against refusing short requests that were queued behind a stream."""
-    late = LateRequest("r", "book", priced, left, 3.0, waited, shown)
+    """Guards against refusing a short request that was queued behind a stream.
+
+    A request that arrived in time is accepted if the longest recorded duration still
+    fits into the time left, even if the estimate of 3 s no longer does.
+    """
+    late = LateRequest("r", "book", priced, left, 3.0, waited, longest)
     assert accepts_late(stage, late) is taken
 
 
@@ -97,14 +100,14 @@
     ],
     ids=["none", "one", "longest", "stream"],
 )
-def test_what_a_route_has_shown(
+def test_longest_recorded_duration(
     kind: RouteKind, lengths: list[float], low: float, high: float
 ) -> None:
     """The longest duration counts even if few were recorded, but never for streams."""
     times = RouteTimes()
     for length in lengths:
         times.record("a", length)
-    assert low <= times.shown(route("a", kind, timeout=20.0)) <= high
+    assert low <= times.longest(route("a", kind, timeout=20.0)) <= high
 
 
 @pytest.mark.parametrize(
@@ -143,16 +146,16 @@
 
 
 def test_recorded_routes_are_limited() -> None:
-    """Each configuration may name new routes, and memory must not grow for months."""
+    """Durations of at most 1,000 routes are kept, so that memory does not grow."""
     times = RouteTimes()
     for number in range(3_000):
         times.record(f"route-{number}", 0.1)
-    assert len(times.lengths) == 1_000
-    assert "route-2999" in times.lengths
+    assert len(times.durations) == 1_000
+    assert "route-2999" in times.durations
 
 
 async def test_serving_router_accepts_everything() -> None:
-    """Requests are neither refused nor judged before a shutdown."""
+    """Before a shutdown, a request is accepted and not counted as late."""
     judged: list[bool] = []
     departure = Departure(judged=judged.append)
     assert departure.admits("r", STREAM, priced=True, received_at=anyio.current_time())
@@ -160,7 +163,7 @@
 
 
 async def test_late_requests_are_counted() -> None:
-    """Accepted and refused late requests are counted and reported."""
+    """Accepted and refused late requests are counted and passed to `judged`."""
     judged: list[bool] = []
     departure = Departure(judged=judged.append)
     departure.begin(anyio.current_time() + 5.0)
@@ -175,10 +178,10 @@
 
 @pytest.mark.parametrize("late", [False, True], ids=["open before", "taken late"])
 async def test_requests_end_by_the_last_answer_time(late: bool) -> None:
-    """Guards against closing the connection of a stream that outlasts the shutdown.
+    """Guards against requests that are still running when the router exits.
 
-    The request ends at the time of the last answer instead. If no part of an answer was
-    sent by then, the caller can still get an error that states what happened.
+    A request is cancelled at the time of the last answer, whether it began before or
+    after the signal. If no part of its answer was sent, the caller then gets an error.
     """
     departure = Departure()
     began = anyio.current_time()
@@ -194,4 +197,4 @@
         with departure.bounded(began + 60.0):
             await anyio.sleep(30.0)
     assert anyio.current_time() - began == pytest.approx(2.0, abs=0.01)
-    assert departure.open == set()
+    assert departure.scopes == set()
--- a/tests/forwarding/test_faults.py
+++ b/tests/forwarding/test_faults.py
@@ -32,17 +32,17 @@
     """Answers some requests, and raises unexpected errors for others.
 
     Attributes:
-        seen: The errors that the guard has caught.
+        caught: The errors that the guard has caught.
         go: Set when the waiting requests may be answered.
     """
 
-    seen: list[Exception] = field(factory=list)
+    caught: list[Exception] = field(factory=list)
     go: anyio.Event = field(factory=anyio.Event)
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Handle a request according to its target."""
+        """Wait, fail, or fail after the head of an answer, according to the target."""
         del body
         if head.target == b"/wait":
             await self.go.wait()
@@ -55,13 +55,13 @@
         await connection.answer(200, [], b"ok")
 
     async def guard(self, run: Run) -> bool:
-        """Catch errors as a supervisor does."""
-        before = len(self.seen)
+        """Catch errors as the router does; return whether there were none."""
+        before = len(self.caught)
         try:
             await run()
         except* (ValueError, KeyError) as group:
-            self.seen += [e for e in group.exceptions if isinstance(e, Exception)]
-        return len(self.seen) == before
+            self.caught += [e for e in group.exceptions if isinstance(e, Exception)]
+        return len(self.caught) == before
 
 
 @pytest.mark.parametrize(
@@ -76,8 +76,8 @@
 ) -> None:
     """Guards against an internal error that ends all connections of a router.
 
-    The error went from the connection's task up to the task group of the process. The
-    request may have run, so its answer must not state that it has not.
+    Without the guard, the error of one connection's task would end the task group of
+    the process. The request may have run, so its answer must not state that it has not.
     """
     faults = Faults()
     guard: Guard = faults.guard
@@ -97,20 +97,20 @@
             assert (await read_all(other)).startswith(b"HTTP/1.1 200 ")
         tasks.cancel_scope.cancel()
     assert all(part in got for part in answers), got
-    assert len(faults.seen) == 1
+    assert len(faults.caught) == 1
 
 
 class FailingStream:
     """A connection that raises an unexpected error."""
 
-    async def receive(self, most: int) -> bytes:
-        raise RuntimeError(f"odd after {most}")
+    async def receive(self, max_bytes: int) -> bytes:
+        raise RuntimeError(f"odd after {max_bytes}")
 
 
 async def test_a_reader_does_not_wait_for_a_reading_task_that_failed() -> None:
-    """A failed reading task wakes its reader.
+    """A task that reads the socket fails, and wakes the task that waits for bytes.
 
-    Otherwise the reader's request would hang until its deadline.
+    Otherwise the request of the waiting task would hang until its deadline.
     """
     inbox = Inbox(FailingStream())  # type: ignore[arg-type]
     with pytest.raises(RuntimeError, match="odd"):
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to servers, while many of them end at once."""
+"""Pooled connections to servers that end, move or fail during their use."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     streams: set[SocketStream] = field(factory=set)
 
     async def serve(self, stream: SocketStream) -> None:
-        """Keep a connection open until either side closes it."""
+        """Keep a connection open until bytes arrive or either side closes it."""
         self.streams.add(stream)
         try:
             async with stream:
@@ -57,14 +57,14 @@
             self.streams.discard(stream)
 
     async def close_all(self) -> None:
-        """Close all connections."""
+        """Close all open connections, and return when all are closed."""
         async with anyio.create_task_group() as tasks:
             for stream in list(self.streams):
                 tasks.start_soon(stream.aclose)
 
 
 async def use(pool: ChannelPool, port: int, rng: random.Random) -> None:
-    """Take connections from the pool and return them, forever."""
+    """Take connections from the pool and return them, until cancelled."""
     while True:
         channel = await pool.get("i-1", (LOOPBACK, port))
         await anyio.sleep(rng.choice((0, 0, 0.001, 0.003)))
@@ -82,10 +82,9 @@
 ) -> None:
     """Guards against a sweep that fails when several pooled connections end at once.
 
-    The sweep closed the unused connections of a list one after the other. While it
-    awaited a close, a request took a later connection of the list, and the sweep then
-    failed with "list.remove(x): x not in list". That ended the router's process with
-    all its requests, just after a server or the network to it came back.
+    While the sweep awaits the close of one unused connection, a request can take
+    another one that the sweep is to remove. If the sweep then fails with
+    "list.remove(x): x not in list", it ends the router's process with all its requests.
     """
     monkeypatch.setattr(_pool, "SWEEP", 0.001)
     rng = random.Random(seed)
@@ -121,14 +120,14 @@
         tasks.start_soon(listener.serve, server.serve)
         pool = ChannelPool(tasks)
         channels = [await pool.get("i-1", (LOOPBACK, port)) for _ in range(4)]
-        seen: list[int] = []
+        pooled: list[int] = []
         done = anyio.Event()
         close = Channel.close
 
         async def watched(channel: Channel) -> None:
-            seen.append(len(pool.unused.get("i-1", ())))
+            pooled.append(len(pool.unused.get("i-1", ())))
             await close(channel)
-            if len(seen) == len(channels):
+            if len(pooled) == len(channels):
                 done.set()
 
         monkeypatch.setattr(Channel, "close", watched)
@@ -138,14 +137,14 @@
         with anyio.fail_after(1.0):
             await done.wait()
         tasks.cancel_scope.cancel()
-    assert seen == [0] * len(channels)
+    assert pooled == [0] * len(channels)
 
 
 async def test_moved_server_is_reached_at_its_new_address() -> None:
     """Guards against sending a request to a server's former address.
 
-    A connection was pooled under the server's name while its address changed. The next
-    request used it, although the address may belong to an engine of another service.
+    A connection may be in the pool while the address of its server changes. The former
+    address may then belong to an engine of another service.
     """
     async with anyio.create_task_group() as tasks:
         pool = ChannelPool(tasks)
@@ -168,8 +167,8 @@
 async def test_close_ends_a_reader_with_a_full_buffer() -> None:
     """Guards against a reading task that never ends.
 
-    A request was abandoned while its server sent more than the buffer holds. The task
-    waited forever for the buffer to be read, and leaked a quarter of a megabyte.
+    A request is abandoned while its server sends more than the buffer holds. A task
+    that then waits for the buffer to be read would leak a quarter of a megabyte.
     """
 
     async def send_forever(stream: SocketStream) -> None:
@@ -192,10 +191,10 @@
 
 @define(eq=False)
 class UnreachablePool:
-    """A pool whose connections always fail, after the server's entry has changed.
+    """A pool whose connections always fail; the server list may change before.
 
     Attributes:
-        meanwhile: Called before the connection fails.
+        meanwhile: Called before a connection fails.
     """
 
     meanwhile: Callable[[], None]
@@ -206,20 +205,20 @@
         raise BackendLostError(f"no connection to {name} at {address}")
 
 
-@pytest.mark.parametrize("after", ["another life", "gone", "the same life"])
-async def test_failure_counts_only_against_its_incarnation(after: str) -> None:
-    """Guards against counting a failed connection against another incarnation.
+@pytest.mark.parametrize("after", ["restarted", "gone", "unchanged"])
+async def test_failure_counts_only_against_the_current_entry(after: str) -> None:
+    """Guards against counting a failed connection against a restarted server.
 
-    A server restarts or is removed while a request still connects to it. The failure
-    ejected the healthy new incarnation, or left a record of the removed server that was
-    never deleted.
+    A server restarts or is removed while a request still connects to it. If the failure
+    were counted, it would eject the healthy restarted server, or leave a record of the
+    removed server that is never deleted.
     """
     table = BackendTable()
     old = Server("i-1", good).backend()
     table.update(old)
 
     def meanwhile() -> None:
-        if after == "another life":
+        if after == "restarted":
             table.update(evolve(old, started_at=2))
         if after == "gone":
             table.remove("i-1", 0.0, False)
@@ -233,6 +232,6 @@
     )
     result = await attempt.run()
     assert result.end is AttemptEnd.NOT_SENT
-    assert bool(table.ejector.records) is (after == "the same life")
+    assert bool(table.ejector.records) is (after == "unchanged")
     table.remove("i-1", 0.0, False)
     assert not table.ejector.records
