--- a/ebonyhold/forwarding/__init__.py
+++ b/ebonyhold/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwards callers' requests to backend servers without reading their bodies."""
+"""Forwards callers' requests to backend servers without parsing the request bodies."""
 
 from ebonyhold.forwarding._backends import BackendEntry, BackendTable
 from ebonyhold.forwarding._caller import CallerConnection, RequestHead
--- a/ebonyhold/forwarding/_attempt.py
+++ b/ebonyhold/forwarding/_attempt.py
@@ -39,13 +39,13 @@
 """Minimum time without data after which a stream is resumed at another server.
 
 Callers give up a stream after two seconds without an event. A busy but healthy engine
-sends an event in less than half of this time.
+sends events at intervals of less than half of this time.
 """
 
 TIMEOUT_TARGETS = 3.0
 """The timeout as a multiple of the route's target latency.
 
-It applies if it is longer than SAFE_TIMEOUT or STREAM_TIMEOUT.
+SAFE_TIMEOUT or STREAM_TIMEOUT applies instead if it is longer.
 """
 
 
@@ -168,7 +168,7 @@
         raise BackendLostError("too many answers to other requests")
 
     async def read_next_head(self, channel: Channel) -> AnswerHead:
-        """Read the next head; raise SilenceError on timeout."""
+        """Return the head of the next answer; raise SilenceError on timeout."""
         with anyio.move_on_after(self.answer_timeout()):
             return await channel.read_head()
         raise SilenceError("no answer in time")
@@ -253,7 +253,7 @@
         await self.exchange.connection.end()
 
     async def read_next_part(self, channel: Channel) -> bytes | None:
-        """Read the next part of a stream; raise SilenceError on timeout."""
+        """Return the next part or, at the end, None; raise SilenceError on timeout."""
         with anyio.move_on_after(self.answer_timeout()):
             return await channel.read_part()
         raise SilenceError("the stream stalled")
@@ -269,7 +269,7 @@
         return [e for e in events if e.number is None or e.number > last]
 
     def record_events(self, events: list[StreamEvent]) -> None:
-        """Count events that were sent to the caller, and store the last number."""
+        """Count events sent to the caller, and store the last event number."""
         exchange = self.exchange
         exchange.events += len(events)
         numbers = [event.number for event in events if event.number is not None]
@@ -289,7 +289,7 @@
 
 
 async def read_rest(channel: Channel, limit: int = MAX_WHOLE_ANSWER) -> bytes:
-    """Read the rest of an answer's body.
+    """Return the rest of an answer's body.
 
     Raises:
         BackendLostError: The body ended early, or is larger than ``limit`` bytes.
--- a/ebonyhold/forwarding/_backends.py
+++ b/ebonyhold/forwarding/_backends.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 LAPSE_GRACE: Seconds = 2.2
-"""How long a server is kept whose list entry is missing after an outage of the store.
+"""How long a server is kept if its list entry is missing after a store outage.
 
 Servers renew their entries within two seconds of the end of an outage. Without this
 grace period, a long outage would remove all running servers at once.
@@ -29,7 +29,7 @@
 """
 
 FULL_BACKOFF: Seconds = 0.15
-"""How long a server that declined a request is used only if no other is left."""
+"""How long a server that declined a request is avoided, unless no other is left."""
 
 
 @define(eq=False)
@@ -41,7 +41,7 @@
         in_flight: Number of this router's requests that it is processing.
         work: Estimated load of those requests.
         full_until: Until when it counts as full, after it declined a request.
-        moved: Whether another server answers at its address.
+        moved: Whether an answer stated that another server has its address.
         drop_at: When to remove it, if its list entry is missing after an outage of the
             store; None otherwise.
     """
@@ -96,8 +96,8 @@
     def remove(self, name: BackendName, now: Seconds, after_outage: bool) -> None:
         """Remove a server that is no longer listed.
 
-        After an outage of the store, a ready server is kept for LAPSE_GRACE first: it
-        may be running, but unable to renew its list entry during the outage.
+        After an outage of the store, a ready server is kept for LAPSE_GRACE first,
+        because running servers could not renew their list entries during the outage.
         """
         entry = self.entries.get(name)
         if entry is None:
--- a/ebonyhold/forwarding/_caller.py
+++ b/ebonyhold/forwarding/_caller.py
@@ -91,7 +91,10 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the fields except CONNECTION_FIELDS and those that Connection names."""
+    """Return the fields without those that apply to one connection only.
+
+    These are CONNECTION_FIELDS and the fields that a Connection field names.
+    """
     named = {
         token.strip().lower()
         for name, value in headers
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -39,14 +39,14 @@
 """
 
 KEEP_ALIVE = re.compile(rb"timeout=(\d{1,9})")
-"""The keep-alive timeout of a server, in seconds.
+"""Matches the keep-alive timeout of a server, in seconds.
 
 Only the first nine digits of a longer number are read, because Python refuses to
 convert numbers of several thousand digits. No connection is kept for that long.
 """
 
 LARGE_BODY = 32_768
-"""Size of a whole request, in bytes, above which its answer is read while it is sent.
+"""Size in bytes above which a request is still being sent while its answer is read.
 
 A server may answer before it has read the body. If the request were sent first,
 both sides could block, each waiting for the other to read.
@@ -81,7 +81,7 @@
     has_body: bool
 
     def event(self) -> h11.Request:
-        """Return the head as an h11 event, with the length of a body."""
+        """Return the head as an h11 event, with a content length if it has a body."""
         fields = list(self.headers)
         if self.has_body:
             fields.append((b"content-length", b"%d" % len(self.body)))
--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_departure.py
@@ -189,10 +189,10 @@
 
     @contextmanager
     def bounded(self, deadline: Seconds) -> Iterator[None]:
-        """Leave the enclosed block at `deadline` or, if earlier, `last_answer_at`.
+        """Cancel the enclosed block at `deadline` or, if earlier, at `last_answer_at`.
 
-        No exception is raised, so the caller of a request that would outlast the
-        shutdown can still be sent an error, as at the request's own deadline.
+        The block is then left without an exception, so that the caller of a request
+        that would outlast the shutdown can still be sent an error.
         """
         cutoff = min(deadline, self.last_answer_at)
         with anyio.CancelScope(deadline=cutoff) as scope:
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -114,7 +114,7 @@
 
     @property
     def attempts_left(self) -> bool:
-        """Whether the route allows another attempt."""
+        """Whether the request was sent less often than its route allows."""
         return self.sends < self.match.route.most_attempts
 
     async def deliver(self, answer: WholeAnswer) -> None:
--- a/ebonyhold/forwarding/_forwarder.py
+++ b/ebonyhold/forwarding/_forwarder.py
@@ -53,7 +53,7 @@
 
 
 class RequestHold(Protocol):
-    """Sets aside tokens of one workspace's budget for a request."""
+    """Sets aside tokens of one workspace's budget for requests."""
 
     async def hold(self, amount: Tokens, request: RequestId) -> None:
         """Set tokens aside for a request.
@@ -119,7 +119,7 @@
         """Forward or refuse one request, and report its end to `ended`.
 
         A request whose headers are malformed is refused without a report. The outcome
-        is "left" if serving is cancelled, because the caller disconnected, or fails.
+        is "left" if the caller disconnects, which cancels this call, or on an error.
         """
         started = anyio.current_time()
         try:
@@ -195,7 +195,7 @@
     async def hold_and_forward(self, exchange: Exchange) -> str:
         """Hold a request's maximum cost, forward it, and charge the actual cost.
 
-        Without a priced workspace, the request is only forwarded.
+        No tokens are held if the request costs none or its workspace has no limit.
 
         Returns:
             The outcome.
@@ -223,8 +223,8 @@
     async def forward_in_time(self, exchange: Exchange) -> str:
         """Forward a request and return its outcome.
 
-        The request is given up ANSWER_MARGIN after its deadline, or at the end of a
-        shutdown if that is earlier.
+        The request is given up ANSWER_MARGIN after its deadline or, during a shutdown,
+        at the time of the last answer if that is earlier.
         """
         outcome = ""
         cutoff = exchange.deadline + ANSWER_MARGIN
@@ -239,7 +239,10 @@
         return outcome
 
     async def forward(self, exchange: Exchange) -> str:
-        """Send a request to servers in turn until one answers; return the outcome."""
+        """Send a request to servers in turn, and return the outcome.
+
+        This ends when an answer was passed on or the request is given up.
+        """
         while True:
             entry = self.next_entry(exchange)
             if isinstance(entry, Refusal):
@@ -273,7 +276,7 @@
         )
 
     def next_entry(self, exchange: Exchange) -> BackendEntry | Refusal:
-        """Return the next server to try, or the refusal if there is none."""
+        """Return the next server to try; a refusal if no server or time is left."""
         now = anyio.current_time()
         if exchange.deadline - now < MIN_TIME_LEFT:
             ran = exchange.may_have_run
--- a/ebonyhold/forwarding/_inbox.py
+++ b/ebonyhold/forwarding/_inbox.py
@@ -82,7 +82,7 @@
                 await self.taken.wait()
 
     def notify(self) -> None:
-        """Wake the tasks that wait for bytes; call `on_end` after the end."""
+        """Wake tasks that wait for bytes; call `on_end` if the connection has ended."""
         self.changed.set()
         self.changed = anyio.Event()
         if self.ended and self.on_end is not None:
--- a/ebonyhold/forwarding/_listener.py
+++ b/ebonyhold/forwarding/_listener.py
@@ -58,14 +58,14 @@
         identify: Returns the fields that identify a request in the router's answer.
         connections: The open connections.
         draining: Whether connections close after their next answers, for a shutdown.
-        shedding: Whether they do so to move callers to other routers for a while.
+        shedding: Whether connections close after their next answers, to shed load.
         working: Number of requests being answered.
         begun: Number of requests being read or answered.
         idle: Set when `begun` falls to 0, then replaced.
         empty: Set when the last connection has ended, then replaced.
         arriving: Number of connections accepted but not yet in `connections`.
         accepting: Cancel scope of accepting connections.
-        closed: Set when the listening socket is closed; None while there is none.
+        closed: Set when the listening socket is closed; None while none is open.
     """
 
     serve: Serve
@@ -128,7 +128,7 @@
         await self.handle(stream)
 
     async def handle(self, stream: ByteStream) -> None:
-        """Serve one connection until it ends; an error of its requests ends only it."""
+        """Serve one connection until it ends; an unexpected error ends no other one."""
         connection = CallerConnection(stream, self.limits())
         connection.last = self.draining or self.shedding
         self.connections.add(connection)
@@ -272,7 +272,7 @@
             connection.last = True
 
     def shed(self, shedding: bool) -> None:
-        """Set whether connections close after their next answers to shed load."""
+        """Start or stop shedding: closing each connection after its next answer."""
         if shedding is self.shedding:
             return
         self.shedding = shedding
--- a/ebonyhold/forwarding/_retries.py
+++ b/ebonyhold/forwarding/_retries.py
@@ -25,7 +25,7 @@
     Attributes:
         ratio: Retries allowed per request.
         extra: Retries allowed in addition to those, per window.
-        window: The period over which both are counted, in seconds.
+        window: The period for which requests and retries are counted, in seconds.
     """
 
     ratio: float
@@ -35,7 +35,7 @@
 
 @define
 class Window:
-    """Times of the requests and retries of one service within the window."""
+    """Times of the recent requests and retries of one service."""
 
     requests: deque[Seconds] = field(factory=deque)
     retries: deque[Seconds] = field(factory=deque)
--- a/ebonyhold/forwarding/_routes.py
+++ b/ebonyhold/forwarding/_routes.py
@@ -47,7 +47,7 @@
 
 
 def host_of(headers: Headers) -> str:
-    """Return the host of a request, without its port; empty for an IPv6 address."""
+    """Return the host without its port; empty if missing or an IPv6 address."""
     for name, value in headers:
         if name == b"host":
             return value.decode("latin-1").lower().rpartition("]")[2].split(":")[0]
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -1,8 +1,8 @@
 """Estimates a server's load, as the number of prompt tokens that it has yet to read.
 
 Prompts differ in size by a factor of a hundred, and a server reads them one after the
-other, between the tokens that it generates. So a request's wait depends on the length
-of the prompts before it, not on their number.
+other while it also generates tokens. So the time that a request waits depends on the
+total length of the prompts before it, not on their number.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
         return self.unread + self.resident * RESIDENT_WORK
 
     def has_cached(self, key: str, now: Seconds) -> bool:
-        """Return whether the server probably has a shared prompt part in its cache."""
+        """Return whether the server was sent a shared prompt part within CACHED_FOR."""
         return now - self.sent.get(key, -CACHED_FOR) < CACHED_FOR
 
     def begin(self, request: CallerRequest, now: Seconds) -> RequestWork:
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -122,8 +122,8 @@
     """Guards against dropping pipelined requests during a shutdown.
 
     If the answer to the first of three requests announces the close, the others get no
-    answer. The close with unread bytes also resets the connection, and the first answer
-    may be lost too.
+    answer. Closing with unread bytes also resets the connection, which can discard the
+    first answer.
     """
     async with rig(Server("one", good)) as router:
         router.listener.start_draining()
@@ -175,7 +175,7 @@
     """Guards against cutting off a request that arrives late in a shutdown.
 
     A request can arrive on a new connection while the grants are being returned. If the
-    process has checked for current requests only before, it exits while this one runs.
+    process checks for current requests only before that, it exits during this request.
     """
     served = []
 
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -28,7 +28,7 @@
 """Number of tasks that take and return connections."""
 
 CLOSES = 12
-"""How often the server closes all its connections in one run."""
+"""How often the server closes all its connections in one test."""
 
 
 @pytest.fixture
