--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_departure.py
@@ -52,7 +52,7 @@
 
 
 DEFAULT_ESTIMATE: Seconds = 3.0
-"""The duration assumed for a route with too few recorded requests.
+"""Minimum duration assumed for a route with fewer than MIN_SAMPLES durations.
 
 Ordinary long streams take some 2 s, and plain services may be as slow. If 1 s were
 assumed, a booking of 1.5 s would be accepted with 1.2 s left, and then given up
@@ -255,10 +255,12 @@
     """Return whether a late request is accepted.
 
     While STOPPING, every request is accepted, because nearly all of the grace period is
-    left and the load balancer still sends requests here. When OVER, none is. Otherwise
-    the estimated duration must fit into the time left. If it fitted when the request
-    arrived, but the request was then queued behind others, it is enough that the
-    longest recorded duration fits: DEFAULT_ESTIMATE alone must not cause a refusal.
+    left and the load balancer still sends requests here. When OVER, none is accepted,
+    and when RETURNING, none that needs tokens of a grant.
+
+    Otherwise the estimated duration must fit into the time left. If it fitted when the
+    request arrived, but the request was then queued behind others, it is enough that
+    the longest recorded duration fits: DEFAULT_ESTIMATE alone must not cause a refusal.
     """
     if stage is Stage.STOPPING:
         return True
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -104,8 +104,8 @@
     def charge(self) -> Tokens:
         """The tokens to charge; 0 if the request cannot have run.
 
-        Each event that was passed on counts as `event_tokens` of output, up to the
-        maximum that the request states.
+        They are the prompt tokens plus the output. Each event that was passed on counts
+        as `event_tokens` of output, up to the maximum that the request states.
         """
         if not self.may_have_run:
             return 0
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -49,7 +49,7 @@
 
 
 def prompt_size(request: CallerRequest) -> Tokens:
-    """Return the larger of the stated prompt tokens and the sum of its parts."""
+    """Return the larger of the stated prompt length and the sum of the parts."""
     parts = sum(tokens for _, tokens in request.prompt_parts)
     return max(request.prompt_tokens, parts)
 
