--- a/ebonyhold/backends/__init__.py
+++ b/ebonyhold/backends/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers: model engines and plain services, reached over HTTP."""
+"""HTTP clients of the backend servers: model engines and plain services."""
 
 from ebonyhold.backends._engine import EngineClient
 from ebonyhold.backends._http import RefusedError, UnreachableError, make_client
--- a/ebonyhold/backends/_truth.py
+++ b/ebonyhold/backends/_attempt_status.py
@@ -1,4 +1,4 @@
-"""Asking a backend server what became of an attempt."""
+"""Closes an attempt at an engine and parses the status that the engine returns."""
 
 from __future__ import annotations
 
@@ -16,13 +16,15 @@
 UNKNOWN = AttemptTruth(AttemptState.UNKNOWN)
 
 
-async def ask_to_close(
+async def close_at_engine(
     client: httpx.AsyncClient, backend: Backend, attempt: AttemptId, timeout: Seconds
 ) -> AttemptTruth:
-    """Close an attempt at an engine: cancel it, and let it never start later.
+    """Close an attempt: the engine cancels it and refuses it if it arrives later.
+
+    Plain services cannot close an attempt; its status is unknown.
 
     Raises:
-        UnavailableError: There was no answer.
+        UnavailableError: The engine did not return a valid status in time.
     """
     if backend.kind is not BackendKind.ENGINE:
         return UNKNOWN
@@ -31,23 +33,25 @@
         with anyio.fail_after(timeout):
             response = await client.post(url)
             response.raise_for_status()
-            return read_truth(response.content)
+            return parse_status(response.content)
     except (httpx.HTTPError, TimeoutError, ValueError) as error:
-        raise UnavailableError(f"{backend.name} did not close: {error!r}") from error
+        raise UnavailableError(
+            f"{backend.name} did not close the attempt: {error!r}"
+        ) from error
 
 
-def read_truth(body: bytes) -> AttemptTruth:
-    """Read the answer to a close.
+def parse_status(body: bytes) -> AttemptTruth:
+    """Parse the response to a request that closes an attempt.
 
     Raises:
-        ValueError: It is not what an engine should say.
+        ValueError: It is not a valid attempt status.
     """
     value = json.loads(body)
     if not isinstance(value, dict):
-        raise ValueError("the answer is no object")
+        raise ValueError("the attempt status is not an object")
     tokens = (value.get("prompt_tokens", 0), value.get("completion_tokens", 0))
     if any(type(number) is not int or number < 0 for number in tokens):
-        raise ValueError("the answer counts no tokens")
+        raise ValueError("a number of tokens is not a nonnegative integer")
     return AttemptTruth(
         AttemptState(value["state"]), *tokens, str(value.get("boot", ""))
     )
--- a/ebonyhold/backends/_engine.py
+++ b/ebonyhold/backends/_engine.py
@@ -1,4 +1,4 @@
-"""One attempt at a model engine."""
+"""Client that sends attempts to model engines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ebonyhold.backends._http import (
     ATTEMPT_HEADER,
     BOOT_HEADER,
-    ELSEWHERE,
     EXPECT_BOOT_HEADER,
     PRIORITY_HEADER,
     RESUME_HEADER,
+    RETRYABLE_STATUSES,
     RefusedError,
     base_url,
     check_attempt,
-    opened,
+    open_response,
     read_bounded,
 )
 from ebonyhold.backends._messages import Answer, EngineCall, Timeouts
@@ -28,14 +28,14 @@
 from ebonyhold.exceptions import BackendError
 
 COMPLETIONS = "/v1/chat/completions"
-FRESH = 0.9
-"""The part of the stall's time that is left at least before it is put off.
+RENEW_BELOW = 0.9
+"""The stall deadline is extended once less than this part of the timeout is left.
 
-Putting it off with every token would cost a timer each.
+Extending it with every token would set a new timer for each token.
 """
 
-MOST_ANSWER = 8_388_608
-MOST_REFUSAL = 16_384
+MAX_ANSWER_BYTES = 8_388_608
+MAX_REFUSAL_BYTES = 16_384
 
 
 @define
@@ -44,7 +44,7 @@
 
     Attributes:
         client: The HTTP client.
-        timeouts: How long to wait.
+        timeouts: The timeouts of each attempt.
     """
 
     client: httpx.AsyncClient
@@ -54,11 +54,11 @@
     async def open(
         self, backend: Backend, call: EngineCall
     ) -> AsyncIterator[httpx.Response]:
-        """Dispatch an attempt and give its checked response.
+        """Send an attempt and yield its response, of which the body is not read yet.
 
         Raises:
-            RefusedError: The engine did not take it.
-            BackendError: There was no answer, or another attempt's.
+            RefusedError: The engine refused the attempt without running it.
+            BackendError: There was no response, or it belongs to another attempt.
         """
         request = self.client.build_request(
             "POST",
@@ -66,21 +66,21 @@
             content=call.body,
             headers=call_headers(call),
         )
-        async with opened(self.client, request, self.timeouts.first) as response:
+        async with open_response(self.client, request, self.timeouts.first) as response:
             check_attempt(response, call.attempt)
             if response.status_code != httpx.codes.OK:
-                await refuse(response)
+                await raise_for_status(response)
             yield response
 
     async def whole(self, backend: Backend, call: EngineCall) -> Answer:
-        """Dispatch an attempt and read its whole answer.
+        """Send an attempt and return its complete answer.
 
         Raises:
-            RefusedError: The engine did not take it.
-            BackendError: There was no whole answer.
+            RefusedError: The engine refused the attempt without running it.
+            BackendError: There was no complete answer.
         """
         async with self.open(backend, call) as response:
-            body = await read_bounded(response, MOST_ANSWER)
+            body = await read_bounded(response, MAX_ANSWER_BYTES)
             return Answer(
                 response.status_code,
                 response.headers.get("content-type", "application/json"),
@@ -95,26 +95,28 @@
         check: StreamCheck,
         deliver: Callable[[bytes], None],
     ) -> None:
-        """Dispatch an attempt and deliver its checked events until the answer is whole.
+        """Send an attempt and deliver its checked events until the answer is complete.
 
         Args:
-            backend: Where to.
-            call: What to send.
-            check: Follows the answer over its attempts; after an error it knows
-                how far this one came.
-            deliver: Takes each piece for the caller; what it raises ends the
-                attempt.
+            backend: The engine.
+            call: The attempt.
+            check: The state of the answer over all its attempts; after an error it
+                holds how many tokens were delivered.
+            deliver: Called with each piece for the caller; an exception from it
+                ends the attempt.
 
         Raises:
-            RefusedError: The engine did not take it.
-            BackendError: The stream broke.
+            RefusedError: The engine refused the attempt without running it.
+            BackendError: The stream failed before the answer was complete.
         """
         check.begin()
         async with self.open(backend, call) as response:
             with anyio.move_on_after(self.timeouts.stall) as scope:
                 await self.deliver_events(response, check, deliver, scope)
             if scope.cancelled_caught:
-                raise BrokenStreamError("the stream stalled")
+                raise BrokenStreamError(
+                    "the stream made no progress within the stall timeout"
+                )
 
     async def deliver_events(
         self,
@@ -123,29 +125,29 @@
         deliver: Callable[[bytes], None],
         scope: anyio.CancelScope,
     ) -> None:
-        """Deliver events, and put the stall's deadline off with each one.
+        """Deliver events and extend the stall deadline with complete events.
 
-        A stream that trickles bytes without ever completing an event does not
-        move the deadline, so it is found out like one that says nothing.
+        Bytes that complete no event do not extend the deadline, so a stream that
+        only trickles bytes times out like a silent one.
         """
         splitter = EventSplitter()
         stall = self.timeouts.stall
         try:
             async for data in response.aiter_raw():
-                passed = b"".join(map(check.take, splitter.feed(data)))
-                if passed:
-                    deliver(passed)
+                output = b"".join(map(check.accept, splitter.feed(data)))
+                if output:
+                    deliver(output)
                     now = anyio.current_time()
-                    if scope.deadline - now < stall * FRESH:
+                    if scope.deadline - now < stall * RENEW_BELOW:
                         scope.deadline = now + stall
         except (httpx.HTTPError, httpx.StreamError) as error:
-            raise BrokenStreamError(f"the stream broke: {error!r}") from error
+            raise BrokenStreamError(f"reading the stream failed: {error!r}") from error
         if not check.done:
-            raise BrokenStreamError("the stream ended early")
+            raise BrokenStreamError("the stream ended before the answer was complete")
 
 
 def call_headers(call: EngineCall) -> dict[str, str]:
-    """Return the headers of an attempt."""
+    """Return the request headers of an attempt."""
     headers = {
         "Content-Type": "application/json",
         "Accept-Encoding": "identity",
@@ -161,13 +163,18 @@
     return headers
 
 
-async def refuse(response: httpx.Response) -> None:
-    """Raise what a status other than 200 means."""
+async def raise_for_status(response: httpx.Response) -> None:
+    """Raise the error that stands for a status other than 200.
+
+    Raises:
+        RefusedError: The engine refused the attempt without running it.
+        BackendError: The engine failed; the attempt may have run.
+    """
     status = response.status_code
-    if status in ELSEWHERE:
-        body = await read_bounded(response, MOST_REFUSAL)
+    if status in RETRYABLE_STATUSES:
+        body = await read_bounded(response, MAX_REFUSAL_BYTES)
         raise RefusedError(status, body, final=False)
     if 400 <= status < 500:
-        body = await read_bounded(response, MOST_REFUSAL)
+        body = await read_bounded(response, MAX_REFUSAL_BYTES)
         raise RefusedError(status, body, final=True)
-    raise BackendError(f"the engine answered {status}", ran=True)
+    raise BackendError(f"the engine returned status {status}", ran=True)
--- a/ebonyhold/backends/_http.py
+++ b/ebonyhold/backends/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client towards backend servers, and its errors in our terms."""
+"""The HTTP client for backend servers, and the errors that it raises."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 PRIORITY_HEADER = "X-Priority"
 EXPECT_BOOT_HEADER = "X-Expect-Boot-Id"
 
-ELSEWHERE = (404, 409, 429, 503)
-"""Statuses by which an engine says that it did not begin and another one may.
+RETRYABLE_STATUSES = (404, 409, 429, 503)
+"""Statuses for an attempt that the engine did not start and another one may run.
 
-They are for a model it has not loaded, an attempt that was closed before it came,
-a full queue, and a server that leaves.
+404: the model is not loaded; 409: the attempt was closed before it arrived; 429: the
+queue is full; 503: the server is leaving.
 """
 
 
 class RefusedError(BackendError):
-    """The server answered that it does not take the work; it did not run.
+    """The server refused the attempt without running it.
 
     Attributes:
         status: The HTTP status.
-        body: The server's own words.
-        final: Whether another server would say the same.
+        body: The body of the server's response.
+        final: Whether another server would refuse the attempt too.
     """
 
     code = "backend_refused"
@@ -47,7 +47,7 @@
 
 
 class UnreachableError(BackendError):
-    """No connection could be made, so nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
     code = "backend_unreachable"
 
@@ -60,13 +60,13 @@
 ) -> httpx.AsyncClient:
     """Return a client for HTTP/1.1 without proxies, redirects or cookies.
 
-    HTTP/1.1 gives each attempt a connection of its own.  A connection goes back
-    to the pool only after its answer was read to the end; leaving a response
-    early closes it, so that no later request can read an earlier answer.
+    With HTTP/1.1 each attempt uses a connection alone.  A connection returns to
+    the pool only after its response was read to the end, and closing a response
+    early closes its connection, so no later request can read an earlier response.
 
     Args:
-        timeouts: How long to wait.
-        transport: What carries the requests, where that is not TCP.
+        timeouts: The timeouts for connecting and for reading.
+        transport: Replaces the transport over TCP, in tests.
     """
     return httpx.AsyncClient(
         timeout=httpx.Timeout(
@@ -79,29 +79,29 @@
 
 
 def base_url(backend: Backend) -> str:
-    """Return where a backend server answers."""
+    """Return the URL of a backend server, without a path."""
     scheme = "https" if backend.tls else "http"
     return f"{scheme}://{backend.address}"
 
 
 @asynccontextmanager
-async def opened(
-    client: httpx.AsyncClient, request: httpx.Request, first: float
+async def open_response(
+    client: httpx.AsyncClient, request: httpx.Request, timeout: float
 ) -> AsyncIterator[httpx.Response]:
-    """Send a request and give its response once the headers are whole.
+    """Send a request and yield its response once all headers have arrived.
 
     Args:
         client: The client.
-        request: What to send.
-        first: The longest wait for the whole headers, in seconds; it counts
-            from the start, so a server that trickles its header cannot stretch it.
+        request: The request.
+        timeout: The time limit for all headers together, in seconds, counted from
+            the start; a server that trickles its headers cannot extend it.
 
     Raises:
-        UnreachableError: There was no connection, so nothing ran.
-        BackendError: Anything else; it may have run.
+        UnreachableError: No connection could be opened, so nothing ran.
+        BackendError: Any other failure; the request may have run.
     """
     try:
-        with anyio.fail_after(first):
+        with anyio.fail_after(timeout):
             response = await client.send(request, stream=True)
     except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
         raise UnreachableError(f"no connection: {error}") from error
@@ -115,31 +115,31 @@
 
 
 def check_attempt(response: httpx.Response, attempt: AttemptId) -> None:
-    """Refuse an answer that belongs to another attempt.
+    """Raise an error for a response that belongs to another attempt.
 
-    A crossed answer shows as an ``X-Attempt-Id`` that is not ours.  Leaving the
-    response then closes its connection, so the answer is dropped whole.
+    Such a response has another attempt's identifier in ``X-Attempt-Id``.  The error
+    closes the response and its connection, so that none of its body is used.
 
     Raises:
-        BackendError: It names another attempt; our own may have run.
+        BackendError: The response names another attempt; this one may have run.
     """
     named = response.headers.get(ATTEMPT_HEADER)
     if named is not None and named != attempt:
         raise BackendError("the answer belongs to another attempt", ran=True)
 
 
-async def read_bounded(response: httpx.Response, most: int) -> bytes:
-    """Read a whole body.
+async def read_bounded(response: httpx.Response, max_bytes: int) -> bytes:
+    """Return the complete body of a response.
 
     Raises:
-        BackendError: It is larger than allowed, or ends early.
+        BackendError: The body is larger than `max_bytes`, or it ends early.
     """
     parts: list[bytes] = []
     size = 0
     try:
         async for part in response.aiter_bytes():
             size += len(part)
-            if size > most:
+            if size > max_bytes:
                 raise BackendError("the answer is too large", ran=True)
             parts.append(part)
     except (httpx.HTTPError, httpx.StreamError) as error:
--- a/ebonyhold/backends/_messages.py
+++ b/ebonyhold/backends/_messages.py
@@ -1,4 +1,4 @@
-"""What backend servers say, as typed values."""
+"""Requests to backend servers and their responses, as typed values."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @frozen
 class LoadReport:
-    """An engine's own report, which is as old as its lag.
+    """The load that an engine reports; it may be out of date when it arrives.
 
     Attributes:
-        boot: Identifies this life of the engine.
-        sequence: Counts its reports.
-        running: Requests it runs.
-        queued: Requests that wait in it.
-        free_blocks: Blocks of its cache that hold nothing.
-        token_rate: Tokens a second it generates.
-        models: Models it has loaded.
-        adapters: Adapters it has loaded.
-        leaving: Whether it wants no new work.
+        boot: Identifies this run of the engine's process.
+        sequence: The number of this report.
+        running: Number of requests that the engine runs.
+        queued: Number of requests in the engine's queue.
+        free_blocks: Number of free blocks in the engine's prefix cache.
+        token_rate: Tokens that the engine generates per second.
+        models: Models that are loaded.
+        adapters: Adapters that are loaded.
+        leaving: Whether the engine is leaving and accepts no new requests.
     """
 
     boot: str = ""
@@ -37,7 +37,7 @@
 
 
 class CacheAction(Enum):
-    """What happened to a block of an engine's prefix cache."""
+    """The kind of a change of an engine's prefix cache."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -54,14 +54,14 @@
 
 @frozen
 class CacheEvents:
-    """An answer to a question for cache events."""
+    """The response of an engine to a request for its cache events."""
 
     events: tuple[CacheEvent, ...] = ()
 
 
 @frozen
 class Usage:
-    """Tokens that an engine says an answer took."""
+    """Numbers of tokens that an engine reports for an answer."""
 
     prompt_tokens: Tokens = 0
     completion_tokens: Tokens = 0
@@ -70,13 +70,13 @@
 
 @frozen
 class Timeouts:
-    """How long to wait for a backend server, in seconds.
+    """The timeouts of calls to backend servers, in seconds.
 
     Attributes:
-        connect: For a connection.
-        first: For the whole headers of an answer.
+        connect: For opening a connection.
+        first: From sending a request until all headers of its response arrived.
         stall: Between two pieces of a stream.
-        close: For the answer to closing an attempt.
+        close: For a request that closes an attempt.
     """
 
     connect: Seconds = 0.5
@@ -90,16 +90,17 @@
     """One attempt at one engine.
 
     Attributes:
-        attempt: Its identifier, never used twice.
+        attempt: The identifier of the attempt, never used twice.
         body: The JSON body.
         stream: Whether the answer is streamed.
-        priority: Larger is served first.
-        resume: The tokens of the answer that the caller has already.
+        priority: Requests with a larger number are served first.
+        resume: Number of tokens of the answer that the caller has already.
         traceparent: The W3C trace context, or empty.
-        boot: The life of the engine that the intent names, or empty.  An engine
-            that was restarted refuses the attempt: it has forgotten which ones
-            were closed, so a router that was paused between its intent and its
-            dispatch could run one that another router has settled as not run.
+        boot: The boot identifier of the engine in the stored intent, or empty.  An
+            engine that was restarted since refuses the attempt, because it lost
+            the list of closed attempts.  Otherwise a router that was paused
+            between storing the intent and sending the attempt could run one that
+            another router has settled as not run.
     """
 
     attempt: AttemptId
@@ -116,13 +117,13 @@
     """One attempt at one plain service.
 
     Attributes:
-        attempt: Its identifier, never used twice.
+        attempt: The identifier of the attempt, never used twice.
         method: The HTTP method.
         target: Path and query.
-        headers: End-to-end headers.
-        body: The body.
-        timeout: The longest wait for the whole answer, in seconds.
-        most_body: The largest answer, in bytes.
+        headers: The caller's end-to-end headers.
+        body: The request body.
+        timeout: The time limit for the complete answer, in seconds.
+        most_body: The maximum size of the answer's body, in bytes.
         key: The caller's idempotency key, or empty.
     """
 
@@ -138,7 +139,7 @@
 
 @frozen
 class Answer:
-    """A whole answer of a backend server."""
+    """A complete answer of a backend server."""
 
     status: int
     content_type: str
--- a/ebonyhold/backends/_placement.py
+++ b/ebonyhold/backends/_placement.py
@@ -1,4 +1,4 @@
-"""Giving orders to engines: one router at a time, under a lease."""
+"""Placement orders to engines, sent by one router at a time under a lease."""
 
 from __future__ import annotations
 
@@ -48,116 +48,121 @@
 
 logger = logging.getLogger(__name__)
 
-LEASE = "placement"
-LENGTH: Seconds = 15.0
-ROUND: Seconds = 3.0
-"""Between two looks at the lease and the engines."""
+LEASE_NAME = "placement"
+LEASE_DURATION: Seconds = 15.0
+ROUND_INTERVAL: Seconds = 3.0
+"""Mean time between two rounds, which varies at random by up to 20 %."""
 
 ORDER_TIMEOUT: Seconds = 2.0
-"""The longest time that an order is on its way while its sender runs."""
+"""The timeout of an order, after which a sender that is not paused gives it up."""
 
 
 @define
 class PlacementHolder:
-    """Takes the lease when it is free, and gives orders while it holds it.
+    """Acquires the placement lease when it is free, and sends orders while it holds it.
 
     Attributes:
-        me: Returns this incarnation.
-        table: Where the lease and the unanswered drops are.
-        backends: The engines as reported.
-        placement: The decisions.
-        clock: Seconds since the epoch.
-        held: The lease, while it is held.
+        router: Returns the id of this router's incarnation.
+        table: Stores the lease and the unload orders whose outcome is unknown.
+        backends: The engines and their load reports.
+        placement: Decides which order to send.
+        clock: Returns the time in seconds since the epoch.
+        held: The lease, while this router holds it.
+        observation: The lease row as last read, to detect that it has expired.
     """
 
-    me: Callable[[], RouterId]
+    router: Callable[[], RouterId]
     table: Table
     backends: Backends
     placement: Placement = field(factory=Placement)
     clock: Callable[[], Seconds] = time.time
     held: HeldLease | None = None
-    sighting: LeaseSighting | None = None
+    observation: LeaseSighting | None = None
 
     async def run(self) -> None:
-        """Hold and order until cancelled."""
+        """Run one round after another until cancelled."""
         while True:
             try:
-                await self.round()
+                await self.run_round()
             except PlatformError as error:
-                logger.info("placement waits", extra={"cause": str(error)})
+                logger.info("placement round failed", extra={"cause": str(error)})
             chance = self.backends.rng.random()
-            await anyio.sleep(ROUND * (0.8 + 0.4 * chance))
+            await anyio.sleep(ROUND_INTERVAL * (0.8 + 0.4 * chance))
 
-    async def round(self) -> None:
-        """Renew or take the lease; if it is held, give at most one order.
+    async def run_round(self) -> None:
+        """Renew or acquire the lease; while it is held, send at most one order.
 
         Raises:
-            PlatformError: The table did not do its part.
+            PlatformError: Reading or writing the table failed.
         """
         now = anyio.current_time()
-        self.held = await self.renewed(self.held) if self.held else await self.taken()
+        self.held = await self.renew(self.held) if self.held else await self.acquire()
         if self.held is None:
             return
-        unanswered = await self.unanswered()
-        engines = [view(self.backends, state) for state in self.engines()]
-        earlier = [row for row in unanswered if row.fencing < self.held.row.fencing]
+        unloads = await self.pending_unloads()
+        engines = [engine_view(self.backends, state) for state in self.engines()]
+        earlier = [row for row in unloads if row.fencing < self.held.row.fencing]
         order = self.placement.fence(engines, earlier)
         if order is not None:
-            if await self.give(order, self.held) == httpx.codes.OK:
-                await self.strike([row for row in earlier if same(row, order)])
+            if await self.issue(order, self.held) == httpx.codes.OK:
+                await self.delete_unloads(
+                    [row for row in earlier if matches(row, order)]
+                )
             return
         models = [route.model for route in self.backends.fleet.document.models]
-        order = self.placement.decide(models, engines, unanswered, now)
+        order = self.placement.decide(models, engines, unloads, now)
         if order is not None:
-            await self.give(order, self.held)
+            await self.issue(order, self.held)
 
-    async def taken(self) -> HeldLease | None:
-        """Take the lease if it is free.
+    async def acquire(self) -> HeldLease | None:
+        """Acquire the lease if it is free.
 
         Raises:
-            PlatformError: The table did not answer.
+            PlatformError: Reading or writing the table failed.
         """
-        (row,) = await self.table.read((lease_key(LEASE),))
+        (row,) = await self.table.read((lease_key(LEASE_NAME),))
         now = anyio.current_time()
         if row is not None:
-            self.sighting = sight_lease(self.sighting, row, now)
-        plan = plan_acquire(LEASE, self.me(), row, self.sighting, LENGTH, now)
+            self.observation = sight_lease(self.observation, row, now)
+        plan = plan_acquire(
+            LEASE_NAME, self.router(), row, self.observation, LEASE_DURATION, now
+        )
         if plan is None:
             return None
-        held = await self.committed(plan)
+        held = await self.commit_lease(plan)
         if held is not None:
-            # What an earlier holder thought is underway may not be; what it
-            # wrote down counts.
+            # Loads from an earlier lease of this router are no longer expected to
+            # finish; only the unload orders in the table are.
             self.placement.loading.clear()
         return held
 
-    async def renewed(self, held: HeldLease) -> HeldLease | None:
-        """Renew the lease, or learn that it is lost.
+    async def renew(self, held: HeldLease) -> HeldLease | None:
+        """Renew the lease; return None if it is lost.
 
         Raises:
-            PlatformError: The table did not answer; it is held until it lapses.
+            PlatformError: The table failed; the lease is held until it expires.
         """
         now = anyio.current_time()
         if not held.holds(now):
             return None
-        return await self.committed(plan_renew(held, now))
+        return await self.commit_lease(plan_renew(held, now))
 
-    async def committed(self, plan: LeasePlan) -> HeldLease | None:
-        """Commit a change of the lease, and read back a lost answer."""
+    async def commit_lease(self, plan: LeasePlan) -> HeldLease | None:
+        """Commit a change of the lease; if its outcome is unknown, read the row."""
         try:
             await self.table.commit(plan.transaction)
         except ConflictError:
             return None
         except UnknownOutcomeError:
-            (row,) = await self.table.read((lease_key(LEASE),))
+            (row,) = await self.table.read((lease_key(LEASE_NAME),))
             return resolve_lease(plan, row)
         return plan.outcome
 
-    async def unanswered(self) -> list[OrderRow]:
-        """Return the drops that may still happen.
+    async def pending_unloads(self) -> list[OrderRow]:
+        """Return the unload orders that an engine may still carry out.
 
         Raises:
-            PlatformError: The table did not answer.
+            PlatformError: Reading or writing the table failed.
         """
         rows = await self.table.scan(order_prefix())
         found: list[OrderRow] = []
@@ -165,16 +170,16 @@
             try:
                 found.append(from_json(row.value, OrderRow))
             except cattrs.BaseValidationError:
-                logger.warning("no order", extra={"key": row.key})
+                logger.warning("order row cannot be decoded", extra={"key": row.key})
         oldest = self.clock() - self.placement.policy.doubt_for
-        await self.strike([row for row in found if row.at < oldest])
+        await self.delete_unloads([row for row in found if row.at < oldest])
         return [row for row in found if row.at >= oldest]
 
-    async def strike(self, rows: Sequence[OrderRow]) -> None:
-        """Strike out drops that need not be expected any more.
+    async def delete_unloads(self, rows: Sequence[OrderRow]) -> None:
+        """Delete the rows of unload orders that are no longer pending.
 
         Raises:
-            PlatformError: The table did not do its part.
+            PlatformError: Writing the table failed.
         """
         if rows:
             deletes = tuple(
@@ -183,7 +188,7 @@
             await self.table.commit(Transaction((), deletes))
 
     def engines(self) -> list[BackendState]:
-        """Return the engines of the document in force."""
+        """Return the engines of the current document."""
         self.backends.refresh()
         return [
             state
@@ -191,19 +196,19 @@
             if state.backend.kind is BackendKind.ENGINE
         ]
 
-    async def give(self, order: EngineOrder, held: HeldLease) -> int:
-        """Give one order, if the lease is sure to outlast its way.
+    async def issue(self, order: EngineOrder, held: HeldLease) -> int:
+        """Send one order if the lease is held for longer than the order's timeout.
 
-        A holder that is paused after the check sends it late all the same.  An
-        engine that checks the fencing number then refuses it; for the others
-        the drop stands in the table, where the next holder sees that it may
-        still come, and loads the model somewhere else first.
+        A holder that is paused after this check still sends its order late.  An
+        engine that checks the fencing number refuses it.  For other engines the
+        table holds each unload order, so that the next holder expects it and first
+        loads the model on another engine.
 
         Returns:
-            The engine's status, or 0 without an answer.
+            The HTTP status of the engine's response, or 0 without a response.
 
         Raises:
-            PlatformError: The drop could not be written down, so it is not given.
+            PlatformError: The unload order could not be stored, so it is not sent.
         """
         row = OrderRow(order, held.row.fencing, self.clock())
         key = order_key(order.backend, row.fencing)
@@ -215,10 +220,12 @@
         try:
             status = await send_order(self.backends.client, state, row)
         except UnavailableError as error:
-            logger.info("order not answered", extra={"cause": str(error)})
+            logger.info(
+                "engine did not respond to an order", extra={"cause": str(error)}
+            )
             return 0
         logger.info(
-            "order given",
+            "order sent",
             extra={
                 "backend": order.backend,
                 "action": order.action.value,
@@ -227,20 +234,20 @@
             },
         )
         if order.action is Action.UNLOAD:
-            await self.strike([row])
+            await self.delete_unloads([row])
         if status == httpx.codes.CONFLICT:
-            # The engine has heard a later holder: this one was replaced.
+            # The engine has received an order of a later holder.
             self.held = None
         return status
 
 
-def same(row: OrderRow, order: EngineOrder) -> bool:
-    """Return whether a drop is about the engine and the model of an order."""
+def matches(row: OrderRow, order: EngineOrder) -> bool:
+    """Return whether two orders are for the same engine and model."""
     return row.order.backend == order.backend and row.order.model == order.model
 
 
-def view(backends: Backends, state: BackendState) -> EngineView:
-    """Return what the decisions know of an engine."""
+def engine_view(backends: Backends, state: BackendState) -> EngineView:
+    """Return the input of the placement decisions about one engine."""
     backend = state.backend
     return EngineView(
         backend.name,
@@ -257,10 +264,10 @@
 async def send_order(
     client: httpx.AsyncClient, state: BackendState, row: OrderRow
 ) -> int:
-    """Send an order and return the engine's status.
+    """Send an order and return the HTTP status of the engine's response.
 
     Raises:
-        UnavailableError: There was no answer; the order may have taken effect.
+        UnavailableError: There was no response; the engine may have executed it.
     """
     body = {
         "order": row.order.action.value,
--- a/ebonyhold/backends/_poll.py
+++ b/ebonyhold/backends/_poll.py
@@ -13,12 +13,12 @@
 from ebonyhold.document import Backend
 from ebonyhold.types import Seconds
 
-MOST_REPORT = 1_048_576
-"""The largest report that is read, in bytes."""
+MAX_REPORT_BYTES = 1_048_576
+"""The maximum size of a report; a larger one is ignored."""
 
 
 async def fetch(client: httpx.AsyncClient, url: str, timeout: Seconds) -> bytes | None:
-    """Read a small document, or None when that fails in any way."""
+    """Return the body of a GET response, or None after any failure."""
     try:
         with anyio.fail_after(timeout):
             async with client.stream("GET", url) as response:
@@ -27,7 +27,7 @@
                 body = b""
                 async for part in response.aiter_bytes():
                     body += part
-                    if len(body) > MOST_REPORT:
+                    if len(body) > MAX_REPORT_BYTES:
                         return None
                 return body
     except (httpx.HTTPError, httpx.StreamError, TimeoutError):
@@ -37,7 +37,7 @@
 async def poll_load(
     client: httpx.AsyncClient, backend: Backend, timeout: Seconds
 ) -> LoadReport | None:
-    """Return an engine's load report, or None when there is none to be had."""
+    """Return an engine's load report, or None if it cannot be read."""
     body = await fetch(client, base_url(backend) + "/v1/load", timeout)
     if body is None:
         return None
@@ -50,11 +50,11 @@
 async def poll_cache(
     client: httpx.AsyncClient, state: BackendState, timeout: Seconds
 ) -> None:
-    """Take in an engine's new cache events.
+    """Request an engine's new cache events and apply them to its prefix index.
 
-    Events that were lost leave blocks in the index that the engine evicted, or
-    the other way round.  Neither can harm an answer: the index only weighs the
-    choice, and its bound and the engine's next events correct it.
+    After lost events the index has blocks that the engine evicted, or lacks blocks
+    that it stored.  This affects only which engine is chosen, never an answer, and
+    the size limit of the index and later events correct it.
     """
     after = state.prefixes.sequence
     url = f"{base_url(state.backend)}/v1/cache/events?after={after}"
@@ -62,7 +62,7 @@
     if body is None:
         return
     try:
-        news = from_bytes(body, CacheEvents)
+        reported = from_bytes(body, CacheEvents)
     except (ValueError, cattrs.BaseValidationError):
         return
-    state.learn(news.events)
+    state.learn(reported.events)
--- a/ebonyhold/backends/_service.py
+++ b/ebonyhold/backends/_service.py
@@ -1,4 +1,4 @@
-"""One attempt at a plain service."""
+"""Client that sends attempts to plain services."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     BOOT_HEADER,
     base_url,
     check_attempt,
-    opened,
+    open_response,
     read_bounded,
 )
 from ebonyhold.backends._messages import Answer, ServiceCall
@@ -29,15 +29,15 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection and are never passed on."""
+"""Headers that apply to one connection and are never forwarded."""
 
-OWN = frozenset(
+OWN_REQUEST_HEADERS = frozenset(
     {"host", "content-length", "authorization", "accept-encoding", "expect"}
 )
-"""Request headers that are the router's own to set, or its secret to keep."""
+"""Request headers that are not forwarded: the router sets or withholds them."""
 
-ANSWER_OWN = frozenset({"content-length", "content-encoding", "date", "server"})
-"""Answer headers that the router's own listener sets."""
+OWN_ANSWER_HEADERS = frozenset({"content-length", "content-encoding", "date", "server"})
+"""Response headers that are not forwarded: the router's listener sets them."""
 
 
 @define
@@ -47,11 +47,11 @@
     client: httpx.AsyncClient
 
     async def call(self, backend: Backend, call: ServiceCall) -> Answer:
-        """Dispatch an attempt and read its whole answer.
+        """Send an attempt and return its complete answer.
 
         Raises:
-            UnreachableError: Nothing was sent.
-            BackendError: There was no whole answer; it may have run.
+            UnreachableError: No connection could be opened, so nothing was sent.
+            BackendError: There was no complete answer; the attempt may have run.
         """
         request = self.client.build_request(
             call.method,
@@ -60,7 +60,7 @@
             headers=[*call.headers, *own_headers(call)],
             timeout=httpx.Timeout(call.timeout, connect=connect_timeout(self.client)),
         )
-        async with opened(self.client, request, call.timeout) as response:
+        async with open_response(self.client, request, call.timeout) as response:
             check_attempt(response, call.attempt)
             body = await read_bounded(response, call.most_body)
             return Answer(
@@ -73,12 +73,12 @@
 
 
 def connect_timeout(client: httpx.AsyncClient) -> float | None:
-    """Return the client's timeout for connections, in seconds."""
+    """Return the client's timeout for opening a connection, in seconds."""
     return client.timeout.connect
 
 
 def own_headers(call: ServiceCall) -> list[tuple[str, str]]:
-    """Return the headers that the router adds."""
+    """Return the request headers that the router adds."""
     headers = [(ATTEMPT_HEADER, call.attempt), ("Accept-Encoding", "identity")]
     if call.key:
         headers.append(("Idempotency-Key", call.key))
@@ -88,26 +88,26 @@
 def request_headers(
     raw: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
-    """Return the caller's headers that go on to the service.
+    """Return the caller's headers that are forwarded to the service.
 
     >>> request_headers((("connection", "x-mine"), ("x-mine", "1"), ("accept", "*")))
     (('accept', '*'),)
     """
-    dropped = HOP_BY_HOP | OWN | named_by_connection(raw)
+    dropped = HOP_BY_HOP | OWN_REQUEST_HEADERS | named_by_connection(raw)
     dropped |= {"idempotency-key", ATTEMPT_HEADER.lower(), "traceparent", "tracestate"}
     return tuple((name, value) for name, value in raw if name.lower() not in dropped)
 
 
 def answer_headers(response: httpx.Response) -> tuple[tuple[str, str], ...]:
-    """Return the service's headers that go on to the caller."""
+    """Return the service's headers that are forwarded to the caller."""
     raw = tuple(response.headers.multi_items())
-    dropped = HOP_BY_HOP | ANSWER_OWN | named_by_connection(raw)
+    dropped = HOP_BY_HOP | OWN_ANSWER_HEADERS | named_by_connection(raw)
     dropped |= {"content-type", ATTEMPT_HEADER.lower(), BOOT_HEADER.lower()}
     return tuple((name, value) for name, value in raw if name.lower() not in dropped)
 
 
 def named_by_connection(raw: tuple[tuple[str, str], ...]) -> frozenset[str]:
-    """Return the headers that a Connection header declares hop-by-hop."""
+    """Return the names that Connection headers declare hop-by-hop, in lower case."""
     return frozenset(
         token.strip().lower()
         for name, value in raw
--- a/ebonyhold/backends/_sse.py
+++ b/ebonyhold/backends/_sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events of an engine: split, checked, hardly decoded."""
+"""Splits and checks the server-sent events of an engine, decoding few of them."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ebonyhold.exceptions import BackendError
 from ebonyhold.types import Tokens
 
-MOST_EVENT = 1_048_576
-"""The largest event, in bytes; a larger one is a fault, not an answer."""
+MAX_EVENT_BYTES = 1_048_576
+"""The maximum size of an event; a larger one is an error of the engine."""
 
-IDENTIFIER = re.compile(rb'"id": ?"[^"]*"')
+ID_FIELD = re.compile(rb'"id": ?"[^"]*"')
 DONE = b"data: [DONE]"
-END = b"\n\n"
+EVENT_END = b"\n\n"
 
 
 class BrokenStreamError(BackendError):
-    """A stream that cannot be trusted any further; it may be resumed elsewhere."""
+    """A stream failed or has an invalid event; another engine may resume it."""
 
     code = "stream_broken"
 
@@ -30,45 +30,49 @@
 
 @define
 class EventSplitter:
-    """Cuts bytes into whole events, in whatever pieces they arrive."""
+    """Splits a byte stream into events.
 
-    rest: bytes = b""
+    Attributes:
+        remainder: The start of an event that has not arrived completely.
+    """
+
+    remainder: bytes = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that have become whole, without their blank line.
+        """Return the events that are complete now, without their blank line.
 
         Raises:
-            BrokenStreamError: An event grows beyond any reasonable size.
+            BrokenStreamError: An event is larger than `MAX_EVENT_BYTES`.
         """
-        if self.rest:
-            data = self.rest + data
+        if self.remainder:
+            data = self.remainder + data
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
-        events = data.split(END)
-        self.rest = events.pop()
-        if len(self.rest) > MOST_EVENT:
-            raise BrokenStreamError("an event is larger than any answer needs")
+        events = data.split(EVENT_END)
+        self.remainder = events.pop()
+        if len(self.remainder) > MAX_EVENT_BYTES:
+            raise BrokenStreamError("an event exceeds the maximum size")
         return events
 
 
 @define
 class StreamCheck:
-    """Follows one answer over all its attempts: no token twice, none left out.
+    """Checks one answer over all its attempts: no token is repeated or missing.
 
-    Only events without an index are decoded, three or so in an answer; of the
-    others the ``id:`` line is read and nothing else.
+    Only events without an index are decoded, about three in an answer; in the
+    others only the ``id:`` line is parsed.
 
     Attributes:
-        usage_wanted: Whether the caller asked for the usage event.
+        usage_wanted: Whether the caller requested the usage event.
         expected: The index of the next token.
-        finished: Whether the event with the finish reason has gone by.
-        done: Whether the answer is whole.
-        usage: What the last attempt said it took.
+        finished: Whether the event with the finish reason was received.
+        done: Whether the answer is complete.
+        usage: The usage that the latest attempt reported.
         indexed: Whether the engine numbers its tokens, so that it can resume.
-        opened: Whether anything was passed on.
-        first_mark: The answer's identifier, as the first attempt wrote it.
-        mark: The answer's identifier, as this attempt writes it.
-        skipped: Tokens that came again and were dropped.
+        opened: Whether any event was passed on to the caller.
+        first_answer_id: The ``"id"`` member of the answer's JSON in the first attempt.
+        answer_id: The ``"id"`` member of the answer's JSON in this attempt.
+        skipped: Number of repeated tokens that were dropped.
     """
 
     usage_wanted: bool = False
@@ -78,124 +82,137 @@
     usage: Usage | None = None
     indexed: bool = True
     opened: bool = False
-    first_mark: bytes = b""
-    mark: bytes = b""
+    first_answer_id: bytes = b""
+    answer_id: bytes = b""
     skipped: int = 0
 
     def begin(self) -> None:
-        """Start another attempt of the same answer."""
-        self.mark = b""
+        """Reset the state that belongs to one attempt, before the next one."""
+        self.answer_id = b""
         self.usage = None
 
-    def take(self, event: bytes) -> bytes:
-        """Return what of an event goes to the caller; empty for nothing.
+    def accept(self, event: bytes) -> bytes:
+        """Return the bytes of an event to pass on to the caller, or none.
 
         Raises:
-            BrokenStreamError: A token is missing, or the event makes no sense.
+            BrokenStreamError: A token is missing, or the event is invalid.
         """
         if self.done:
-            raise BrokenStreamError("there is more after the end of the stream")
+            raise BrokenStreamError("an event follows the end of the stream")
         if event.startswith(b"id: "):
-            return self.take_token(self.checked(event))
+            return self.accept_token(self.check_identity(event))
         if event == DONE:
-            return self.take_done(event)
+            return self.accept_done(event)
         if event.startswith(b":") or not event.strip():
             return b""
-        return self.take_decoded(self.checked(event))
+        return self.accept_other(self.check_identity(event))
+
+    def check_identity(self, event: bytes) -> bytes:
+        """Check that an event belongs to this answer, and return it.
 
-    def checked(self, event: bytes) -> bytes:
-        """Check that an event belongs to this answer.
+        All events of one attempt have the same identifier, so a byte search for it
+        detects an event of another answer without decoding.  A resumed attempt has
+        another identifier, which is replaced by that of the first attempt.
 
-        Crossed answers show as events whose identifier differs from that of the
-        events before them, within one connection.  All events of one attempt
-        carry the same, so a search for it finds a stranger without decoding.  A
-        resumed attempt has another; the caller goes on reading the first.
+        Raises:
+            BrokenStreamError: The event has the identifier of another answer.
         """
-        if not self.mark:
-            self.mark = identifier(event)
-            self.first_mark = self.first_mark or self.mark
-        if self.mark not in event and identifier(event):
+        if not self.answer_id:
+            self.answer_id = identifier(event)
+            self.first_answer_id = self.first_answer_id or self.answer_id
+        if self.answer_id not in event and identifier(event):
             raise BrokenStreamError("an event belongs to another answer")
-        if self.mark and self.mark != self.first_mark:
-            return event.replace(self.mark, self.first_mark, 1)
+        if self.answer_id and self.answer_id != self.first_answer_id:
+            return event.replace(self.answer_id, self.first_answer_id, 1)
         return event
 
-    def take_token(self, event: bytes) -> bytes:
-        """Check the index of a token.
+    def accept_token(self, event: bytes) -> bytes:
+        """Check the index of a token, and return its event if it is the next one.
+
+        A smaller index than expected belongs to a token that was delivered before;
+        it is dropped, so that the caller does not get it twice.  A larger index
+        means that a token was lost: the stream ends here and is resumed, because
+        the caller could not notice the gap.
 
-        A smaller index than expected is a token that was delivered before, by
-        an engine that repeats itself; passing it on would double a word.  A
-        larger one means that a token was lost on the way; the answer would read
-        well and be wrong, so the stream ends here and is resumed.
+        Raises:
+            BrokenStreamError: The index is larger than expected or no number.
         """
         digits, _, _ = event[4:].partition(b"\n")
         if not digits.isdigit():
-            raise BrokenStreamError("a token's index is no number")
+            raise BrokenStreamError("the index of a token is not a number")
         index = int(digits)
         if index < self.expected:
             self.skipped += 1
             return b""
         if index > self.expected or self.finished:
-            raise BrokenStreamError(f"token {index} came, {self.expected} was due")
+            raise BrokenStreamError(f"token {index} received, {self.expected} expected")
         self.expected = index + 1
         self.opened = True
-        return event + END
+        return event + EVENT_END
 
-    def take_done(self, event: bytes) -> bytes:
-        """Accept the end, if what must come before it came."""
+    def accept_done(self, event: bytes) -> bytes:
+        """Accept the end of the stream.
+
+        Raises:
+            BrokenStreamError: No event with a finish reason came before it.
+        """
         if not self.finished:
             raise BrokenStreamError("the stream ended without a finish reason")
         self.done = True
-        return event + END
+        return event + EVENT_END
 
-    def take_decoded(self, event: bytes) -> bytes:
-        """Handle an event without an index."""
+    def accept_other(self, event: bytes) -> bytes:
+        """Handle an event without an index; return the bytes to pass on, or none.
+
+        Raises:
+            BrokenStreamError: The event is not a JSON object.
+        """
         payload = event.removeprefix(b"data:").strip()
         try:
             value = json.loads(payload)
             choices = value.get("choices") or []
             usage = value.get("usage")
         except (ValueError, AttributeError) as error:
-            raise BrokenStreamError("an event is not the JSON it should be") from error
+            raise BrokenStreamError("an event is not a JSON object") from error
         if usage is not None and not choices:
             self.usage = read_usage(usage)
-            return event + END if self.usage_wanted else b""
+            return event + EVENT_END if self.usage_wanted else b""
         if any(choice.get("finish_reason") for choice in choices):
             if self.finished:
                 return b""
             self.finished = True
         elif self.opened:
             if self.expected > 0:
-                # The opening event of a resumed attempt: the caller has one.
+                # The first event of a resumed attempt; the caller has one already.
                 return b""
             self.indexed = False
         self.opened = True
-        return event + END
+        return event + EVENT_END
 
     @property
     def resumable(self) -> bool:
-        """Whether another attempt could go on exactly where this one stopped."""
+        """Whether another attempt can continue the answer from its next token."""
         return self.indexed and not self.done
 
 
 def identifier(event: bytes) -> bytes:
-    """Return the identifier of an event's answer as it is written, or nothing.
+    """Return the ``"id"`` member of an event's JSON as it is written, or nothing.
 
     >>> identifier(b'data: {"id":"chatcmpl-7","choices":[]}')
     b'"id":"chatcmpl-7"'
     """
-    found = IDENTIFIER.search(event)
+    found = ID_FIELD.search(event)
     return found.group(0) if found else b""
 
 
 def read_usage(value: object) -> Usage:
-    """Read a usage object, whatever an engine makes of it.
+    """Parse a usage object; a missing number counts as 0.
 
     Raises:
-        BrokenStreamError: It has no such numbers.
+        BrokenStreamError: It is not an object, or a number in it is invalid.
     """
     if not isinstance(value, dict):
-        raise BrokenStreamError("the usage is no object")
+        raise BrokenStreamError("the usage is not an object")
     details = value.get("prompt_tokens_details") or {}
     numbers = (
         value.get("prompt_tokens", 0),
@@ -203,5 +220,5 @@
         details.get("cached_tokens", 0) if isinstance(details, dict) else 0,
     )
     if any(type(number) is not int or number < 0 for number in numbers):
-        raise BrokenStreamError("the usage is no set of numbers")
+        raise BrokenStreamError("a number in the usage is not a nonnegative integer")
     return Usage(*numbers)
--- a/ebonyhold/backends/_state.py
+++ b/ebonyhold/backends/_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of one backend server."""
+"""The state that a router keeps for one backend server."""
 
 from __future__ import annotations
 
@@ -12,34 +12,36 @@
 from ebonyhold.document import Backend, BackendKind
 from ebonyhold.types import AttemptId, RequestId, Seconds
 
-FIRST_WINDOW = 0.25
-"""The part of a server's slots that a router begins with."""
+INITIAL_WINDOW = 0.25
+"""The initial window, as a fraction of an engine's slots."""
 
-PROBING = 0.5
-"""The part by which a window grows with each report before a queue was seen."""
+PROBING_GROWTH = 0.5
+"""Growth of a window per report until the first queue is reported, as a fraction."""
 
-SHRINK = 0.7
-"""What a report of a queue leaves of a window."""
+WINDOW_SHRINK = 0.7
+"""Factor by which a reported queue reduces a window."""
 
-GROWTH = 0.2
-"""What a router's window grows by with each report that shows no queue."""
+WINDOW_GROWTH = 0.2
+"""Growth of a window per report without a queue, in requests, after the first queue."""
 
 
 @define
 class BackendState:
-    """One backend server, as seen from here.
+    """One backend server and this router's requests to it.
 
     Attributes:
-        backend: Its part of the document.
-        distance: One-way delay to it, in seconds, as estimated.
-        report: Its last load report.
-        reported_at: When that came; -inf before the first.
-        own_at_report: What this router had there at that time.
-        running: This router's requests there, by attempt.
-        prefixes: The prompt prefixes it is believed to hold.
-        window: The most requests that this router keeps there.
-        probing: Whether the window still grows fast, having met no bound.
-        boot: Its boot identifier, as last heard.
+        backend: The server's entry in the document.
+        distance: Estimated one-way delay to the server, in seconds.
+        report: The latest load report.
+        reported_at: When that report arrived; -inf before the first.
+        own_at_report: Number of this router's requests at the server at that time.
+        running: This router's requests at the server, by attempt.
+        reserved: Number of this router's requests that were assigned to the server
+            and not sent yet.
+        prefixes: The prompt prefixes that the server's cache is assumed to hold.
+        window: The maximum number of this router's requests at the server.
+        probing: Whether the window still grows fast, as no queue was reported yet.
+        boot: The boot identifier in the latest load report.
     """
 
     backend: Backend
@@ -55,32 +57,37 @@
     boot: str = ""
 
     @property
-    def own(self) -> int:
-        """This router's requests there, chosen ones included."""
+    def own_requests(self) -> int:
+        """The number of this router's requests at the server, reserved too."""
         return len(self.running) + self.reserved
 
     @property
     def load(self) -> int:
-        """Requests there, by its report and what this router did since."""
+        """The estimated number of requests at the server.
+
+        It is the reported number, corrected by this router's requests since then.
+        """
         total = self.report.running + self.report.queued
-        return max(0, total - self.own_at_report) + self.own
+        return max(0, total - self.own_at_report) + self.own_requests
 
     @property
-    def room(self) -> int:
-        """Requests that may still be sent there."""
-        return max(0, min(self.backend.slots - self.load, int(self.window) - self.own))
+    def free_slots(self) -> int:
+        """The number of requests that may still be sent to the server."""
+        return max(
+            0, min(self.backend.slots - self.load, int(self.window) - self.own_requests)
+        )
 
     def __attrs_post_init__(self) -> None:
-        """Start with a part of an engine; plain services report no load."""
+        """Set the initial window: all slots of a service, a part of an engine's."""
         slots = float(self.backend.slots)
         engine = self.backend.kind is BackendKind.ENGINE
-        self.window = max(1.0, slots * FIRST_WINDOW) if engine else slots
+        self.window = max(1.0, slots * INITIAL_WINDOW) if engine else slots
 
     def heard(self, report: LoadReport, now: Seconds) -> None:
-        """Take in a load report; an older one than the last is ignored.
+        """Store a load report, unless it is older than the latest one.
 
-        A late duplicate would show as load that jumps back; the sequence number
-        within one boot tells it apart.
+        A report that arrives late would bring an outdated load back; it is
+        recognized by a smaller sequence number with the same boot identifier.
         """
         restarted = report.boot != self.report.boot
         if not restarted and report.sequence < self.report.sequence:
@@ -88,32 +95,31 @@
         if restarted:
             self.prefixes.clear()
         self.report = report
-        self.adapt()
+        self.adjust_window()
         self.reported_at = now
-        self.own_at_report = min(self.own, report.running + report.queued)
+        self.own_at_report = min(self.own_requests, report.running + report.queued)
         self.boot = report.boot
 
-    def adapt(self) -> None:
-        """Fit this router's window to what the report says.
+    def adjust_window(self) -> None:
+        """Adjust this router's window to the latest report.
 
-        Several routers that see the same free slots would all fill them, and
-        the requests would wait in the server, out of reach of any router's
-        order or deadline.  So each router bounds its own requests there: it
-        shrinks the bound when the server reports a queue, leaves it while the
-        server is full, and grows it slowly while there are free slots.  Routers
-        that share a server end up with fair parts of it, as TCP's do of a link,
-        without a word between them.
+        Several routers that see the same free slots would all fill them, and the
+        requests would wait in the server's queue, where no router can apply its
+        priorities or deadlines.  So each router limits its own requests: the window
+        shrinks when the server reports a queue, stays while the server is full, and
+        grows while there are free slots.  As in TCP congestion control, routers
+        that share a server converge to fair shares without communicating.
         """
         queued, running = self.report.queued, self.report.running
         if queued:
-            self.window = max(1.0, self.window * SHRINK)
+            self.window = max(1.0, self.window * WINDOW_SHRINK)
             self.probing = False
-        elif running + 1 < self.backend.slots and self.own + 1 >= self.window:
-            growth = self.window * PROBING if self.probing else GROWTH
+        elif running + 1 < self.backend.slots and self.own_requests + 1 >= self.window:
+            growth = self.window * PROBING_GROWTH if self.probing else WINDOW_GROWTH
             self.window = min(float(self.backend.slots), self.window + growth)
 
     def learn(self, events: Iterable[CacheEvent]) -> None:
-        """Take in cache events; those that were seen before change nothing."""
+        """Apply cache events to the prefix index, except those applied before."""
         for event in sorted(events, key=lambda item: item.sequence):
             if event.sequence <= self.prefixes.sequence:
                 continue
@@ -124,22 +130,26 @@
                 self.prefixes.removed(event.prefix)
 
     def candidate(self, hashes: tuple[str, ...]) -> Candidate:
-        """Return what the choice policy needs to know."""
+        """Return the input of the choice policy about this server.
+
+        Args:
+            hashes: The hashes of the prompt's prefixes.
+        """
         return Candidate(
             self.backend.name,
             self.backend.slots,
             reported=self.report.running + self.report.queued,
             own_at_report=self.own_at_report,
-            own=self.own,
+            own=self.own_requests,
             reuse=self.prefixes.reuse(hashes) if hashes else 0,
             distance=self.distance,
             token_rate=self.report.token_rate,
         )
 
     def started(self, attempt: AttemptId, request: RequestId, at: Seconds) -> None:
-        """Note a dispatch."""
+        """Record that an attempt is sent to the server."""
         self.running[attempt] = InProgress(request, self.backend.name, at)
 
     def ended(self, attempt: AttemptId) -> None:
-        """Note that an attempt is over."""
+        """Record that an attempt has ended."""
         self.running.pop(attempt, None)
--- a/ebonyhold/backends/_table.py
+++ b/ebonyhold/backends/_table.py
@@ -1,4 +1,4 @@
-"""All backend servers as one router sees them, kept by one task."""
+"""The backend servers that a router uses, and the task that polls them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 import httpx
 from attrs import define, field
 
+from ebonyhold.backends._attempt_status import UNKNOWN, close_at_engine
 from ebonyhold.backends._engine import EngineClient
 from ebonyhold.backends._http import make_client
 from ebonyhold.backends._messages import Timeouts
 from ebonyhold.backends._poll import poll_cache, poll_load
 from ebonyhold.backends._service import ServiceClient
 from ebonyhold.backends._state import BackendState
-from ebonyhold.backends._truth import UNKNOWN, ask_to_close
 from ebonyhold.coordination import (
     AttemptTruth,
     ChoicePolicy,
@@ -32,49 +32,62 @@
 from ebonyhold.fleet import FleetView
 from ebonyhold.types import AttemptId, BackendName, Seconds
 
-POLL_EVERY: Seconds = 0.5
-"""Between two load reports of one engine, at least."""
+POLL_INTERVAL: Seconds = 0.5
+"""The minimum time between two load reports of one engine."""
 
-POLLS_A_SECOND = 8.0
-"""Load reports that a router asks for, at most, so that control costs little."""
+MAX_POLL_RATE = 8.0
+"""Maximum number of load reports that a router requests per second.
 
-WORKING_SET = 24
-"""Engines of one kind that a router works with, where there are more."""
+It bounds the cost of polling in deployments with many engines.
+"""
+
+WORKING_SET_SIZE = 24
+"""Maximum number of engines with the same models that a router uses."""
 
 CACHE_EVERY = 4
-"""Rounds of polls for one question for cache events.
+"""Cache events are requested in one of so many rounds of polls.
 
-They come late in any case, and this router knows at once what it sent itself.
+They are out of date in any case, and a router records its own requests' prefixes
+without them.
 """
 
-JITTER = 0.2
-"""The part by which polls are spread, so that routers do not poll together."""
+POLL_JITTER = 0.2
+"""Width of the random variation of the poll interval, as a fraction of it.
+
+It keeps the routers from polling at the same time.
+"""
 
-FAR: Seconds = 0.0015
-"""One-way delay to another failure domain, where it has not been measured."""
+REMOTE_DELAY: Seconds = 0.0015
+"""The assumed one-way delay to another failure domain."""
 
 
 @define
 class Backends:
-    """The backend servers, chosen among and polled.
+    """The backend servers of the current document: polls them and chooses among them.
 
     Attributes:
-        fleet: The document in force and who is leaving.
-        rng: The source of chance.
-        timeouts: How long to wait for a server.
-        poll_every: Seconds between two polls of one engine.
-        transport: What carries requests, where that is not TCP.
-        states: What is known of each server in the document.
-        ejector: Which servers fail.
+        fleet: The current document, and which servers are leaving.
+        rng: The random number generator.
+        timeouts: The timeouts of calls to servers.
+        poll_every: The minimum time between two polls of one engine, in seconds.
+        transport: Replaces the transport over TCP, in tests.
+        client: The HTTP client of all calls.
+        engines: The client of model engines.
+        services: The client of plain services.
+        states: The state of each server in the document.
+        ejector: Ejects servers that fail.
+        policies: The choice policies that were used, by name.
+        version: The version of the document at the last refresh.
+        rounds: Number of rounds of polls.
         working: The engines that this router polls and prefers.
-        me: What tells this router's choice of them from the others'.
-        changed: Called when there may be more room than before.
+        self_id: A random id, so that routers choose different working sets.
+        changed: Called when servers may accept more requests than before.
     """
 
     fleet: FleetView
     rng: random.Random = field(factory=random.Random)
     timeouts: Timeouts = field(factory=Timeouts)
-    poll_every: Seconds = POLL_EVERY
+    poll_every: Seconds = POLL_INTERVAL
     transport: httpx.AsyncBaseTransport | None = None
     client: httpx.AsyncClient = field(init=False)
     engines: EngineClient = field(init=False)
@@ -85,18 +98,18 @@
     version: int = -1
     rounds: int = 0
     working: frozenset[BackendName] = frozenset()
-    me: str = field(init=False)
+    self_id: str = field(init=False)
     changed: Callable[[], None] = field(default=lambda: None)
 
     def __attrs_post_init__(self) -> None:
-        """Make the clients."""
-        self.me = f"{self.rng.getrandbits(64):016x}"
+        """Create the id and the clients."""
+        self.self_id = f"{self.rng.getrandbits(64):016x}"
         self.client = make_client(self.timeouts, self.transport)
         self.engines = EngineClient(self.client, self.timeouts)
         self.services = ServiceClient(self.client)
 
     async def run(self) -> None:
-        """Poll every engine of the document in force until cancelled."""
+        """Poll the engines of the working set until cancelled."""
         try:
             while True:
                 self.refresh()
@@ -110,12 +123,12 @@
                 await self.client.aclose()
 
     def pause(self) -> Seconds:
-        """Return the time to the next round of polls."""
-        period = max(self.poll_every, len(self.working) / POLLS_A_SECOND)
-        return period * (1 + JITTER * (self.rng.random() - 0.5))
+        """Return the time until the next round of polls."""
+        period = max(self.poll_every, len(self.working) / MAX_POLL_RATE)
+        return period * (1 + POLL_JITTER * (self.rng.random() - 0.5))
 
     async def poll(self, state: BackendState) -> None:
-        """Ask one engine for its load and its cache events."""
+        """Request one engine's load report and, in some rounds, its cache events."""
         report = await poll_load(self.client, state.backend, self.poll_every)
         name = state.backend.name
         if report is None:
@@ -124,20 +137,23 @@
             return
         self.ejector.reached(name)
         state.heard(report, anyio.current_time())
-        self.note_leaving(name, report.leaving)
+        self.update_leaving(name, report.leaving)
         if self.rounds % CACHE_EVERY == 0:
             await poll_cache(self.client, state, self.poll_every)
         self.changed()
 
-    def note_leaving(self, name: BackendName, leaving: bool) -> None:
-        """Note what a server says of itself."""
+    def update_leaving(self, name: BackendName, leaving: bool) -> None:
+        """Record whether a server reports that it is leaving."""
         if leaving:
             self.fleet.reported.add(name)
         else:
             self.fleet.reported.discard(name)
 
     def refresh(self) -> None:
-        """Follow the document: new servers come in, gone ones go."""
+        """Update the states to the current document.
+
+        A server whose address changed starts with a new state.
+        """
         document = self.fleet.document
         self.version = self.fleet.version
         wanted = {backend.name: backend for backend in document.backends}
@@ -151,46 +167,55 @@
         for name, backend in wanted.items():
             if name not in self.states:
                 self.states[name] = BackendState(backend, self.distance(backend))
-        self.working = self.choose_working()
+        self.working = self.choose_working_set()
 
-    def choose_working(self) -> frozenset[BackendName]:
+    def choose_working_set(self) -> frozenset[BackendName]:
         """Return the engines that this router polls and prefers."""
-        kinds: dict[tuple[str, ...], list[BackendName]] = {}
+        groups: dict[tuple[str, ...], list[BackendName]] = {}
         for backend in self.fleet.backends(BackendKind.ENGINE):
-            kinds.setdefault(backend.models, []).append(backend.name)
-        sets = [working_set(self.me, names, WORKING_SET) for names in kinds.values()]
+            groups.setdefault(backend.models, []).append(backend.name)
+        sets = [
+            working_set(self.self_id, names, WORKING_SET_SIZE)
+            for names in groups.values()
+        ]
         return frozenset().union(*sets)
 
     def distance(self, backend: Backend) -> Seconds:
-        """Return the expected one-way delay to a server."""
-        return 0.0 if backend.domain == self.fleet.domain else FAR
+        """Return the assumed one-way delay to a server."""
+        return 0.0 if backend.domain == self.fleet.domain else REMOTE_DELAY
 
     def usable(
         self, kind: BackendKind, name: str, tried: Iterable[BackendName] = ()
     ) -> list[BackendState]:
-        """Return the servers that may get new work for a model or a service."""
+        """Return the servers that may get new requests for a model or a service.
+
+        Args:
+            kind: Engines or plain services.
+            name: The model or the service.
+            tried: Servers to leave out.
+        """
         if self.version != self.fleet.version:
             self.refresh()
         tried = set(tried)
-        able = [
+        eligible = [
             state
             for state in self.states.values()
             if serves(state, kind, name) and self.fleet.accepts(state.backend)
         ]
         if kind is BackendKind.ENGINE:
-            near = [state for state in able if state.backend.name in self.working]
-            able = near or able
-        domains = {state.backend.name: state.backend.domain for state in able}
-        out = self.ejector.ejected(domains, anyio.current_time())
+            polled = [state for state in eligible if state.backend.name in self.working]
+            eligible = polled or eligible
+        domains = {state.backend.name: state.backend.domain for state in eligible}
+        ejected = self.ejector.ejected(domains, anyio.current_time())
         return [
             state
-            for state in able
-            if state.backend.name not in out and state.backend.name not in tried
+            for state in eligible
+            if state.backend.name not in ejected and state.backend.name not in tried
         ]
 
     def free(self, kind: BackendKind, name: str) -> int:
-        """Return how many requests the servers of a name could take now."""
-        return sum(state.room for state in self.usable(kind, name))
+        """Return how many requests the servers of a model or service can accept."""
+        return sum(state.free_slots for state in self.usable(kind, name))
 
     def choose(
         self,
@@ -199,30 +224,33 @@
         hashes: tuple[str, ...],
         tried: Iterable[BackendName] = (),
     ) -> BackendState | None:
-        """Choose an engine by the policy in force, or None when there is none.
+        """Choose an engine by the current policy, or None if there is none.
 
-        Engines with room come first; those without are better than none for an
-        answer that has begun.
+        Engines with free slots are preferred.  Without any, a full one is chosen,
+        so that an answer that has begun can continue.
         """
-        able = self.usable(BackendKind.ENGINE, model, tried)
-        roomy = [state for state in able if state.room > 0] or able
-        if not roomy:
+        eligible = self.usable(BackendKind.ENGINE, model, tried)
+        preferred = [state for state in eligible if state.free_slots > 0] or eligible
+        if not preferred:
             return None
-        candidates = [state.candidate(hashes) for state in roomy]
+        candidates = [state.candidate(hashes) for state in preferred]
         chosen = self.policy().choose(need, candidates, self.rng)
         return self.states[chosen.name]
 
     def choose_service(
         self, service: str, tried: Iterable[BackendName] = ()
     ) -> BackendState | None:
-        """Choose a server of a plain service: the least busy, near ones first."""
-        able = self.usable(BackendKind.SERVICE, service, tried)
-        if not able:
+        """Choose the server with the fewest requests, then the shortest delay."""
+        eligible = self.usable(BackendKind.SERVICE, service, tried)
+        if not eligible:
             return None
-        return min(able, key=lambda item: (item.own, item.distance, self.rng.random()))
+        return min(
+            eligible,
+            key=lambda item: (item.own_requests, item.distance, self.rng.random()),
+        )
 
     def policy(self) -> ChoicePolicy:
-        """Return the choice policy that the document names."""
+        """Return the choice policy of the current document."""
         name = self.fleet.document.policy.choice
         if name not in self.policies:
             self.policies[name] = make_choice_policy(name)
@@ -231,19 +259,19 @@
     async def close_attempt(
         self, backend: BackendName, attempt: AttemptId
     ) -> AttemptTruth:
-        """Close an attempt for good and return what became of it."""
+        """Close an attempt permanently and return its status."""
         state = self.states.get(backend)
         if state is None:
             return UNKNOWN
         try:
-            return await ask_to_close(
+            return await close_at_engine(
                 self.client, state.backend, attempt, self.timeouts.close
             )
         except UnavailableError:
             return UNKNOWN
 
     def holdings(self) -> tuple[Holding, ...]:
-        """Return what of this router still holds each leaving server."""
+        """Return each leaving server with this router's requests that run there."""
         leaving = [
             state.backend.name
             for state in self.states.values()
@@ -252,7 +280,7 @@
         return holdings(leaving, self.in_progress())
 
     def in_progress(self) -> Sequence[InProgress]:
-        """Return every attempt of this router that is under way."""
+        """Return the requests of all running attempts of this router."""
         return [
             request
             for state in self.states.values()
@@ -261,7 +289,10 @@
 
 
 def serves(state: BackendState, kind: BackendKind, name: str) -> bool:
-    """Return whether a server serves a model or a service now."""
+    """Return whether a server offers a model or a service.
+
+    An engine offers its loaded models; until its first report, those configured.
+    """
     backend = state.backend
     if backend.kind is not kind:
         return False
--- a/ebonyhold/backends/_transport.py
+++ b/ebonyhold/backends/_transport.py
@@ -1,4 +1,4 @@
-"""One pool of connections for each backend server."""
+"""An HTTP transport with one connection pool per backend server."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 import httpx
 from attrs import define, field
 
-KEEP_ALIVE = 64
-"""Idle connections that are kept for one server."""
+MAX_IDLE_CONNECTIONS = 64
+"""The maximum number of idle connections to one server."""
 
-IDLE_FOR = 60.0
-"""How long an idle connection is kept, in seconds."""
+IDLE_TIMEOUT = 60.0
+"""How long an idle connection is kept open, in seconds."""
 
 
 @define(eq=False)
 class PooledByServer(httpx.AsyncBaseTransport):
-    """Carries each request through its server's own pool.
+    """Sends each request through the connection pool of its server.
 
-    With one pool for all, each request looks at every connection there is, so
-    that its cost grows with the streams that are open elsewhere.
+    In a single pool each request would search the connections of all servers, so
+    its cost would grow with the number of open streams.
 
     Attributes:
         pools: The pools by scheme, host and port.
+        context: The TLS context, created for the first pool with ``https``.
     """
 
     pools: dict[tuple[str, str, int | None], httpx.AsyncHTTPTransport] = field(
@@ -31,7 +32,7 @@
     context: ssl.SSLContext | None = None
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Carry one request."""
+        """Send one request and return its response."""
         url = request.url
         key = (url.scheme, url.host, url.port)
         pool = self.pools.get(key)
@@ -40,15 +41,17 @@
         return await pool.handle_async_request(request)
 
     def make_pool(self, scheme: str) -> httpx.AsyncHTTPTransport:
-        """Return an empty pool; the certificates are read once, and if needed."""
+        """Return a new pool; load the CA certificates for the first with https."""
         if scheme == "https" and self.context is None:
             self.context = ssl.create_default_context()
         return httpx.AsyncHTTPTransport(
-            verify=self.context if scheme == "https" and self.context else PLAIN,
+            verify=self.context
+            if scheme == "https" and self.context
+            else NO_CERTIFICATES,
             limits=httpx.Limits(
                 max_connections=None,
-                max_keepalive_connections=KEEP_ALIVE,
-                keepalive_expiry=IDLE_FOR,
+                max_keepalive_connections=MAX_IDLE_CONNECTIONS,
+                keepalive_expiry=IDLE_TIMEOUT,
             ),
         )
 
@@ -59,5 +62,8 @@
         self.pools.clear()
 
 
-PLAIN = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-"""Trusts nobody; it stands where no TLS is spoken."""
+NO_CERTIFICATES = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+"""A context without CA certificates, for pools of plain HTTP connections.
+
+It saves the time to load the certificates.
+"""
--- a/tests/backends/__init__.py
+++ b/tests/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the interface to backend servers."""
+"""Tests of `ebonyhold.backends`."""
--- a/tests/backends/conftest.py
+++ b/tests/backends/conftest.py
@@ -1,4 +1,4 @@
-"""All tests here run on a virtual clock."""
+"""Runs these tests on a virtual clock, unless a module replaces the fixture."""
 
 from tests.virtual import anyio_backend
 
--- a/tests/backends/kit.py
+++ b/tests/backends/kit.py
@@ -1,4 +1,4 @@
-"""Scripted backend servers behind a transport: no sockets, any clock."""
+"""Scripted backend servers behind an HTTP transport without sockets."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 Script = Callable[["Engine", httpx.Request], Awaitable[httpx.Response]]
 
 
-class Pieces(httpx.AsyncByteStream):
-    """A body that comes in pieces; an exception among them breaks it off."""
+class ScriptedBody(httpx.AsyncByteStream):
+    """A body that is sent in pieces: a float is a pause, an exception is raised."""
 
     def __init__(self, engine: Engine, pieces: list[bytes | Exception | float]) -> None:
         self.engine = engine
         self.pieces = pieces
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Give the pieces."""
+        """Yield the pieces."""
         for piece in self.pieces:
             if isinstance(piece, Exception):
                 raise piece
@@ -63,7 +63,7 @@
 
 
 def whole_body() -> bytes:
-    """Return the whole answer."""
+    """Return the body of a complete answer."""
     text = "".join(f"t{index} " for index in range(TOKENS))
     usage = {"prompt_tokens": PROMPT_TOKENS, "completion_tokens": TOKENS}
     message = {"role": "assistant", "content": text}
@@ -76,13 +76,21 @@
     """One scripted server.
 
     Attributes:
-        scripts: What it does with each call, the last one repeated; none means
-            that it answers as it should.
-        calls: The calls that reached it.
-        truth: Its answer to the closing of an attempt.
-        tells: Whether its answer to a closing is what `ran` says.
-        orders: The orders it carried out.
-        order_delay: Holds orders back on their way until it is set.
+        scripts: The script of each call; the last one is repeated.  Without any, all
+            calls are answered correctly.
+        calls: The calls received.
+        closed: Number of streams that were closed.
+        closes: The attempts of which the closing was requested.
+        boot: The boot identifier.
+        truth: The status returned for closed attempts; None for an error 500.
+        load: Members that replace those of the load report.
+        tells: Whether the status of closed attempts is derived from `ran`.
+        ran: The attempts that ran.
+        models: The models that are loaded.
+        orders: The orders executed.
+        fencing: The largest fencing number received, by model.
+        checks_fencing: Whether orders with an old fencing number are refused.
+        order_delay: Orders wait until this event is set.
     """
 
     scripts: list[Script] = field(factory=list)
@@ -110,12 +118,12 @@
         if path == "/v1/cache/events":
             return httpx.Response(200, json={"events": []})
         if path == "/v1/orders":
-            return await self.obey(json.loads(request.content))
+            return await self.execute_order(json.loads(request.content))
         if path.endswith("/close"):
             attempt = path.split("/")[3]
             self.closes.append(attempt)
             if self.tells:
-                return httpx.Response(200, json=self.fate(attempt))
+                return httpx.Response(200, json=self.status_of(attempt))
             if self.truth is None:
                 return httpx.Response(500)
             return httpx.Response(200, json={"boot": self.boot, **self.truth})
@@ -125,8 +133,8 @@
             script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
         return await script(self, request)
 
-    def fate(self, attempt: str) -> dict[str, object]:
-        """Return what became of an attempt."""
+    def status_of(self, attempt: str) -> dict[str, object]:
+        """Return the status of an attempt, by `ran`."""
         if attempt not in self.ran:
             return {"boot": self.boot, "state": "never_ran"}
         return {
@@ -136,8 +144,8 @@
             "completion_tokens": TOKENS,
         }
 
-    async def obey(self, order: dict[str, Any]) -> httpx.Response:
-        """Carry out an order, unless its fencing number is checked and old."""
+    async def execute_order(self, order: dict[str, Any]) -> httpx.Response:
+        """Execute an order, unless its fencing number is checked and old."""
         if self.order_delay is not None:
             await self.order_delay.wait()
         latest = self.fencing.get(order["model"], 0)
@@ -154,20 +162,20 @@
     def stream(
         self, request: httpx.Request, pieces: list[bytes | Exception | float]
     ) -> httpx.Response:
-        """Return a stream of the right attempt."""
+        """Return a streamed response with the identifier of the request's attempt."""
         headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"]}
         headers["Content-Type"] = "text/event-stream"
-        return httpx.Response(200, headers=headers, stream=Pieces(self, pieces))
+        return httpx.Response(200, headers=headers, stream=ScriptedBody(self, pieces))
 
 
 @define
 class Fleet(httpx.AsyncBaseTransport):
-    """Carries requests to scripted servers by their address."""
+    """A transport that sends requests to scripted servers by their address."""
 
     servers: dict[str, Engine]
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Carry one request."""
+        """Send one request and return the server's response."""
         await request.aread()
         server = self.servers[f"{request.url.host}:{request.url.port}"]
         response = await server.handle(request)
@@ -176,7 +184,7 @@
 
 
 async def good(engine: Engine, request: httpx.Request) -> httpx.Response:
-    """Answer as an engine should."""
+    """Answer correctly, streamed or complete as requested."""
     if not json.loads(request.content).get("stream"):
         headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"]}
         return httpx.Response(200, headers=headers, content=whole_body())
@@ -186,7 +194,7 @@
 
 
 def broken_after(count: int, error: Exception) -> Script:
-    """Return a script that sends some tokens and then breaks off."""
+    """Return a script that sends some tokens and then raises an error."""
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         first = int(request.headers.get("X-Resume-Tokens", "0"))
@@ -197,7 +205,7 @@
 
 
 def sends(*pieces: bytes | Exception | float) -> Script:
-    """Return a script that sends these pieces."""
+    """Return a script that streams these pieces."""
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         return engine.stream(request, list(pieces))
@@ -206,7 +214,7 @@
 
 
 def fails(error: Exception) -> Script:
-    """Return a script that fails before any answer."""
+    """Return a script that raises an error instead of answering."""
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         raise error
@@ -215,7 +223,7 @@
 
 
 def answers(status: int, body: bytes = b"", **headers: str) -> Script:
-    """Return a script that answers with a status."""
+    """Return a script that answers with a status, a body and headers."""
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         named = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -225,7 +233,7 @@
 
 
 def hangs(seconds: float) -> Script:
-    """Return a script that answers late."""
+    """Return a script that answers correctly after a delay."""
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         await anyio.sleep(seconds)
--- a/tests/backends/test_headers.py
+++ b/tests/backends/test_headers.py
@@ -1,4 +1,4 @@
-"""What an attempt carries to its engine."""
+"""Request headers of attempts at engines."""
 
 from __future__ import annotations
 
--- a/tests/backends/test_placement.py
+++ b/tests/backends/test_placement.py
@@ -1,4 +1,4 @@
-"""Orders to engines: one holder, fencing numbers, and late orders of a paused one."""
+"""Placement orders: the lease, fencing numbers and late orders."""
 
 from __future__ import annotations
 
@@ -57,13 +57,13 @@
         ),
     ],
 )
-def test_least_engines(engines: list[EngineView], order: str | None) -> None:
-    given = Placement(QUICK).decide([MODEL], engines, [], 0.0)
-    assert (given and f"{given.action.value} {given.backend}") == order
+def test_minimum_engines(engines: list[EngineView], order: str | None) -> None:
+    decided = Placement(QUICK).decide([MODEL], engines, [], 0.0)
+    assert (decided and f"{decided.action.value} {decided.backend}") == order
 
 
-def test_demand_that_swings_changes_nothing() -> None:
-    """Load crosses the threshold every few seconds; no model is loaded for it."""
+def test_oscillating_load_loads_no_model() -> None:
+    """The load crosses the threshold every few seconds, and no model is loaded."""
     placement = Placement(QUICK)
     for second in range(120):
         load = 16 if second % 8 < 6 else 8
@@ -72,39 +72,39 @@
         assert placement.decide([MODEL], engines, [], float(second)) is None
 
 
-def test_lasting_demand_loads_once_at_a_time() -> None:
-    """All engines stay full: one load is ordered, and no other while it lasts."""
+def test_lasting_load_orders_one_load_at_a_time() -> None:
+    """All engines stay full: one model is loaded, and no other until it is done."""
     placement = Placement(QUICK)
     engines = [engine("a", MODEL, load=16), engine("b", MODEL, load=16)]
     engines += [engine("c"), engine("d")]
-    given = [placement.decide([MODEL], engines, [], float(at)) for at in range(60)]
-    assert [item.backend for item in given if item] == ["c"]
+    orders = [placement.decide([MODEL], engines, [], float(at)) for at in range(60)]
+    assert [item.backend for item in orders if item] == ["c"]
 
 
-def test_an_idle_model_is_dropped_where_another_one_is() -> None:
+def test_an_idle_model_is_unloaded_where_another_is_loaded() -> None:
     placement = Placement(QUICK)
     engines = [engine(name, MODEL, "other") for name in ("a", "b", "c")]
-    given = [
+    orders = [
         placement.decide([MODEL], engines, [], float(at)) for at in range(0, 90, 5)
     ]
-    assert [item.action for item in given if item][:1] == [Action.UNLOAD]
-    assert given[0] is None
+    assert [item.action for item in orders if item][:1] == [Action.UNLOAD]
+    assert orders[0] is None
 
 
-def test_an_unanswered_drop_is_not_counted_on() -> None:
-    """An earlier holder decided to drop a model and nobody knows whether it will.
+def test_an_engine_with_a_pending_unload_does_not_count() -> None:
+    """An earlier holder ordered to unload a model, and the outcome is unknown.
 
-    The model is loaded on a third engine before anything else.
+    The model is loaded on a third engine before any other order.
     """
     engines = [engine("a", MODEL), engine("b", MODEL), engine("c")]
-    doubt = OrderRow(EngineOrder("b", Action.UNLOAD, MODEL), 1)
-    given = Placement(QUICK).decide([MODEL], engines, [doubt], 0.0)
-    assert given == EngineOrder("c", Action.LOAD, MODEL)
+    pending = OrderRow(EngineOrder("b", Action.UNLOAD, MODEL), 1)
+    order = Placement(QUICK).decide([MODEL], engines, [pending], 0.0)
+    assert order == EngineOrder("c", Action.LOAD, MODEL)
 
 
 @define
 class Rig:
-    """Two routers that want to order, and three engines."""
+    """Two routers that compete for the lease, and three engines."""
 
     table: MemoryTable
     servers: dict[str, Engine]
@@ -145,7 +145,7 @@
     await rig.poll()
     for _ in range(4):
         for holder in rig.holders:
-            await holder.round()
+            await holder.run_round()
         await rig.poll()
     first, second = rig.holders
     assert first.held is not None
@@ -156,47 +156,47 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("checks_fencing", [True, False])
-async def test_a_paused_holder_wakes_up(checks_fencing: bool) -> None:
-    """A holder checks its lease, is paused, and its drop arrives much later.
+async def test_a_paused_holder_sends_its_order_late(checks_fencing: bool) -> None:
+    """A holder is paused after checking its lease; its unload order arrives late.
 
-    Meanwhile another router has taken the lease.  An engine that checks numbers
-    refuses the drop.  One that does not obeys it; by then the model is on a
-    further engine, so two still serve it, and no caller is refused for it.
+    Another router holds the lease by then.  An engine that checks fencing numbers
+    refuses the order.  Another engine executes it, but the model is loaded on a
+    further engine by then, so two engines still serve it.
     """
     rig = make_rig(checks_fencing)
     old, new = rig.holders
     rig.servers["e0"].models = {MODEL, "other"}
     rig.servers["e1"].models = {MODEL}
     await rig.poll()
-    await old.round()
+    await old.run_round()
     assert old.held is not None
-    road = anyio.Event()
-    rig.servers["e0"].order_delay = road
-    drop = EngineOrder("e0", Action.UNLOAD, MODEL)
+    release = anyio.Event()
+    rig.servers["e0"].order_delay = release
+    unload = EngineOrder("e0", Action.UNLOAD, MODEL)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(old.give, drop, old.held)
+        tasks.start_soon(old.issue, unload, old.held)
         await anyio.sleep(1.0)
         rig.servers["e0"].order_delay = None
         for _ in range(12):
-            await new.round()
+            await new.run_round()
             await rig.poll()
             await anyio.sleep(3.0)
         assert new.held is not None
         assert new.held.row.fencing == 2
-        await arrive_late(rig, drop, old.held.row.fencing)
-        road.set()
+        await deliver_late(rig, unload, old.held.row.fencing)
+        release.set()
     for _ in range(3):
         await rig.poll()
-        await new.round()
+        await new.run_round()
     assert ("unload assistant 1" in rig.servers["e0"].orders) is not checks_fencing
-    having = [name for name, server in rig.servers.items() if MODEL in server.models]
-    assert len(having) >= 2
+    loaded = [name for name, server in rig.servers.items() if MODEL in server.models]
+    assert len(loaded) >= 2
     if checks_fencing:
         assert await rig.table.scan("order/") == []
 
 
-async def arrive_late(rig: Rig, drop: EngineOrder, fencing: int) -> None:
-    """Let the drop arrive that its sender has long given up."""
-    await rig.servers[drop.backend].obey(
-        {"order": drop.action.value, "model": drop.model, "fencing": fencing}
+async def deliver_late(rig: Rig, unload: EngineOrder, fencing: int) -> None:
+    """Deliver an unload order that its sender has already given up."""
+    await rig.servers[unload.backend].execute_order(
+        {"order": unload.action.value, "model": unload.model, "fencing": fencing}
     )
--- a/tests/backends/test_sockets.py
+++ b/tests/backends/test_sockets.py
@@ -1,4 +1,4 @@
-"""Contract tests against servers that are scripted byte by byte, over sockets."""
+"""Clients against scripted servers over sockets, with faults at any byte."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Sockets have no virtual clock."""
+    """Use the real clock, because sockets do not work with the virtual one."""
     return "asyncio"
 
 
-GONE = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
-Script = Callable[["Peer", SocketStream, str], Awaitable[None]]
+DISCONNECTED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+Script = Callable[["Server", SocketStream, str], Awaitable[None]]
 
 
 @define
-class Peer:
-    """A server that follows a script for each request.
+class Server:
+    """A server that runs a script for each request.
 
     Attributes:
-        script: What it does with a request.
-        connections: Connections it has accepted.
-        requests: The requests' attempts, with the connection each came on.
+        script: Answers one request.
+        connections: Number of connections accepted.
+        requests: The connection and the attempt of each request.
     """
 
     script: Script
@@ -65,12 +65,12 @@
                     attempt = await read_attempt(stream)
                     self.requests.append((number, attempt))
                     await self.script(self, stream, attempt)
-            except GONE:
+            except DISCONNECTED:
                 return
 
 
 async def read_attempt(stream: SocketStream) -> str:
-    """Read one request and return its attempt."""
+    """Read one request and return the identifier of its attempt."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += await stream.receive()
@@ -85,71 +85,79 @@
 
 
 def answer(attempt: str, body: bytes) -> bytes:
-    """Return a whole response."""
+    """Return a complete response."""
     return HEAD.format(attempt=attempt, length=len(body)).encode() + body
 
 
-async def good(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def complete(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.send(answer(attempt, EVENTS))
 
 
-async def reset(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def reset(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.aclose()
 
 
-async def half(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def truncated(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.send(answer(attempt, EVENTS)[: len(EVENTS) // 2])
     await stream.aclose()
 
 
-async def crossed(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def mismatched(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.send(answer("another", EVENTS))
 
 
-async def silent(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def silent(server: Server, stream: SocketStream, attempt: str) -> None:
     await anyio.sleep(2)
 
 
-async def trickled(peer: Peer, stream: SocketStream, attempt: str) -> None:
-    """Send the header a byte at a time, each within every read's timeout."""
+async def trickled(server: Server, stream: SocketStream, attempt: str) -> None:
+    """Send the response a byte at a time, each within the read timeout."""
     for byte in answer(attempt, EVENTS):
         await stream.send(bytes([byte]))
         await anyio.sleep(0.05)
 
 
-async def garbage(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def garbage(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.send(b"\x16\x03\x01 what is this\r\n\r\n")
 
 
-async def long_header(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def long_header(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.send(b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 300_000 + b"\r\n\r\n")
 
 
-async def busy(peer: Peer, stream: SocketStream, attempt: str) -> None:
+async def busy(server: Server, stream: SocketStream, attempt: str) -> None:
     await stream.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
 @asynccontextmanager
-async def serving(script: Script) -> AsyncIterator[tuple[Peer, Backend]]:
-    """Run a scripted server."""
-    peer = Peer(script)
+async def serving(script: Script) -> AsyncIterator[tuple[Server, Backend]]:
+    """Run a scripted server and yield it with its backend entry."""
+    server = Server(script)
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as tasks:
-        tasks.start_soon(listener.serve, peer.serve)
-        yield peer, Backend("e", BackendKind.ENGINE, f"127.0.0.1:{port}", "d")
+        tasks.start_soon(listener.serve, server.serve)
+        yield server, Backend("e", BackendKind.ENGINE, f"127.0.0.1:{port}", "d")
         tasks.cancel_scope.cancel()
 
 
 async def ask(client: EngineClient, backend: Backend, attempt: str) -> bytes:
-    """Stream one answer."""
-    heard: list[bytes] = []
+    """Return one streamed answer."""
+    pieces: list[bytes] = []
     call = EngineCall(attempt, b"{}", stream=True)
-    await client.stream(backend, call, StreamCheck(), heard.append)
-    return b"".join(heard)
+    await client.stream(backend, call, StreamCheck(), pieces.append)
+    return b"".join(pieces)
 
 
-FAULTS: list[Script] = [reset, half, crossed, silent, trickled, garbage, long_header]
+FAULTS: list[Script] = [
+    reset,
+    truncated,
+    mismatched,
+    silent,
+    trickled,
+    garbage,
+    long_header,
+]
 
 
 @pytest.mark.parametrize("script", FAULTS, ids=lambda script: script.__name__)
@@ -169,8 +177,8 @@
     assert caught.value.ran is True
 
 
-async def test_refused_connection_did_not_run() -> None:
-    async with serving(good) as (_, backend):
+async def test_an_attempt_without_a_connection_did_not_run() -> None:
+    async with serving(complete) as (_, backend):
         pass
     async with make_client(QUICK) as http:
         with pytest.raises(UnreachableError) as caught:
@@ -180,41 +188,41 @@
     assert caught.value.ran is False
 
 
-async def test_busy_did_not_run() -> None:
+async def test_a_busy_engine_did_not_run_the_attempt() -> None:
     async with serving(busy) as (_, backend), make_client(QUICK) as http:
         with pytest.raises(RefusedError) as caught:
             await ask(EngineClient(http, QUICK), backend, "a-1")
     assert (caught.value.ran, caught.value.final) == (False, False)
 
 
-async def test_a_whole_answer_leaves_its_connection_for_the_next() -> None:
-    async with serving(good) as (peer, backend), make_client(QUICK) as http:
+async def test_a_connection_is_reused_after_a_complete_answer() -> None:
+    async with serving(complete) as (server, backend), make_client(QUICK) as http:
         client = EngineClient(http, QUICK)
         for attempt in ("a-1", "a-2"):
             assert (await ask(client, backend, attempt)).endswith(b"[DONE]\n\n")
-    assert peer.requests == [(1, "a-1"), (1, "a-2")]
+    assert server.requests == [(1, "a-1"), (1, "a-2")]
 
 
-@pytest.mark.parametrize("left", ["caller gone", "stalled", "crossed"])
+@pytest.mark.parametrize("left", ["caller gone", "stalled", "other attempt"])
 async def test_an_unread_answer_is_never_read_by_the_next(left: str) -> None:
-    """An attempt ends before its answer was read; the answer comes late.
+    """An attempt ends before its answer was read completely.
 
-    The next attempt must not read it as its own, so it goes out on another
-    connection and hears its own answer.
+    The next attempt uses a new connection, so that it cannot read the remainder of
+    that answer as its own.
     """
 
-    async def script(peer: Peer, stream: SocketStream, attempt: str) -> None:
+    async def script(server: Server, stream: SocketStream, attempt: str) -> None:
         if attempt == "a-2":
-            await good(peer, stream, attempt)
-        elif left == "crossed":
-            await crossed(peer, stream, attempt)
+            await complete(server, stream, attempt)
+        elif left == "other attempt":
+            await mismatched(server, stream, attempt)
         else:
             whole = answer(attempt, EVENTS)
             await stream.send(whole[: len(whole) - 20])
             await anyio.sleep(1.0)
             await stream.send(whole[len(whole) - 20 :])
 
-    async with serving(script) as (peer, backend), make_client(QUICK) as http:
+    async with serving(script) as (server, backend), make_client(QUICK) as http:
         client = EngineClient(http, QUICK)
         if left == "caller gone":
             with anyio.move_on_after(0.1):
@@ -223,4 +231,4 @@
             with pytest.raises(BackendError):
                 await ask(client, backend, "a-1")
         assert (await ask(client, backend, "a-2")).count(b"id: 0\n") == 1
-    assert peer.requests == [(1, "a-1"), (2, "a-2")]
+    assert server.requests == [(1, "a-1"), (2, "a-2")]
--- a/tests/backends/test_table.py
+++ b/tests/backends/test_table.py
@@ -1,4 +1,4 @@
-"""The table of backend servers: who is polled, preferred and remembered."""
+"""The backend servers of one router: polling, working set, states and windows."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from attrs import evolve
 
 from ebonyhold.backends import Backends, LoadReport
-from ebonyhold.backends._table import JITTER, POLLS_A_SECOND, WORKING_SET
+from ebonyhold.backends._table import MAX_POLL_RATE, POLL_JITTER, WORKING_SET_SIZE
 from ebonyhold.document import BackendKind
 from ebonyhold.fleet import FleetView
 from tests.backends.kit import Engine, Fleet
@@ -25,22 +25,22 @@
     return Backends(fleet, rng=random.Random(3), transport=transport)
 
 
-async def test_few_engines_are_all_worked_with() -> None:
+async def test_a_few_engines_are_all_used() -> None:
     table = make_table(9)
     assert len(table.usable(BackendKind.ENGINE, MODEL)) == 9
     pauses = [table.pause() for _ in range(50)]
-    assert min(pauses) >= 9 / POLLS_A_SECOND * (1 - JITTER / 2)
-    assert max(pauses) <= 9 / POLLS_A_SECOND * (1 + JITTER / 2)
+    assert min(pauses) >= 9 / MAX_POLL_RATE * (1 - POLL_JITTER / 2)
+    assert max(pauses) <= 9 / MAX_POLL_RATE * (1 + POLL_JITTER / 2)
 
 
-async def test_many_engines_cost_no_more() -> None:
+async def test_the_poll_rate_is_limited_with_many_engines() -> None:
     table = make_table(200)
-    assert len(table.usable(BackendKind.ENGINE, MODEL)) == WORKING_SET
+    assert len(table.usable(BackendKind.ENGINE, MODEL)) == WORKING_SET_SIZE
     polls = len(table.working) / table.pause()
-    assert polls < 1.2 * POLLS_A_SECOND
+    assert polls < 1.2 * MAX_POLL_RATE
 
 
-async def test_when_the_own_ones_leave_the_others_are_used() -> None:
+async def test_other_engines_are_used_when_the_working_set_leaves() -> None:
     table = make_table(200)
     table.refresh()
     table.fleet.leaving = table.working
@@ -49,8 +49,8 @@
     assert not others & table.working
 
 
-async def test_documents_come_and_go() -> None:
-    """A server keeps what is known of it through versions, unless it moves."""
+async def test_a_new_document_updates_the_states() -> None:
+    """A server keeps its state in a new document unless its address changes."""
     table = make_table(3)
     table.refresh()
     table.states["e0"].heard(LoadReport("b", 1, running=5), 1.0)
@@ -75,8 +75,10 @@
         ([LoadReport("b", 9, running=9), LoadReport("c", 1, running=0)], 0),
     ],
 )
-async def test_late_reports(reports: list[LoadReport], running: int) -> None:
-    """A report that comes late is not taken for news; a restart is."""
+async def test_a_late_report_is_ignored(
+    reports: list[LoadReport], running: int
+) -> None:
+    """A report with an older sequence number is ignored, unless the boot changed."""
     table = make_table(1)
     table.refresh()
     state = table.states["e0"]
@@ -99,4 +101,4 @@
     assert state.window == shrunk
     state.heard(LoadReport("b", 3, running=9), 2.0)
     assert state.window > shrunk
-    assert state.room == 0
+    assert state.free_slots == 0
