--- a/ebonyhold/routers/__init__.py
+++ b/ebonyhold/routers/__init__.py
@@ -1,6 +1,6 @@
-"""The other routers: messages, heartbeats, the membership view."""
+"""Communication with the other routers: messages, heartbeats and membership."""
 
-from ebonyhold.routers._envelope import Envelopes, Opened
+from ebonyhold.routers._envelope import Envelopes, OpenedMessage
 from ebonyhold.routers._fake import FakeLink, FakeNetwork
 from ebonyhold.routers._interface import (
     ConfigurationReply,
@@ -24,7 +24,7 @@
     "FakeNetwork",
     "Handler",
     "KeyRing",
-    "Opened",
+    "OpenedMessage",
     "PeerKey",
     "PeerLink",
     "PeerMessage",
--- a/ebonyhold/routers/_envelope.py
+++ b/ebonyhold/routers/_envelope.py
@@ -1,9 +1,9 @@
-"""Authenticated encryption of what routers send, with protection from replay.
+"""Authenticated encryption of the messages between routers, with replay protection.
 
-Each start of a router takes a random session, from which a key of its own is
-derived; within the session the sequence number is the nonce, so no nonce is used
-twice with the same key.  Sender, receiver and their incarnations are bound to the
-ciphertext.
+Each start of a router chooses a random session id, from which a session key is
+derived.  Within the session the sequence number is the nonce, so no nonce is used
+twice with the same key.  The incarnations of sender and receiver are part of the
+authenticated header.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
 NONCE_BYTES = 12
 LENGTH_BYTES = 2
 MAX_ENVELOPE = 65_536
-"""The longest envelope, in bytes; longer ones are refused unread."""
+"""The maximum size of an envelope, in bytes; a larger one is refused undecoded."""
 
-WINDOW = 256
-"""How far behind the newest sequence number a message may arrive."""
+REPLAY_WINDOW = 256
+"""How far a sequence number may be behind the newest one of its session."""
 
 MAX_SESSIONS = 4096
-"""Sessions whose windows are kept: two weeks of 280 restarts a day."""
+"""Maximum number of sessions with a replay window: two weeks of 280 restarts a day."""
 
 converter = cattrs.Converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 
 
 @frozen
 class Header:
-    """What travels in the clear, but cannot be changed.
+    """The header of an envelope: authenticated, but not encrypted.
 
     Attributes:
-        version: The form of the envelope.
+        version: The version of the envelope's format.
         key: The name of the shared key.
-        session: Random for each start of the sender.
-        sequence: Counts the sender's messages in the session.
+        session: The random id of the sender's session.
+        sequence: The number of the message in the sender's session.
         sender: The sending incarnation.
-        receiver: The incarnation it is for; empty when only its address is known.
-        address: The address it is for, ``ip:port``.
+        receiver: The receiving incarnation; empty if only its address is known.
+        address: The address of the receiver, ``ip:port``.
         ring: The names of the keys that the sender has, newest first.
     """
 
@@ -70,12 +70,12 @@
 
 
 @frozen
-class Opened:
+class OpenedMessage:
     """A message that was accepted.
 
     Attributes:
-        header: Its header, now proved.
-        body: What it says.
+        header: The authenticated header.
+        body: The decrypted body.
     """
 
     header: Header
@@ -84,7 +84,11 @@
 
 @define
 class ReplayWindow:
-    """The sequence numbers that have been seen of one session.
+    """The sequence numbers that were received in one session.
+
+    Attributes:
+        newest: The largest number received.
+        received: Bitmap of the numbers received; bit `n` stands for `newest` - `n`.
 
     >>> window = ReplayWindow()
     >>> [window.accept(n) for n in (1, 3, 2, 3, 1000, 4)]
@@ -92,62 +96,67 @@
     """
 
     newest: int = -1
-    seen: int = 0
+    received: int = 0
 
     def accept(self, sequence: int) -> bool:
-        """Say whether a number is new, and remember it."""
+        """Return whether a number is new, and record it.
+
+        A number too far behind the newest one is treated as received before.
+        """
         if sequence > self.newest:
-            shift = min(sequence - self.newest, WINDOW)
-            self.seen = ((self.seen << shift) | 1) & ((1 << WINDOW) - 1)
+            shift = min(sequence - self.newest, REPLAY_WINDOW)
+            self.received = ((self.received << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.newest = sequence
             return True
         bit = 1 << (self.newest - sequence)
-        if bit >= 1 << WINDOW or self.seen & bit:
+        if bit >= 1 << REPLAY_WINDOW or self.received & bit:
             return False
-        self.seen |= bit
+        self.received |= bit
         return True
 
 
-def derive(key: PeerKey, session: bytes) -> ChaCha20Poly1305:
-    """Derive the cipher of one session from a shared key."""
+def derive_cipher(key: PeerKey, session: bytes) -> ChaCha20Poly1305:
+    """Return the cipher of one session, derived from a shared key."""
     hkdf = HKDF(SHA256(), SECRET_BYTES, salt=session, info=b"ebonyhold peers 1")
     return ChaCha20Poly1305(hkdf.derive(key.secret))
 
 
 @define
 class Ciphers:
-    """The derived ciphers in use, the least recently used dropped first."""
+    """A cache of session ciphers that evicts the least recently used one."""
 
     limit: int = MAX_SESSIONS
-    kept: OrderedDict[tuple[bytes, bytes], ChaCha20Poly1305] = field(
+    cached: OrderedDict[tuple[bytes, bytes], ChaCha20Poly1305] = field(
         factory=OrderedDict
     )
 
-    def of(self, key: PeerKey, session: bytes) -> ChaCha20Poly1305:
-        """Return the cipher of a session."""
-        place = (key.secret, session)
-        if place not in self.kept:
-            self.kept[place] = derive(key, session)
-        self.kept.move_to_end(place)
-        while len(self.kept) > self.limit:
-            self.kept.popitem(last=False)
-        return self.kept[place]
+    def get(self, key: PeerKey, session: bytes) -> ChaCha20Poly1305:
+        """Return the cipher of a session, deriving it if it is not cached."""
+        cache_key = (key.secret, session)
+        if cache_key not in self.cached:
+            self.cached[cache_key] = derive_cipher(key, session)
+        self.cached.move_to_end(cache_key)
+        while len(self.cached) > self.limit:
+            self.cached.popitem(last=False)
+        return self.cached[cache_key]
 
 
 class Envelopes:
-    """Seals what one router sends, and opens what it receives.
+    """Encrypts the messages that one router sends, and decrypts those it receives.
 
     Attributes:
-        me: The incarnation that sends and receives now.
-        address: Where it is reached.
+        router: This router's current incarnation.
+        address: The address of this router.
         keys: The shared keys.
-        session: The random session of this start.
-        rings: Which keys the other incarnations were last seen to have.
+        session: The random session id of this start.
+        sequence: The number of the last message sent in this session.
+        ciphers: The session ciphers in use.
+        rings: The names of the keys that other incarnations have, as last received.
         windows: The replay windows, by session of the sender.
     """
 
-    def __init__(self, me: RouterId, address: str, keys: KeyRing) -> None:
-        self.me = me
+    def __init__(self, router: RouterId, address: str, keys: KeyRing) -> None:
+        self.router = router
         self.address = address
         self.keys = keys
         self.session = os.urandom(SESSION_BYTES)
@@ -157,7 +166,7 @@
         self.windows: OrderedDict[bytes, ReplayWindow] = OrderedDict()
 
     def seal(self, body: bytes, to: RouterId, address: str) -> bytes:
-        """Encrypt a message for one receiver."""
+        """Return the envelope of a message for one receiver."""
         self.sequence += 1
         key = self.choose_key(to)
         header = Header(
@@ -165,22 +174,22 @@
             key.identifier,
             self.session,
             self.sequence,
-            self.me,
+            self.router,
             to,
             address,
             self.keys.identifiers,
         )
         clear: bytes = msgpack.packb(converter.unstructure(header))
-        cipher = self.ciphers.of(key, self.session)
-        sealed = cipher.encrypt(nonce_of(self.sequence), body, clear)
+        cipher = self.ciphers.get(key, self.session)
+        sealed = cipher.encrypt(make_nonce(self.sequence), body, clear)
         return len(clear).to_bytes(LENGTH_BYTES, "big") + clear + sealed
 
     def choose_key(self, to: RouterId) -> PeerKey:
-        """Choose the newest key that the receiver is known to have too.
+        """Return the newest key that the receiver is known to have too.
 
-        While a new key reaches one router after another, the first to have it
-        would be refused by all the others.  So each envelope names its sender's
-        keys, and a receiver whose keys are unknown is tried with each in turn.
+        During a key rotation some routers lack the newest key and refuse messages
+        that use it.  So each envelope names its sender's keys; if the receiver's
+        keys are unknown, successive messages use each own key in turn.
         """
         ring = self.rings.get(to)
         if ring is None:
@@ -188,52 +197,58 @@
         shared = [key for key in self.keys.keys if key.identifier in ring]
         return shared[0] if shared else self.keys.keys[0]
 
-    def open(self, data: bytes) -> Opened:
+    def open(self, data: bytes) -> OpenedMessage:
         """Check and decrypt an envelope.
 
         Raises:
-            RefusedMessageError: It is not for this router, or not to be trusted.
+            RefusedMessageError: The envelope is malformed, not authentic, replayed,
+                or not for this router.
         """
-        clear, sealed = split(data)
+        clear, sealed = split_envelope(data)
         header = parse_header(clear)
         key = self.keys.find(header.key)
         if key is None:
-            raise RefusedMessageError("unknown_key", f"key {header.key!r}")
+            raise RefusedMessageError("unknown_key", f"no key is named {header.key!r}")
         body = self.decrypt(key, header, clear, sealed)
         self.check_receiver(header)
         self.check_replay(header)
-        self.remember_ring(header)
-        return Opened(header, body)
+        self.record_ring(header)
+        return OpenedMessage(header, body)
 
     def decrypt(
         self, key: PeerKey, header: Header, clear: bytes, sealed: bytes
     ) -> bytes:
-        """Decrypt the body, which also proves the header.
+        """Decrypt the body, which also authenticates the header.
+
+        The cipher of a session without an authentic message yet is not cached, so
+        that forged envelopes cannot evict the ciphers in use.
 
-        Ciphers of unproved sessions are not kept: a stranger could else push
-        out those in use.
+        Raises:
+            RefusedMessageError: The envelope is not authentic.
         """
         known = header.session in self.windows
-        cipher = (self.ciphers.of if known else derive)(key, header.session)
+        cipher = (self.ciphers.get if known else derive_cipher)(key, header.session)
         try:
-            return cipher.decrypt(nonce_of(header.sequence), sealed, clear)
+            return cipher.decrypt(make_nonce(header.sequence), sealed, clear)
         except InvalidTag:
-            raise RefusedMessageError("forged", f"as {header.sender!r}") from None
+            raise RefusedMessageError(
+                "forged", f"not authentic, sender {header.sender!r}"
+            ) from None
 
     def check_receiver(self, header: Header) -> None:
-        """Refuse what was meant for another router or incarnation.
+        """Refuse a message to another router or incarnation.
 
-        A message delayed beyond the life of its receiver arrives at the next
-        incarnation on the same address, which never asked for it: taken in, a
-        transfer would be credited that its giver never settles with this one.
+        A message that is delayed past the end of its receiver's incarnation arrives
+        at the next incarnation on the same address.  A transfer accepted there would
+        credit tokens that the giver never settles with this incarnation.
 
         Raises:
-            RefusedMessageError: It was.
+            RefusedMessageError: The message is for another receiver.
         """
-        if header.sender == self.me:
-            raise RefusedMessageError("reflected", "it is this router's own")
+        if header.sender == self.router:
+            raise RefusedMessageError("reflected", "sent by this router itself")
         if header.receiver:
-            wrong = header.receiver != self.me
+            wrong = header.receiver != self.router
         else:
             wrong = header.address != self.address
         if wrong:
@@ -241,10 +256,10 @@
             raise RefusedMessageError("other_receiver", text)
 
     def check_replay(self, header: Header) -> None:
-        """Refuse what has been seen before, or is too old to tell.
+        """Refuse a message that was received before, or is too old to check.
 
         Raises:
-            RefusedMessageError: It is.
+            RefusedMessageError: The message is a replay or too old.
         """
         window = self.windows.setdefault(header.session, ReplayWindow())
         self.windows.move_to_end(header.session)
@@ -254,44 +269,44 @@
             text = f"{header.sequence} of {header.sender!r}"
             raise RefusedMessageError("replayed", text)
 
-    def remember_ring(self, header: Header) -> None:
-        """Note which keys the sender has."""
+    def record_ring(self, header: Header) -> None:
+        """Record which keys the sender has."""
         self.rings[header.sender] = header.ring
         self.rings.move_to_end(header.sender)
         if len(self.rings) > MAX_SESSIONS:
             self.rings.popitem(last=False)
 
 
-def nonce_of(sequence: int) -> bytes:
+def make_nonce(sequence: int) -> bytes:
     """Return the nonce of a sequence number."""
     return sequence.to_bytes(NONCE_BYTES, "big")
 
 
-def split(data: bytes) -> tuple[bytes, bytes]:
-    """Split an envelope into its clear header and its sealed body.
+def split_envelope(data: bytes) -> tuple[bytes, bytes]:
+    """Split an envelope into its encoded header and its encrypted body.
 
     Raises:
-        RefusedMessageError: It is too long, or too short.
+        RefusedMessageError: The envelope is too long or too short.
     """
     if len(data) > MAX_ENVELOPE:
-        raise RefusedMessageError("oversized", f"{len(data)} bytes")
+        raise RefusedMessageError("oversized", f"envelope of {len(data)} bytes")
     end = LENGTH_BYTES + int.from_bytes(data[:LENGTH_BYTES], "big")
     if len(data) <= end:
-        raise RefusedMessageError("malformed", f"{len(data)} bytes")
+        raise RefusedMessageError("malformed", f"envelope of {len(data)} bytes")
     return data[LENGTH_BYTES:end], data[end:]
 
 
 def parse_header(clear: bytes) -> Header:
-    """Parse a header, which nothing has proved yet.
+    """Parse a header, which is not authenticated yet.
 
     Raises:
-        RefusedMessageError: It is not a header of this version.
+        RefusedMessageError: It is not a valid header of this version.
     """
     try:
         header = converter.structure(msgpack.unpackb(clear), Header)
     except Exception as error:
         raise RefusedMessageError("malformed", repr(error)[:200]) from error
-    sound = len(header.session) == SESSION_BYTES and 0 <= header.sequence < 2**64
-    if header.version != WIRE_VERSION or not sound or not header.sender:
-        raise RefusedMessageError("malformed", "header")
+    valid = len(header.session) == SESSION_BYTES and 0 <= header.sequence < 2**64
+    if header.version != WIRE_VERSION or not valid or not header.sender:
+        raise RefusedMessageError("malformed", "invalid header")
     return header
--- a/ebonyhold/routers/_exchange.py
+++ b/ebonyhold/routers/_exchange.py
@@ -1,4 +1,4 @@
-"""Notices, questions and answers between routers, whatever carries them."""
+"""Notices, requests and answers between routers, independent of the transport."""
 
 from __future__ import annotations
 
@@ -19,11 +19,14 @@
 logger = logging.getLogger(__name__)
 
 MAX_PENDING = 1024
-"""Questions that may wait for an answer at once; more are refused locally."""
+"""Maximum number of own requests that wait for an answer; further ones fail at once."""
 
 
 class Purpose(Enum):
-    """What the receiver is to do with a frame."""
+    """The kind of a frame.
+
+    A notice gets no answer; a question is a request that gets one answer.
+    """
 
     NOTICE = 0
     QUESTION = 1
@@ -32,12 +35,12 @@
 
 @frozen
 class Frame:
-    """One message with its place in a conversation.
+    """One message with the data that matches an answer to its request.
 
     Attributes:
-        purpose: What the receiver is to do with it.
-        correlation: Ties an answer to its question; 0 for a notice.
-        message: What is said.
+        purpose: Whether it is a notice, a request or an answer.
+        correlation: The number of the request, also in its answer; 0 for a notice.
+        message: The message.
     """
 
     purpose: Purpose
@@ -49,95 +52,101 @@
 
 
 @define
-class Question:
-    """A question that waits for its answer."""
+class PendingRequest:
+    """A request that waits for its answer.
+
+    Attributes:
+        receiver: The router that must answer.
+        answered: Set once the answer has arrived.
+        answer: The answer.
+    """
 
-    asked: RouterId
+    receiver: RouterId
     answered: anyio.Event = field(factory=anyio.Event)
     answer: PeerMessage | None = None
 
 
 class Exchange:
-    """The handlers and the open questions of one router.
+    """The handlers and the pending requests of one router.
 
-    It owns no sockets and no tasks: whoever carries the frames calls `deliver`.
+    It has no sockets and no tasks: the transport calls `deliver` with each frame.
 
     Attributes:
-        transmit: Carries one frame to another router; it may lose it.
-        handlers: Who answers messages of which kind.
-        pending: The open questions by correlation number.
-        unexpected: Counts frames for which there was no handler or question.
-        failed: Counts handlers that raised.
+        transmit: Sends one frame to another router; the frame may be lost.
+        handlers: The handler of each kind of message.
+        pending: The pending requests by correlation number.
+        unexpected: Number of frames without a handler or a pending request.
+        failed: Number of handlers that raised.
     """
 
     def __init__(self, transmit: Transmit) -> None:
         self.transmit = transmit
         self.handlers: dict[type[PeerMessage], Handler] = {}
-        self.pending: dict[int, Question] = {}
+        self.pending: dict[int, PendingRequest] = {}
         self.unexpected = 0
         self.failed = 0
         self.correlations = itertools.count(1)
 
     def handle(self, kind: type[PeerMessage], handler: Handler) -> None:
-        """Register who answers messages of this kind."""
+        """Register the handler of a kind of message."""
         self.handlers[kind] = handler
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send without waiting for an answer."""
+        """Send a notice, which gets no answer."""
         await self.transmit(to, Frame(Purpose.NOTICE, 0, message))
 
     async def ask(
         self, to: RouterId, message: PeerMessage, reply: type[Reply], timeout: Seconds
     ) -> Reply:
-        """Send and wait for the answer.
+        """Send a request and return its answer.
 
         Raises:
-            PeerError: There was none in time, or one of another kind.
+            PeerError: There was no answer in time, or it is of another kind.
         """
         if len(self.pending) >= MAX_PENDING:
-            raise PeerError("too many questions are open")
+            raise PeerError("too many requests to peers are pending")
         number = next(self.correlations)
-        question = Question(to)
-        self.pending[number] = question
+        request = PendingRequest(to)
+        self.pending[number] = request
         try:
             name = f"peer {type(message).__name__}"
             with inner_hop(name), anyio.move_on_after(timeout):
                 await self.transmit(to, Frame(Purpose.QUESTION, number, message))
-                await question.answered.wait()
+                await request.answered.wait()
         finally:
             del self.pending[number]
-        if not isinstance(question.answer, reply):
+        if not isinstance(request.answer, reply):
             raise PeerError(f"{to} did not answer {type(message).__name__} in time")
-        return question.answer
+        return request.answer
 
     async def deliver(self, sender: RouterId, frame: Frame) -> None:
-        """Act on one frame that arrived."""
+        """Handle one frame: complete a pending request or run a handler."""
         if frame.purpose is Purpose.ANSWER:
-            self.settle(sender, frame)
+            self.accept_answer(sender, frame)
             return
         answer = await self.call_handler(sender, frame.message)
         if answer is not None and frame.purpose is Purpose.QUESTION:
             reply = Frame(Purpose.ANSWER, frame.correlation, answer)
             await self.transmit(sender, reply)
 
-    def settle(self, sender: RouterId, frame: Frame) -> None:
-        """Give an answer to whoever asked.
+    def accept_answer(self, sender: RouterId, frame: Frame) -> None:
+        """Complete the pending request that a frame answers.
 
-        A late answer, a doubled one, or one of a router that was not asked must
-        not end another question: it would show as a wrong fate or amount.  The
-        number is used once, and the sender is compared, so none of them can.
+        A late or duplicate answer, or one from another router, must not complete a
+        different request, which would then return a wrong result or amount.  So each
+        correlation number is used once and the sender is checked.
         """
-        question = self.pending.get(frame.correlation)
-        if question is None or question.asked != sender or question.answered.is_set():
+        request = self.pending.get(frame.correlation)
+        if request is None or request.receiver != sender or request.answered.is_set():
             self.unexpected += 1
             return
-        question.answer = frame.message
-        question.answered.set()
+        request.answer = frame.message
+        request.answered.set()
 
     async def call_handler(
         self, sender: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Run the handler for a message; its failure is logged and goes no further."""
+        """Run the handler of a message; if it raises, log that and return None."""
         handler = self.handlers.get(type(message))
         if handler is None:
             self.unexpected += 1
@@ -146,5 +155,5 @@
             return await handler(sender, message)
         except Exception:
             self.failed += 1
-            logger.exception("a handler failed", extra={"peer": sender})
+            logger.exception("handler of a peer message failed", extra={"peer": sender})
             return None
--- a/ebonyhold/routers/_fake.py
+++ b/ebonyhold/routers/_fake.py
@@ -24,22 +24,23 @@
 from ebonyhold.routers._registry import PeerMessage
 from ebonyhold.types import RouterId, Seconds
 
-LoseRule: TypeAlias = Callable[[RouterId, RouterId, PeerMessage], bool]
-"""Says whether to lose a message, given its sender, receiver and content."""
+LossRule: TypeAlias = Callable[[RouterId, RouterId, PeerMessage], bool]
+"""Returns whether to lose a message, given its sender, receiver and content."""
 
 
 class FakeNetwork:
-    """Carries frames between the links that joined it.
+    """Delivers frames between the links that joined it.
 
     Attributes:
-        tasks: Where deliveries run; cancelling it ends them.
+        tasks: The task group in which deliveries run.
         delay: One-way delay, in seconds.
-        jitter: The most that is added to the delay, evenly distributed, in
-            seconds; it also reorders.
-        copies: How often each frame arrives: 2 doubles all of them.
-        lose: Which frames to lose; None for none.
-        links: Who has joined.
-        cuts: Pairs, sender first, between which nothing arrives.
+        jitter: Maximum random addition to the delay, evenly distributed, in
+            seconds; it also reorders frames.
+        copies: How often each frame is delivered; 2 duplicates all frames.
+        lose: Returns which frames are lost; None if none are.
+        rng: The random number generator of the jitter.
+        links: The links that joined, by router.
+        cuts: Pairs of sender and receiver between which no frame is delivered.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         delay: Seconds = 0.001,
         jitter: Seconds = 0.0,
         copies: int = 1,
-        lose: LoseRule | None = None,
+        lose: LossRule | None = None,
         seed: int = 0,
     ) -> None:
         self.tasks = tasks
@@ -68,19 +69,19 @@
         return link
 
     def leave(self, router: RouterId) -> None:
-        """Remove a router at once; what is on its way to it is lost."""
+        """Remove a router at once; frames under way to it are lost."""
         self.links.pop(router, None)
 
     def cut(self, one: RouterId, other: RouterId) -> None:
-        """Stop what goes between two routers, either way."""
+        """Cut the connection between two routers in both directions."""
         self.cuts.update({(one, other), (other, one)})
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Restore all connections that were cut."""
         self.cuts.clear()
 
     async def carry(self, sender: RouterId, to: RouterId, frame: Frame) -> None:
-        """Take one frame from a link and deliver it later, or not."""
+        """Start the delivery of one frame, unless it is to be lost."""
         if self.lose is not None and self.lose(sender, to, frame.message):
             return
         for _ in range(self.copies):
@@ -90,7 +91,7 @@
     async def deliver(
         self, sender: RouterId, to: RouterId, frame: Frame, wait: Seconds
     ) -> None:
-        """Deliver one frame after its delay, if the way is open then."""
+        """Deliver one frame after its delay, unless the connection is cut then."""
         await anyio.sleep(wait)
         link = self.links.get(to)
         if link is not None and (sender, to) not in self.cuts:
@@ -98,39 +99,39 @@
 
 
 class FakeLink:
-    """One router's end of a `FakeNetwork`; a `PeerLink`."""
+    """The `PeerLink` of one router in a `FakeNetwork`."""
 
-    def __init__(self, network: FakeNetwork, me: RouterId) -> None:
+    def __init__(self, network: FakeNetwork, router: RouterId) -> None:
         self.network = network
-        self.me = me
+        self.router = router
         self.exchange = Exchange(self.transmit)
 
     async def transmit(self, to: RouterId, frame: Frame) -> None:
-        """Hand one frame to the network."""
-        await self.network.carry(self.me, to, frame)
+        """Pass one frame to the network."""
+        await self.network.carry(self.router, to, frame)
 
     def alive(self) -> tuple[RouterId, ...]:
-        """Return all other routers that have joined and are not cut off."""
+        """Return the other routers that joined and are not cut off from this one."""
         return tuple(
-            router
-            for router in self.network.links
-            if router != self.me and (router, self.me) not in self.network.cuts
+            other
+            for other in self.network.links
+            if other != self.router and (other, self.router) not in self.network.cuts
         )
 
     def handle(self, kind: type[PeerMessage], handler: Handler) -> None:
-        """Register who answers messages of this kind."""
+        """Register the handler of a kind of message."""
         self.exchange.handle(kind, handler)
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send without waiting for an answer; it may be lost."""
+        """Send a notice, which gets no answer and may be lost."""
         await self.exchange.send(to, message)
 
     async def ask(
         self, to: RouterId, message: PeerMessage, reply: type[Reply], timeout: Seconds
     ) -> Reply:
-        """Send and wait for the answer.
+        """Send a request and return its answer.
 
         Raises:
-            PeerError: There was none in time.
+            PeerError: There was no answer in time, or it is of another kind.
         """
         return await self.exchange.ask(to, message, reply, timeout)
--- a/ebonyhold/routers/_interface.py
+++ b/ebonyhold/routers/_interface.py
@@ -1,4 +1,4 @@
-"""What the other parts ask of the link to the other routers."""
+"""The interface that other packages use to communicate with the other routers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 @peer_message("transfer_request")
 @frozen
 class TransferRequest(PeerMessage):
-    """Please give me tokens of this workspace, if you have some to spare.
+    """Requests tokens of a workspace that the receiver can spare.
 
     Attributes:
-        workspace: Whose tokens.
-        wanted: How many are lacking.
-        have: The last transfers from you that arrived: any other that you gave
-            me lately was lost on its way, and may be sent again.
+        workspace: The workspace.
+        wanted: The number of tokens that the sender lacks.
+        have: The latest transfers from the receiver that the sender got.  Any other
+            recent one was lost on its way, and the receiver may send it again.
     """
 
     workspace: WorkspaceName
@@ -33,11 +33,12 @@
 @peer_message("transfer_given")
 @frozen
 class TransferGiven(PeerMessage):
-    """These tokens are yours: they left my journal before this was sent.
+    """Transfers tokens; the giver's journal has recorded it before this is sent.
 
     Attributes:
-        transfer: Unique for ever; receiving it twice counts once.
-        amount: 0 when there is nothing to spare.
+        workspace: The workspace.
+        transfer: A globally unique id, so that a duplicate is not credited again.
+        amount: The number of tokens, or 0 if the giver has none to spare.
     """
 
     workspace: WorkspaceName
@@ -48,7 +49,10 @@
 @peer_message("version_notice")
 @frozen
 class VersionNotice(PeerMessage):
-    """The newest configuration version I have; fetch it if yours is older."""
+    """Announces the sender's newest configuration version.
+
+    A receiver with an older version fetches the newest one.
+    """
 
     version: int
     digest: str
@@ -57,13 +61,19 @@
 @peer_message("configuration_request")
 @frozen
 class ConfigurationRequest(PeerMessage):
-    """Which configuration version have you, and when did you last confirm it?"""
+    """Requests the receiver's configuration version and when it was confirmed."""
 
 
 @peer_message("configuration_reply")
 @frozen
 class ConfigurationReply(PeerMessage):
-    """My version; the table confirmed it so many seconds ago, or never if < 0."""
+    """The sender's configuration version.
+
+    Attributes:
+        version: The version.
+        digest: The digest of its content.
+        confirmed_age: Seconds since the table last confirmed it; negative if never.
+    """
 
     version: int
     digest: str
@@ -77,26 +87,26 @@
     """Messages to and from the other routers, authenticated and encrypted."""
 
     def alive(self) -> tuple[RouterId, ...]:
-        """Return the routers believed alive, this one left out.
+        """Return the other routers that are believed alive.
 
-        Nothing that must be safe may rest on it.
+        The list may be wrong, so no decision that must be safe may depend on it.
         """
         ...
 
     def handle(self, kind: type[PeerMessage], handler: Handler) -> None:
-        """Register who answers messages of this kind."""
+        """Register the handler of a kind of message."""
         ...
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send without waiting for an answer; it may be lost."""
+        """Send a notice, which gets no answer and may be lost."""
         ...
 
     async def ask(
         self, to: RouterId, message: PeerMessage, reply: type[Reply], timeout: Seconds
     ) -> Reply:
-        """Send and wait for the answer.
+        """Send a request and return its answer.
 
         Raises:
-            PeerError: There was none in time.
+            PeerError: There was no answer in time, or it is of another kind.
         """
         ...
--- a/ebonyhold/routers/_keys.py
+++ b/ebonyhold/routers/_keys.py
@@ -1,4 +1,4 @@
-"""The keys that the routers of a fleet share, read from a file."""
+"""The keys that the routers of a deployment share, read from a file."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 SECRET_BYTES = 32
 MAX_KEYS = 4
-"""More keys than a rotation needs only keep old ones alive."""
+"""A rotation needs no more; each further key only keeps an old one valid."""
 
 
 @frozen
@@ -22,8 +22,8 @@
     """One shared key.
 
     Attributes:
-        identifier: Its name, which travels in the clear.
-        secret: The key itself; it is kept out of logs.
+        identifier: The name of the key, sent unencrypted with each message.
+        secret: The key itself; excluded from `repr`, so that it is not logged.
     """
 
     identifier: str
@@ -31,10 +31,11 @@
 
 
 def parse_keys(text: str) -> tuple[PeerKey, ...]:
-    """Parse lines of ``id:hexadecimal``, newest first; ``#`` begins a comment.
+    """Parse lines of ``id:hexadecimal``, newest first; ``#`` starts a comment.
 
     Raises:
-        SettingsError: A line is wrong, or there are too few or too many keys.
+        SettingsError: A line is invalid, a name is used twice, or the number of
+            keys is not allowed.
 
     >>> parse_keys("k1:" + "00" * 32)
     (PeerKey(identifier='k1'),)
@@ -48,10 +49,10 @@
 
 
 def parse_key(line: str) -> PeerKey:
-    """Parse one line.
+    """Parse one line into a key.
 
     Raises:
-        SettingsError: It is not ``id:hexadecimal`` of the right length.
+        SettingsError: The line is not ``id:hexadecimal`` of the required length.
     """
     identifier, _, digits = line.partition(":")
     try:
@@ -64,25 +65,25 @@
 
 
 class KeyRing:
-    """The keys in use, read again whenever the file changes.
+    """The keys in use, read again when their file changes.
 
     Attributes:
         keys: The keys, newest first.
-        path: Where they come from, or None for fixed keys.
-        seen: What the file looked like when it was last read.
+        path: The file of the keys, or None for fixed keys.
+        last_fingerprint: The fingerprint of the file when it was last read.
     """
 
     def __init__(self, keys: tuple[PeerKey, ...], path: Path | None = None) -> None:
         self.keys = keys
         self.path = path
-        self.seen = self.fingerprint()
+        self.last_fingerprint = self.fingerprint()
 
     @classmethod
     def load(cls, path: Path) -> KeyRing:
         """Read a file of keys.
 
         Raises:
-            SettingsError: The file cannot be read, or a line is wrong.
+            SettingsError: The file cannot be read, or its content is invalid.
         """
         try:
             return cls(parse_keys(path.read_text(encoding="ascii")), path)
@@ -91,18 +92,18 @@
 
     @property
     def identifiers(self) -> tuple[str, ...]:
-        """Return the names of the keys, newest first."""
+        """The names of the keys, newest first."""
         return tuple(key.identifier for key in self.keys)
 
     def find(self, identifier: str) -> PeerKey | None:
-        """Return the key of that name, if it is in use."""
+        """Return the key of that name, or None."""
         for key in self.keys:
             if key.identifier == identifier:
                 return key
         return None
 
     def fingerprint(self) -> tuple[int, int, int] | None:
-        """Return what changes with the file, or None when it cannot be seen."""
+        """Return the file's time, size and inode, or None if it cannot be accessed."""
         if self.path is None:
             return None
         try:
@@ -112,21 +113,24 @@
         return (status.st_mtime_ns, status.st_size, status.st_ino)
 
     def refresh(self) -> bool:
-        """Read the file again if it has changed; return whether the keys have.
+        """Read the file again if it has changed; return whether the keys changed.
 
-        A file that is half written or missing during a rotation must not leave
-        the router without keys, cut off from its peers: the keys in use stay
-        until a whole file can be read.
+        During a rotation the file may be incomplete or missing.  The keys in use
+        then stay until a valid file can be read, so that the router is not cut off
+        from its peers.
         """
-        seen = self.fingerprint()
-        if seen is None or seen == self.seen or self.path is None:
+        current = self.fingerprint()
+        if current is None or current == self.last_fingerprint or self.path is None:
             return False
         try:
             keys = parse_keys(self.path.read_text(encoding="ascii"))
         except (OSError, UnicodeDecodeError, SettingsError) as error:
-            logger.error("peer keys not reloaded", extra={"cause": str(error)})
+            logger.error(
+                "peer keys cannot be reloaded; the old ones stay in use",
+                extra={"cause": str(error)},
+            )
             return False
-        self.seen = seen
+        self.last_fingerprint = current
         changed = keys != self.keys
         self.keys = keys
         return changed
--- a/ebonyhold/routers/_links.py
+++ b/ebonyhold/routers/_links.py
@@ -1,4 +1,4 @@
-"""The sockets towards other routers: one task and one short queue for each."""
+"""The sockets to other routers, each with one task and one short queue."""
 
 from __future__ import annotations
 
@@ -13,24 +13,29 @@
 from ebonyhold.types import Seconds
 
 MAX_LINKS = 128
-"""Sockets that are open at once; the least recently used closes first.
+"""Maximum number of open sockets; the least recently used one is closed first.
 
-As many are open towards this router on average: together a quarter of the 1024
-files that a process may usually open.
+On average other routers have as many open to this one.  Together they use a quarter
+of the 1024 files that a process may usually open.
 """
 
-QUEUE = 32
-"""Messages that wait for one peer; more are dropped."""
+QUEUE_SIZE = 32
+"""Maximum number of messages queued for one peer; further ones are dropped."""
 
 IDLE_TIMEOUT: Seconds = 900.0
-"""Longer than a round of probes; opening a link anew costs more than a message."""
+"""How long an idle socket stays open.
+
+It is longer than a round of probes, because opening a socket costs more than a
+message.
+"""
+
 RECONNECT_MIN_MS = 100
 RECONNECT_MAX_MS = 2000
 
 
 @define
 class LinkCounters:
-    """What became of messages on their way out."""
+    """Counters of sent and dropped messages."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -41,9 +46,9 @@
     """The open sockets by address.
 
     Attributes:
-        tasks: Where the links' tasks run.
+        tasks: The task group of the links' tasks.
         queues: The queue of each open link, the most recently used last.
-        counters: What became of the messages.
+        counters: Counters of sent and dropped messages.
     """
 
     def __init__(self, tasks: TaskGroup) -> None:
@@ -52,10 +57,10 @@
         self.counters = LinkCounters()
 
     def put(self, address: str, data: bytes) -> None:
-        """Queue a message; it is dropped when the queue is full.
+        """Queue a message; drop it if the queue is full.
 
-        A peer that takes nothing must not hold up what goes to the others, so
-        nothing here waits.
+        This never waits, so that a peer which receives nothing does not delay the
+        messages to other peers.
         """
         queue = self.queues.get(address) or self.open(address)
         self.queues.move_to_end(address)
@@ -65,8 +70,8 @@
             self.counters.dropped += 1
 
     def open(self, address: str) -> MemoryObjectSendStream[bytes]:
-        """Start a link's task and return its queue."""
-        queue, receive = anyio.create_memory_object_stream[bytes](QUEUE)
+        """Start the task of a new link and return the link's queue."""
+        queue, receive = anyio.create_memory_object_stream[bytes](QUEUE_SIZE)
         self.queues[address] = queue
         if len(self.queues) > MAX_LINKS:
             _, oldest = self.queues.popitem(last=False)
@@ -80,10 +85,10 @@
         queue: MemoryObjectSendStream[bytes],
         receive: MemoryObjectReceiveStream[bytes],
     ) -> None:
-        """Own one socket until it has been idle, or the queue is closed."""
+        """Run one socket until it is idle for too long or its queue is closed."""
         try:
             with receive, open_socket(address) as socket:
-                await self.drain(socket, receive)
+                await self.send_queued(socket, receive)
         except pynng.NNGException:
             self.counters.dropped += 1
         finally:
@@ -91,10 +96,10 @@
             if self.queues.get(address) is queue:
                 del self.queues[address]
 
-    async def drain(
+    async def send_queued(
         self, socket: pynng.Push0, receive: MemoryObjectReceiveStream[bytes]
     ) -> None:
-        """Send what is queued, each message within a time limit."""
+        """Send queued messages until none arrives within the idle timeout."""
         while True:
             data = None
             with anyio.move_on_after(IDLE_TIMEOUT):
@@ -107,12 +112,12 @@
             self.send(socket, data)
 
     def send(self, socket: pynng.Push0, data: bytes) -> None:
-        """Send one message, or drop it when the socket's buffer is full.
+        """Send one message, or drop it if the socket's buffer is full.
 
-        A peer that died takes nothing, and its buffer fills up.  Waiting for room
-        under a time limit ended the whole router: a wait that pynng gives up on
-        raises a bare `asyncio.CancelledError`, which anyio does not know as its
-        own and passes on to the task group of all.  So nothing waits here.
+        The buffer of a peer that crashed fills up.  This must not wait for space
+        with a timeout: a wait that pynng aborts raises a bare
+        `asyncio.CancelledError`, which anyio does not attribute to the timeout, so
+        that it cancels the task group and ends the whole router.
         """
         try:
             socket.send(data, block=False)
@@ -124,13 +129,13 @@
 
 
 def open_socket(address: str) -> pynng.Push0:
-    """Open a socket that connects, and connects again, in the background.
+    """Return a socket that connects and reconnects in the background.
 
     Raises:
         pynng.NNGException: The address cannot be used.
     """
     socket = pynng.Push0(
-        send_buffer_size=QUEUE,
+        send_buffer_size=QUEUE_SIZE,
         reconnect_time_min=RECONNECT_MIN_MS,
         reconnect_time_max=RECONNECT_MAX_MS,
     )
--- a/ebonyhold/routers/_listing.py
+++ b/ebonyhold/routers/_listing.py
@@ -1,4 +1,4 @@
-"""The other routers as the platform lists them, and as operators see them."""
+"""The other routers in the platform's membership list and in status reports."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
     @property
     def name(self) -> str:
-        """Return the VM's name."""
+        """The name of the VM."""
 
     @property
     def address(self) -> str:
-        """Return where its peers reach it, ``ip:port``."""
+        """The address for messages from peers, ``ip:port``."""
 
     @property
     def domain(self) -> str:
-        """Return its failure domain."""
+        """The failure domain of the VM."""
 
     @property
     def state(self) -> object:
-        """Return ``live`` or ``leaving``, as text or as an enum of it."""
+        """``live`` or ``leaving``, as a string or as an enum with such values."""
 
 
 MemberSource = Callable[[], Awaitable[Sequence[ListEntry]]]
@@ -36,15 +36,15 @@
 
 @frozen
 class PeerStatus:
-    """One other router, as operators see it.
+    """The status of one other router, for operators.
 
     Attributes:
         router: The incarnation.
-        address: Where it is reached.
-        domain: Its failure domain.
-        status: What is believed of it.
-        listed: Whether the platform lists it.
-        heard_ago: Seconds since it spoke to this router itself, or None.
+        address: The address for messages from peers.
+        domain: The failure domain.
+        status: The status in this router's membership view.
+        listed: Whether the platform's list has the router.
+        heard_ago: Seconds since its last message to this router, or None.
     """
 
     router: RouterId
@@ -55,15 +55,17 @@
     heard_ago: Seconds | None
 
 
-def listed(entries: Iterable[ListEntry]) -> list[Listed]:
-    """Turn the platform's entries into those of the membership protocol."""
+def to_listed(entries: Iterable[ListEntry]) -> list[Listed]:
+    """Convert the platform's entries of routers to those of the membership protocol."""
     return [
-        Listed(entry.name, entry.address, entry.domain, word(entry.state) == "leaving")
+        Listed(
+            entry.name, entry.address, entry.domain, text_of(entry.state) == "leaving"
+        )
         for entry in entries
-        if word(getattr(entry, "role", "entry")) == "entry"
+        if text_of(getattr(entry, "role", "entry")) == "entry"
     ]
 
 
-def word(value: object) -> str:
-    """Return the text of a string or of an enum of strings."""
+def text_of(value: object) -> str:
+    """Return a string itself, or the string value of an enum member."""
     return str(getattr(value, "value", value))
--- a/ebonyhold/routers/_network.py
+++ b/ebonyhold/routers/_network.py
@@ -1,4 +1,4 @@
-"""The link to the other routers over pynng: a `PeerLink` with membership."""
+"""Messages between routers over pynng sockets, with the membership protocol."""
 
 from __future__ import annotations
 
@@ -24,55 +24,67 @@
     StartupPolicy,
 )
 from ebonyhold.exceptions import EbonyholdError, PeerError, RefusedMessageError
-from ebonyhold.routers._envelope import MAX_ENVELOPE, Envelopes, Opened
+from ebonyhold.routers._envelope import MAX_ENVELOPE, Envelopes, OpenedMessage
 from ebonyhold.routers._exchange import Exchange, Frame, Purpose
 from ebonyhold.routers._interface import Handler, Reply
 from ebonyhold.routers._keys import KeyRing
 from ebonyhold.routers._links import LinkCounters, Links
-from ebonyhold.routers._listing import MemberSource, PeerStatus, listed
+from ebonyhold.routers._listing import MemberSource, PeerStatus, to_listed
 from ebonyhold.routers._registry import PeerMessage
 from ebonyhold.routers._wire import Gossip, decode, encode
 from ebonyhold.types import RouterId, Seconds
 
 logger = logging.getLogger(__name__)
 
-LIST_PERIOD: Seconds = 5.0
+LIST_INTERVAL: Seconds = 5.0
 FIRST_LIST_RETRY: Seconds = 0.1
-"""The pause after the first read of the list if it fails; it doubles with each further
-failure.  A router without a list is known to nobody."""
+"""The delay after the first failed read of the list; it doubles up to `LIST_INTERVAL`.
 
-KEYS_PERIOD: Seconds = 1.0
-LOG_PERIOD: Seconds = 10.0
-LOOKS_A_PERIOD = 20
-LOOKS_AROUND = 30
-"""Looks at who is alive before a start is taken for one of many."""
+Until a router has read the list, other routers do not know it.
+"""
 
-MILLISECONDS = 1000
-"""Milliseconds in a second."""
+KEYS_INTERVAL: Seconds = 1.0
+LOG_INTERVAL: Seconds = 10.0
+STARTUP_CHECKS_PER_PERIOD = 20
+"""How often a starting router checks who is alive, per period of the protocol."""
+
+STARTUP_CHECKS = 30
+"""Checks after which a router assumes that many routers start at the same time."""
+
+MS_PER_SECOND = 1000
 
 RECEIVE_QUEUE = 256
+"""Size of the socket's receive buffer, in messages."""
+
 RECEIVE_BATCH = 64
-"""Messages taken in without letting other tasks run in between."""
+"""Maximum number of messages received before other tasks may run."""
 
 MAX_HANDLERS = 128
-"""Handlers that run at once; further messages are dropped."""
+"""Maximum number of handlers that run at once; further messages are dropped."""
 
 
 class PeerNetwork:
-    """One router's sockets, envelopes and membership.
+    """The `PeerLink` of one router: its sockets, envelopes and membership.
 
     Attributes:
-        membership: The protocol's state.
-        exchange: Handlers and open questions.
-        envelopes: Seals and opens what goes over the wire.
-        received: Counts the messages that were accepted.
-        received_bytes: Counts their bytes, envelopes included.
-        refused: Counts the messages that were not accepted, by reason.
+        keys: The shared keys.
+        source: Returns the platform's membership list, or None without a list.
+        rng: The random number generator.
+        membership: The state of the membership protocol.
+        exchange: The handlers and the pending requests.
+        envelopes: Encrypts and decrypts the messages.
+        links: The sockets to other routers, once `run` has started.
+        tasks: The task group of `run`, once it has started.
+        running_handlers: Number of handlers that run.
+        received: Number of messages that were accepted.
+        received_bytes: Number of their bytes, envelopes included.
+        refused: Number of messages that were refused, by reason.
+        last_logged: When a refusal was last logged, by reason.
     """
 
     def __init__(
         self,
-        me: RouterId,
+        router: RouterId,
         domain: str,
         address: str,
         keys: KeyRing,
@@ -86,95 +98,102 @@
         self.source = members
         self.rng = rng or random.Random()
         own = MemberUpdate(
-            me, address, domain, MemberStatus.ALIVE, started=milliseconds()
+            router, address, domain, MemberStatus.ALIVE, started=now_ms()
         )
         self.membership = Membership(own, self.rng, 0.0, options, seeds)
         self.membership.view.on_change = self.log_change
         self.exchange = Exchange(self.transmit)
-        self.envelopes = Envelopes(me, address, keys)
+        self.envelopes = Envelopes(router, address, keys)
         self.links: Links | None = None
         self.tasks: TaskGroup | None = None
-        self.running = 0
+        self.running_handlers = 0
         self.received = 0
         self.received_bytes = 0
         self.refused: Counter[str] = Counter()
-        self.logged: dict[str, Seconds] = {}
+        self.last_logged: dict[str, Seconds] = {}
 
-    # The PeerLink.
+    # Interface `PeerLink`.
 
     def alive(self) -> tuple[RouterId, ...]:
-        """Return the routers believed alive, this one left out."""
+        """Return the other routers that are believed alive."""
         return self.membership.alive()
 
     def handle(self, kind: type[PeerMessage], handler: Handler) -> None:
-        """Register who answers messages of this kind."""
+        """Register the handler of a kind of message."""
         self.exchange.handle(kind, handler)
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send without waiting for an answer; it may be lost."""
+        """Send a notice, which gets no answer and may be lost."""
         await self.exchange.send(to, message)
 
     async def ask(
         self, to: RouterId, message: PeerMessage, reply: type[Reply], timeout: Seconds
     ) -> Reply:
-        """Send and wait for the answer.
+        """Send a request and return its answer.
 
         Raises:
-            PeerError: There was none in time, or the router is not known.
+            PeerError: The router is not known, there was no answer in time, or it
+                is of another kind.
         """
         if to not in self.membership.view.members:
-            raise PeerError(f"{to} is not known")
+            raise PeerError(f"router {to} is not known")
         return await self.exchange.ask(to, message, reply, timeout)
 
-    # What the daemon and the operators ask.
+    # Interface for the daemon and for operators.
 
     def gone(self) -> tuple[RouterId, ...]:
-        """Return the incarnations that others may recover; a hint, no proof."""
+        """Return the incarnations that appear to have ended and may be recovered.
+
+        It is a hint: one of them may still run.
+        """
         return self.membership.gone(anyio.current_time())
 
     def may_recover(self, router: RouterId, unknown_for: Seconds) -> bool:
-        """Say whether an incarnation with an open row may be recovered; a hint."""
+        """Return whether an incarnation with an open row may be recovered.
+
+        It is a hint: the incarnation may still run.
+        """
         now = anyio.current_time()
         return self.membership.may_recover(router, unknown_for, now)
 
     def read_row(self, router: RouterId, row: RouterRow) -> None:
-        """Take in the open row of an incarnation in the table."""
-        started = int(row.started_at * MILLISECONDS)
+        """Add an incarnation that has an open row in the table to the membership."""
+        started = int(row.started_at * MS_PER_SECOND)
         update = MemberUpdate(
             router, row.address, row.domain, MemberStatus.ALIVE, started=started
         )
         self.membership.read_row(update, anyio.current_time())
 
     def introduce(self) -> None:
-        """Make this router known to some of those that only the table told of."""
+        """Send this router's status to some routers known only from the table."""
         self.send_beats(self.membership.introduce())
 
     def status(self) -> tuple[PeerStatus, ...]:
-        """Return all that is known of the other routers."""
+        """Return the status of each other router."""
         now = anyio.current_time()
         members = self.membership.view.members.values()
         return tuple(self.describe(member, now) for member in members)
 
     def describe(self, member: Member, now: Seconds) -> PeerStatus:
-        """Return one other router as operators see it."""
-        heard = member.heard_at
+        """Return the status of one other router."""
+        received_at = member.heard_at
         return PeerStatus(
             member.update.router,
             member.update.address,
             member.update.domain,
             self.membership.status_of(member),
             self.membership.judge.is_listed(member),
-            None if heard is None else now - heard,
+            None if received_at is None else now - received_at,
         )
 
     def log_change(self, member: Member, before: MemberStatus | None) -> None:
-        """Log that something else is believed of another router, and on what ground.
+        """Log a change of another router's status with the data that it is based on.
 
-        Without these lines nobody can tell afterwards why a router's work was, or
-        was not, recovered.
+        These lines show afterwards why a router's requests were, or were not,
+        recovered.
         """
         now = anyio.current_time()
-        heard, silent = member.heard_at, member.silent_at
+        received_at, suspected_at = member.heard_at, member.silent_at
         logger.info(
             "router status changed",
             extra={
@@ -183,44 +202,57 @@
                 "before": None if before is None else before.name.lower(),
                 "met": not member.unmet,
                 "listed": self.membership.judge.is_listed(member),
-                "heard_ago": None if heard is None else round(now - heard, 3),
-                "silent_for": None if silent is None else round(now - silent, 3),
+                "heard_ago": None
+                if received_at is None
+                else round(now - received_at, 3),
+                "silent_for": None
+                if suspected_at is None
+                else round(now - suspected_at, 3),
                 "present": self.membership.view.present_count,
             },
         )
 
     @property
     def counters(self) -> LinkCounters:
-        """Return what became of the messages that were sent."""
+        """The counters of sent and dropped messages."""
         return LinkCounters() if self.links is None else self.links.counters
 
     async def wait_for_start(self, policy: StartupPolicy | None = None) -> None:
-        """Wait until it is this router's turn to read from the platform.
+        """Delay this router's first reads from the platform if many routers start.
 
-        It looks around for a moment; if most of the listed routers answer, this
-        start is one among few and waits no longer.
+        It first checks for a moment who is alive.  Once most of the listed routers
+        are, this router starts alone or with few others, and waits no longer.
+        Otherwise it waits for a random delay, so that the routers do not all read
+        at the same time.
         """
         policy = policy or StartupPolicy()
-        for _ in range(LOOKS_AROUND):
-            if not self.start_wait(policy, 1.0):
+        for _ in range(STARTUP_CHECKS):
+            if not self.startup_delay(policy, 1.0):
                 return
-            await anyio.sleep(self.membership.options.period / LOOKS_A_PERIOD)
-        await anyio.sleep(self.start_wait(policy, self.rng.random()))
+            await anyio.sleep(
+                self.membership.options.period / STARTUP_CHECKS_PER_PERIOD
+            )
+        await anyio.sleep(self.startup_delay(policy, self.rng.random()))
+
+    def startup_delay(self, policy: StartupPolicy, chance: float) -> Seconds:
+        """Return the startup delay of the policy for the routers alive now.
 
-    def start_wait(self, policy: StartupPolicy, chance: float) -> Seconds:
-        """Return how long the policy lets this router wait, as things look now."""
+        Args:
+            policy: The policy.
+            chance: A number from 0 to 1; the delay grows with it.
+        """
         listed = self.membership.view.listed
         size = None if listed is None else len(listed)
         return policy.first_wait(size, len(self.alive()), chance)
 
     def become(self, router: RouterId) -> None:
-        """Go on as a new incarnation, after this one was sealed."""
-        started = max(milliseconds(), self.membership.me.started + 1)
+        """Continue as a new incarnation after this one was sealed."""
+        started = max(now_ms(), self.membership.me.started + 1)
         self.membership.become(router, started)
-        self.envelopes.me = router
+        self.envelopes.router = router
 
     def leave(self) -> None:
-        """Tell the others that this router is stopping."""
+        """Notify the other routers that this one is stopping."""
         self.send_beats(self.membership.leave())
 
     # Tasks.
@@ -228,7 +260,7 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen and take part until cancelled.
+        """Receive messages and run the membership protocol until cancelled.
 
         Raises:
             pynng.NNGException: The address cannot be bound.
@@ -240,29 +272,29 @@
                 recv_max_size=2 * MAX_ENVELOPE, recv_buffer_size=RECEIVE_QUEUE
             ) as socket:
                 socket.listen(f"tcp://{self.membership.me.address}")
-                tasks.start_soon(self.beat)
-                tasks.start_soon(self.follow_keys)
+                tasks.start_soon(self.send_heartbeats)
+                tasks.start_soon(self.watch_keys)
                 if self.source is not None:
-                    tasks.start_soon(self.follow_list, self.source)
+                    tasks.start_soon(self.poll_list, self.source)
                 task_status.started()
                 await self.receive(socket)
 
     async def receive(self, socket: pynng.Pull0) -> None:
-        """Take in messages: wait for one, then take what else is there.
+        """Receive messages: wait for one, then read those that have arrived too.
 
-        They are taken as nng's messages: its plain `recv` fails on an empty one,
-        so that a single empty message would end this task.
+        `recv_msg` is used because pynng's `recv` fails for an empty message, so that
+        anyone could end this task by sending one.
         """
         while True:
-            self.take(await socket.arecv())
+            self.accept(await socket.arecv())
             for _ in range(RECEIVE_BATCH):
                 try:
-                    self.take(socket.recv_msg(block=False).bytes)
+                    self.accept(socket.recv_msg(block=False).bytes)
                 except pynng.TryAgain:
                     break
 
-    def take(self, data: bytes) -> None:
-        """Take in one message; one that cannot be used is counted, and that is all."""
+    def accept(self, data: bytes) -> None:
+        """Open and dispatch one message; count it if it is refused."""
         try:
             opened = self.envelopes.open(data)
             frame = decode(opened.body)
@@ -270,123 +302,126 @@
             self.received_bytes += len(data)
             self.dispatch(opened, frame)
         except RefusedMessageError as error:
-            self.refuse(error)
+            self.count_refusal(error)
 
-    def dispatch(self, opened: Opened, frame: Frame) -> None:
-        """Give a frame to whom it concerns.
+    def dispatch(self, opened: OpenedMessage, frame: Frame) -> None:
+        """Pass a frame to the membership protocol, a pending request or a handler.
 
         Raises:
-            RefusedMessageError: It may not come this way.
+            RefusedMessageError: It must name the receiving incarnation and does
+                not, or too many handlers run.
         """
         sender = opened.header.sender
-        fresh = bool(opened.header.receiver)
+        addressed = bool(opened.header.receiver)
         if isinstance(frame.message, Gossip):
-            self.take_beat(sender, frame.message, fresh)
-        elif not fresh:
+            self.accept_beat(sender, frame.message, addressed)
+        elif not addressed:
             raise RefusedMessageError("unaddressed", type(frame.message).__name__)
         elif frame.purpose is Purpose.ANSWER:
-            self.exchange.settle(sender, frame)
+            self.exchange.accept_answer(sender, frame)
         else:
             self.start_handler(sender, frame)
 
-    def take_beat(self, sender: RouterId, gossip: Gossip, fresh: bool) -> None:
-        """Give a heartbeat to the membership protocol.
+    def accept_beat(self, sender: RouterId, gossip: Gossip, addressed: bool) -> None:
+        """Pass a heartbeat to the membership protocol and send its replies.
 
         Raises:
-            RefusedMessageError: It is not a probe, and names no receiver.
+            RefusedMessageError: It names no receiving incarnation and is no probe.
         """
-        if not fresh and gossip.beat.kind is not BeatKind.PROBE:
+        if not addressed and gossip.beat.kind is not BeatKind.PROBE:
             raise RefusedMessageError("unaddressed", gossip.beat.kind.name)
         now = anyio.current_time()
-        self.send_beats(self.membership.receive(sender, gossip.beat, now, fresh=fresh))
+        self.send_beats(
+            self.membership.receive(sender, gossip.beat, now, fresh=addressed)
+        )
 
     def start_handler(self, sender: RouterId, frame: Frame) -> None:
-        """Run the handler in a task of its own, so that it holds up nobody.
+        """Run the handler in its own task, so that it does not delay other messages.
 
         Raises:
-            RefusedMessageError: Too many run already.
+            RefusedMessageError: Too many handlers run already.
         """
-        if self.tasks is None or self.running >= MAX_HANDLERS:
+        if self.tasks is None or self.running_handlers >= MAX_HANDLERS:
             raise RefusedMessageError("busy", type(frame.message).__name__)
-        self.running += 1
+        self.running_handlers += 1
         self.tasks.start_soon(self.run_handler, sender, frame)
 
     async def run_handler(self, sender: RouterId, frame: Frame) -> None:
-        """Run one handler and send its answer."""
+        """Run one handler and send the answer if there is one."""
         try:
             await self.exchange.deliver(sender, frame)
         finally:
-            self.running -= 1
+            self.running_handlers -= 1
 
-    async def beat(self) -> None:
-        """Send heartbeats when they are due."""
+    async def send_heartbeats(self) -> None:
+        """Send the heartbeats of the membership protocol when they are due."""
         self.membership.wake_at = anyio.current_time()
         while True:
             self.send_beats(self.membership.tick(anyio.current_time()))
             await anyio.sleep_until(self.membership.wake_at)
 
-    async def follow_list(self, source: MemberSource) -> None:
-        """Read the platform's list now and then, and soon again if that fails."""
+    async def poll_list(self, source: MemberSource) -> None:
+        """Read the platform's list periodically, and sooner after a failure."""
         retry = FIRST_LIST_RETRY
         while True:
-            pause = LIST_PERIOD
+            pause = LIST_INTERVAL
             try:
-                self.membership.read_list(listed(await source()))
+                self.membership.read_list(to_listed(await source()))
                 retry = FIRST_LIST_RETRY
             except EbonyholdError as error:
                 logger.info("no membership list", extra={"cause": str(error)})
                 pause = retry
-                retry = min(2 * retry, LIST_PERIOD)
+                retry = min(2 * retry, LIST_INTERVAL)
             await anyio.sleep(pause * (0.8 + 0.4 * self.rng.random()))
 
-    async def follow_keys(self) -> None:
-        """Read the keys again when their file changes."""
+    async def watch_keys(self) -> None:
+        """Reload the keys when their file changes."""
         while True:
             if self.keys.refresh():
                 names = list(self.keys.identifiers)
                 logger.info("peer keys reloaded", extra={"keys": names})
-            await anyio.sleep(KEYS_PERIOD)
+            await anyio.sleep(KEYS_INTERVAL)
 
     # Sending.
 
     async def transmit(self, to: RouterId, frame: Frame) -> None:
-        """Send a frame to an incarnation, if it is known."""
+        """Send a frame to an incarnation; drop it if the incarnation is not known."""
         member = self.membership.view.members.get(to)
         if member is not None:
-            self.post(to, member.update.address, frame)
+            self.queue_frame(to, member.update.address, frame)
 
     def send_beats(self, beats: Iterable[Outgoing]) -> None:
-        """Send heartbeats."""
+        """Send heartbeats to the receivers that they name."""
         for out in beats:
             frame = Frame(Purpose.NOTICE, 0, Gossip(out.beat))
-            self.post(out.to, out.address, frame)
+            self.queue_frame(out.to, out.address, frame)
 
-    def post(self, to: RouterId, address: str, frame: Frame) -> None:
-        """Encode, seal and queue a frame."""
+    def queue_frame(self, to: RouterId, address: str, frame: Frame) -> None:
+        """Encode, encrypt and queue a frame."""
         if self.links is None:
             return
         try:
             body = encode(frame)
         except RefusedMessageError as error:
-            self.refuse(error)
+            self.count_refusal(error)
             return
         self.links.put(address, self.envelopes.seal(body, to, address))
 
-    def refuse(self, error: RefusedMessageError) -> None:
-        """Count a message that was not accepted, and log it, but not each one.
+    def count_refusal(self, error: RefusedMessageError) -> None:
+        """Count a refused message, and log at most one per reason and `LOG_INTERVAL`.
 
-        Anybody who reaches the port can cause refusals, so the log has one line
-        for each reason in a while.
+        Anyone who can reach the port can cause refusals, so they must not fill the
+        log.
         """
         self.refused[error.reason] += 1
         now = anyio.current_time()
-        if now >= self.logged.get(error.reason, -LOG_PERIOD) + LOG_PERIOD:
-            self.logged[error.reason] = now
+        if now >= self.last_logged.get(error.reason, -LOG_INTERVAL) + LOG_INTERVAL:
+            self.last_logged[error.reason] = now
             count = self.refused[error.reason]
             extra = {"reason": error.reason, "cause": str(error), "count": count}
             logger.warning("peer message refused", extra=extra)
 
 
-def milliseconds() -> int:
+def now_ms() -> int:
     """Return the time in milliseconds since the epoch."""
     return time.time_ns() // 1_000_000
--- a/ebonyhold/routers/_readable.py
+++ b/ebonyhold/routers/_readable.py
@@ -1,4 +1,4 @@
-"""Checks, when a kind of message is registered, that receivers can read it back."""
+"""Checks that a kind of message can be decoded, when the kind is registered."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 import attrs
 
-PLAIN = (bool, int, float, str, bytes, type(None))
-"""Types that travel as they are."""
+SCALARS = (bool, int, float, str, bytes, type(None))
+"""Types that msgpack encodes directly."""
 
 CONTAINERS = (tuple, list, dict, frozenset, set)
 UNIONS = (typing.Union, types.UnionType)
 
 
 def resolve_fields(kind: type, done: frozenset[type] = frozenset()) -> None:
-    """Resolve the annotations of a message's fields, and of all that is nested there.
+    """Resolve the annotations of a message's fields, including those of nested classes.
 
-    Annotations are strings, and the codec reads a class whose strings were not
-    resolved only as long as its values are not sent.
+    Annotations are strings.  For a class whose annotations are not resolved the codec
+    raises no error before a value of the class is sent.
 
     Args:
         kind: The class of messages.
-        done: Classes around this one, whose fields are being resolved.
+        done: The classes that contain this one, whose fields are being resolved.
 
     Raises:
-        TypeError: A field has a type that receivers could not read back.
-        NameError: A field has a type that its module does not know.
+        TypeError: A field has a type that receivers cannot decode.
+        NameError: The type of a field is not defined in its module.
     """
     attrs.resolve_types(kind)
     for member in attrs.fields(kind):
         for part in parts_of(member.type):
-            if not is_readable(part):
-                what = f"{kind.__name__}.{member.name}"
-                raise TypeError(f"{what} cannot be read back: {part!r}")
+            if not is_decodable(part):
+                name = f"{kind.__name__}.{member.name}"
+                raise TypeError(f"{name} has a type that cannot be decoded: {part!r}")
             if attrs.has(part) and part not in done:
                 resolve_fields(part, done | {kind})
 
 
 def parts_of(annotation: object) -> Iterator[type]:
-    """Yield the types that an annotation is made of, containers left out.
+    """Yield the types in an annotation, except containers and unions.
 
     >>> list(parts_of(dict[str, tuple[int | None, ...]]))
     [<class 'str'>, <class 'int'>, <class 'NoneType'>]
@@ -55,8 +55,8 @@
         yield typing.cast(type, annotation)
 
 
-def is_readable(part: object) -> bool:
-    """Say whether the codec can turn bytes back into a value of this type."""
+def is_decodable(part: object) -> bool:
+    """Return whether the codec can decode a value of this type."""
     if not isinstance(part, type):
         return False
-    return part in PLAIN or issubclass(part, Enum) or attrs.has(part)
+    return part in SCALARS or issubclass(part, Enum) or attrs.has(part)
--- a/ebonyhold/routers/_registry.py
+++ b/ebonyhold/routers/_registry.py
@@ -1,4 +1,4 @@
-"""The kinds of messages that routers exchange, by the name they have on the wire."""
+"""The registry of the kinds of messages between routers, by their name on the wire."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @frozen
 class PeerMessage:
-    """The base of everything one router tells another."""
+    """The base class of all messages between routers."""
 
 
 Kind = TypeVar("Kind", bound=type[PeerMessage])
@@ -22,21 +22,22 @@
 
 
 def peer_message(name: str) -> Callable[[Kind], Kind]:
-    """Register a class of messages under its name on the wire.
+    """Return a decorator that registers a class under its name on the wire.
 
-    Fields travel by position: a later release may only append fields with
-    defaults, so that releases can be mixed while a fleet is replaced.
+    Fields are sent by position.  A later release may only append fields with
+    defaults, so that routers of both releases can communicate during an upgrade.
 
     Args:
-        name: The name, which no other kind has.
+        name: The name, which must be unique.
 
     Returns:
-        A decorator that raises `TypeError` for a kind that cannot be read back.
+        A decorator that raises `TypeError` for a class that cannot be decoded, and
+        `ValueError` for a name that is in use.
     """
 
     def register(kind: Kind) -> Kind:
         if name in KINDS:
-            raise ValueError(f"two kinds of messages are named {name}")
+            raise ValueError(f"a kind of message named {name} is registered already")
         resolve_fields(kind)
         KINDS[name] = kind
         NAMES[kind] = name
--- a/ebonyhold/routers/_wire.py
+++ b/ebonyhold/routers/_wire.py
@@ -1,4 +1,4 @@
-"""Frames as bytes: msgpack arrays, decoded with suspicion."""
+"""Encodes frames as msgpack arrays, and decodes bytes that may be malformed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ebonyhold.routers._registry import KINDS, NAMES, PeerMessage, peer_message
 
 MAX_BODY = 60_000
-"""The longest encoded frame, in bytes."""
+"""The maximum size of an encoded frame, in bytes."""
 
 converter = cattrs.Converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 
@@ -27,28 +27,28 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Encode a frame.
+    """Return the encoding of a frame.
 
     Raises:
-        RefusedMessageError: It is too long to send.
+        RefusedMessageError: The encoding is longer than `MAX_BODY`.
     """
     kind = NAMES[type(frame.message)]
     fields = converter.unstructure(frame.message)
     body: bytes = msgpack.packb([frame.purpose.value, frame.correlation, kind, fields])
     if len(body) > MAX_BODY:
-        raise RefusedMessageError("oversized", f"{kind} takes {len(body)} bytes")
+        raise RefusedMessageError("oversized", f"{kind} message of {len(body)} bytes")
     return body
 
 
 def decode(body: bytes) -> Frame:
-    """Decode a frame.
+    """Return the frame that bytes encode.
 
-    A peer of another release, or with a fault, must not end the receiving task,
-    which would show as a router deaf to the whole fleet.  Whatever the codecs
-    raise on such bytes becomes one refusal here.
+    A faulty peer, or one of another release, may send bytes on which the codecs raise
+    any exception.  All become `RefusedMessageError`, because another exception would
+    end the receiving task, and the router would receive no messages any more.
 
     Raises:
-        RefusedMessageError: The bytes are not a frame known here.
+        RefusedMessageError: The bytes are not a frame of a known kind.
     """
     try:
         purpose, correlation, kind, fields = msgpack.unpackb(body)
--- a/tests/routers/kit.py
+++ b/tests/routers/kit.py
@@ -1,4 +1,4 @@
-"""What the tests of routers on real sockets share."""
+"""Helpers for tests with routers on real sockets."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 BACKENDS = ["asyncio", "trio"]
 FAST = MembershipOptions(period=0.05, answer_within=0.02)
 KEY = PeerKey("k1", b"1" * 32)
-GUARD = 20.0
+TEST_TIMEOUT = 20.0
 
 
 def free_address() -> str:
-    """Return a free port on loopback.
+    """Return a loopback address with a free port.
 
-    It is below the range from which systems choose ports by themselves, where
-    another process may take it before it is used.
+    The port is below the ephemeral range, so that no outgoing connection of another
+    process takes it before it is used.
     """
     while True:
         address = f"127.0.0.1:{random.randrange(20_000, 30_000)}"
@@ -40,14 +40,14 @@
 
 
 def pair(ring: KeyRing | None = None) -> tuple[PeerNetwork, PeerNetwork]:
-    """Return two routers, of which the second knows the first's address."""
+    """Return two routers; the second has the first's address as a seed."""
     one = network("a.1")
     return one, network("b.1", (one.membership.me.address,), ring)
 
 
 @asynccontextmanager
 async def running(*networks: PeerNetwork) -> AsyncIterator[None]:
-    with anyio.fail_after(GUARD):
+    with anyio.fail_after(TEST_TIMEOUT):
         async with anyio.create_task_group() as tasks:
             for one in networks:
                 await tasks.start(one.run)
@@ -56,5 +56,5 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    while not condition():  # noqa: ASYNC110 - the views offer no event to wait for
+    while not condition():  # noqa: ASYNC110 - the views have no event to wait for
         await anyio.sleep(0.01)
--- a/tests/routers/test_envelope.py
+++ b/tests/routers/test_envelope.py
@@ -1,4 +1,4 @@
-"""Envelopes: what is accepted, and what is refused for which reason."""
+"""Envelopes: which are accepted, and for which reason others are refused."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ebonyhold.coordination import Beat, BeatKind, MemberStatus, MemberUpdate
 from ebonyhold.exceptions import RefusedMessageError
 from ebonyhold.routers import Envelopes, KeyRing, PeerKey, VersionNotice
-from ebonyhold.routers._envelope import MAX_ENVELOPE, WINDOW
+from ebonyhold.routers._envelope import MAX_ENVELOPE, REPLAY_WINDOW
 from ebonyhold.routers._exchange import Frame, Purpose
 from ebonyhold.routers._wire import MAX_BODY, Gossip, decode, encode
 
@@ -23,7 +23,7 @@
 quick = settings(max_examples=150, derandomize=True, deadline=None)
 
 
-def ends(
+def make_pair(
     sender: tuple[PeerKey, ...] = (K1,), receiver: tuple[PeerKey, ...] = (K1,)
 ) -> tuple[Envelopes, Envelopes]:
     return (
@@ -40,7 +40,7 @@
     return "accepted"
 
 
-def flip(data: bytes, place: int) -> bytes:
+def flip_bit(data: bytes, place: int) -> bytes:
     changed = bytearray(data)
     changed[place] ^= 1
     return bytes(changed)
@@ -55,8 +55,8 @@
         (lambda data: data[:40], "malformed"),
         (lambda data: data[:-1], "forged"),
         (lambda data: data + b"x", "forged"),
-        (lambda data: flip(data, -1), "forged"),
-        (lambda data: flip(data, -20), "forged"),
+        (lambda data: flip_bit(data, -1), "forged"),
+        (lambda data: flip_bit(data, -20), "forged"),
         (lambda data: data.replace(b"a.1", b"c.1"), "forged"),
         (lambda data: data.replace(b"b.1", b"b.2"), "forged"),
         (lambda data: data.replace(b"k1", b"k9"), "unknown_key"),
@@ -67,7 +67,7 @@
 def test_a_changed_envelope_is_refused(
     change: Callable[[bytes], bytes], wanted: str
 ) -> None:
-    sender, receiver = ends()
+    sender, receiver = make_pair()
     assert reason(receiver, change(sender.seal(BODY, "b.1", THERE))) == wanted
 
 
@@ -82,31 +82,30 @@
         ("c.1", THERE, "other_receiver"),
     ],
 )
-def test_only_what_is_meant_for_this_incarnation(
+def test_only_messages_to_this_incarnation_are_accepted(
     to: str, address: str, wanted: str
 ) -> None:
-    """A message waits in a socket while its receiver is replaced.
+    """A message waits in a socket while its receiver starts a new incarnation.
 
-    The next incarnation listens on the same address and gets it.  It never
-    asked for it, so it must not take it for its own.
+    The new incarnation receives it on the same address and must refuse it.
     """
-    sender, receiver = ends()
+    sender, receiver = make_pair()
     assert reason(receiver, sender.seal(BODY, to, address)) == wanted
 
 
 def test_a_reflected_message_is_refused() -> None:
-    sender, _ = ends()
+    sender, _ = make_pair()
     assert reason(sender, sender.seal(BODY, "", HERE)) == "reflected"
 
 
-def test_replays() -> None:
+def test_replayed_messages_are_refused() -> None:
     """Somebody on the network records messages and sends them again.
 
-    Delayed and reordered ones are still new; one that was taken before, or that
-    is too old to tell, is refused.
+    Delayed and reordered messages are accepted; one that was accepted before, or is
+    older than the replay window, is refused.
     """
-    sender, receiver = ends()
-    messages = [sender.seal(BODY, "b.1", THERE) for _ in range(WINDOW + 3)]
+    sender, receiver = make_pair()
+    messages = [sender.seal(BODY, "b.1", THERE) for _ in range(REPLAY_WINDOW + 3)]
     assert reason(receiver, messages[5]) == "accepted"
     assert reason(receiver, messages[4]) == "accepted"
     assert reason(receiver, messages[5]) == "replayed"
@@ -115,10 +114,10 @@
     assert reason(receiver, messages[10]) == "accepted"
 
 
-def test_a_restarted_sender_begins_a_session_of_its_own() -> None:
-    _, receiver = ends()
+def test_a_restarted_sender_starts_a_new_session() -> None:
+    _, receiver = make_pair()
     for _ in range(2):
-        sender, _ = ends()
+        sender, _ = make_pair()
         assert reason(receiver, sender.seal(BODY, "b.1", THERE)) == "accepted"
 
 
@@ -138,12 +137,12 @@
 def test_each_step_of_a_rotation(
     sender_keys: tuple[PeerKey, ...], receiver_keys: tuple[PeerKey, ...], wanted: str
 ) -> None:
-    """Operators give the routers a new key, one after another, without a stop.
+    """Operators add a new key to one router after another while all run.
 
-    At each step those with and without it understand each other, once one
-    message told which keys the other has; a key that is gone opens nothing.
+    Routers with and without it can communicate once one message has shown which keys
+    the other has.  A message with a removed key is refused.
     """
-    sender, receiver = ends(sender_keys, receiver_keys)
+    sender, receiver = make_pair(sender_keys, receiver_keys)
     for _ in range(2):
         first = receiver.seal(BODY, "a.1", HERE)
         if reason(sender, first) == "accepted":
@@ -151,8 +150,8 @@
     assert reason(receiver, sender.seal(BODY, "b.1", THERE)) == wanted
 
 
-def test_a_receiver_with_unknown_keys_is_tried_with_each() -> None:
-    sender, receiver = ends((K3, K2, K1), (K1,))
+def test_each_key_is_tried_for_a_receiver_with_unknown_keys() -> None:
+    sender, receiver = make_pair((K3, K2, K1), (K1,))
     found = {reason(receiver, sender.seal(BODY, "b.1", THERE)) for _ in range(3)}
     assert found == {"accepted", "unknown_key"}
 
@@ -160,14 +159,14 @@
 @quick
 @given(st.binary(max_size=400))
 def test_any_bytes_are_refused(data: bytes) -> None:
-    _, receiver = ends()
+    _, receiver = make_pair()
     assert reason(receiver, data) != "accepted"
 
 
 @quick
 @given(st.integers(0, 10_000), st.binary(min_size=1, max_size=8))
 def test_any_damage_is_refused(place: int, noise: bytes) -> None:
-    sender, receiver = ends()
+    sender, receiver = make_pair()
     data = sender.seal(BODY, "b.1", THERE)
     place %= len(data)
     damaged = data[:place] + noise + data[place + len(noise) :]
@@ -193,10 +192,10 @@
         ),
     )
 )
-def test_a_peer_with_a_fault_cannot_end_the_receiver(body: bytes) -> None:
-    """A peer with the right key, but of a broken release, sends nonsense.
+def test_a_faulty_peer_cannot_end_the_receiving_task(body: bytes) -> None:
+    """A faulty peer with the right key sends malformed messages.
 
-    Each message is either understood or refused; nothing else may be raised.
+    Each is either decoded or refused; no other exception may be raised.
     """
     try:
         assert isinstance(decode(body), Frame)
@@ -218,12 +217,12 @@
         ),
     ],
 )
-def test_frames_survive_the_wire(message: VersionNotice | Gossip) -> None:
+def test_a_frame_is_decoded_as_it_was_encoded(message: VersionNotice | Gossip) -> None:
     frame = Frame(Purpose.QUESTION, 5, message)
     assert decode(encode(frame)) == frame
 
 
-def test_what_is_too_long_is_not_sent() -> None:
+def test_a_message_that_is_too_long_is_not_sent() -> None:
     with pytest.raises(RefusedMessageError) as raised:
         encode(Frame(Purpose.NOTICE, 0, VersionNotice(1, "x" * MAX_BODY)))
     assert raised.value.reason == "oversized"
--- a/tests/routers/test_fake.py
+++ b/tests/routers/test_fake.py
@@ -1,4 +1,4 @@
-"""The in-memory network and the exchange of questions and answers."""
+"""The in-memory network, and requests and answers over it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 from ebonyhold.types import RouterId
 
-QUESTION = TransferRequest("acme", 5)
+REQUEST = TransferRequest("acme", 5)
 
 
 async def answer(sender: RouterId, message: PeerMessage) -> PeerMessage:
@@ -37,15 +37,17 @@
 
 
 async def ask_once(change: str, replies: list[TransferGiven]) -> None:
+    """Send one request in a network with a fault, and store the answer."""
     async with anyio.create_task_group() as tasks:
         network = FakeNetwork(tasks)
-        asker, asked = network.join("a.1"), network.join("b.1")
-        asked.handle(TransferRequest, fail if change == "failing" else answer)
-        disturb(network, asker, change)
-        replies.append(await asker.ask("b.1", QUESTION, TransferGiven, 1.0))
+        sender, receiver = network.join("a.1"), network.join("b.1")
+        receiver.handle(TransferRequest, fail if change == "failing" else answer)
+        disturb(network, sender, change)
+        replies.append(await sender.ask("b.1", REQUEST, TransferGiven, 1.0))
 
 
-def disturb(network: FakeNetwork, asker: FakeLink, change: str) -> None:
+def disturb(network: FakeNetwork, sender: FakeLink, change: str) -> None:
+    """Add a fault to the network."""
     if change == "cut":
         network.cut("a.1", "b.1")
     if change == "doubled":
@@ -59,14 +61,14 @@
 
 
 @pytest.mark.parametrize("change", ["nothing", "doubled"])
-def test_a_question_is_answered(change: str) -> None:
+def test_a_request_is_answered_once(change: str) -> None:
     replies: list[TransferGiven] = []
     virtual(ask_once, change, replies)
     assert replies == [TransferGiven("acme", "t1", 5)]
 
 
 @pytest.mark.parametrize("change", ["cut", "dead", "slow", "lost answer", "failing"])
-def test_a_question_that_is_not_answered_in_time(change: str) -> None:
+def test_a_request_without_an_answer_in_time_fails(change: str) -> None:
     with pytest.raises(BaseExceptionGroup) as raised:
         virtual(ask_once, change, [])
     assert raised.group_contains(PeerError)
@@ -76,9 +78,9 @@
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             network = FakeNetwork(tasks)
-            asker, asked = network.join("a.1"), network.join("b.1")
-            asked.handle(TransferRequest, answer)
+            sender, receiver = network.join("a.1"), network.join("b.1")
+            receiver.handle(TransferRequest, answer)
             with pytest.raises(PeerError):
-                await asker.ask("b.1", QUESTION, VersionNotice, 1.0)
+                await sender.ask("b.1", REQUEST, VersionNotice, 1.0)
 
     virtual(run)
--- a/tests/routers/test_keys.py
+++ b/tests/routers/test_keys.py
@@ -1,4 +1,4 @@
-"""The file of shared keys."""
+"""The file of shared keys: parsing and reloading."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         (f"# newest first\n{TWO}\n\n{ONE}  # old\n", ("k2", "k1")),
     ],
 )
-def test_good_files(text: str, names: tuple[str, ...]) -> None:
+def test_valid_files(text: str, names: tuple[str, ...]) -> None:
     assert tuple(key.identifier for key in parse_keys(text)) == names
 
 
@@ -36,7 +36,7 @@
         "\n".join(f"k{n}:" + "01" * 32 for n in range(5)),
     ],
 )
-def test_bad_files(text: str) -> None:
+def test_invalid_files(text: str) -> None:
     with pytest.raises(SettingsError):
         parse_keys(text)
 
@@ -46,15 +46,15 @@
     assert "01" not in repr(key)
 
 
-def test_a_missing_file_stops_the_start(tmp_path: Path) -> None:
+def test_a_missing_file_is_an_error_at_startup(tmp_path: Path) -> None:
     with pytest.raises(SettingsError):
         KeyRing.load(tmp_path / "none")
 
 
 def test_the_file_is_read_again_when_it_changes(tmp_path: Path) -> None:
-    """Operators write a new key while the router runs.
+    """Operators add a key to the file while the router runs.
 
-    A half-written or missing file must not leave the router without keys.
+    While the file is incomplete or missing, the router keeps the old keys.
     """
     path = tmp_path / "keys"
     path.write_text(ONE, encoding="ascii")
--- a/tests/routers/test_links.py
+++ b/tests/routers/test_links.py
@@ -1,4 +1,4 @@
-"""Links to peers that take nothing."""
+"""Links to peers that receive nothing."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 import pytest
 
 from ebonyhold.misc import free_port
-from ebonyhold.routers._links import QUEUE, Links
+from ebonyhold.routers._links import QUEUE_SIZE, Links
 
 MESSAGE = b"x" * 100
-BURST = 4 * QUEUE
-SETTLE = 0.5
-"""Seconds; the message that the fault was in waited for 0.1 to 2."""
+BURST = 4 * QUEUE_SIZE
+WAIT = 0.5
+"""Seconds; with the fault a message waited for 0.1 to 2 seconds."""
 
 
 @pytest.mark.parametrize("backend", ["asyncio", "trio"])
-def test_a_peer_that_died_ends_no_other_task(backend: str) -> None:
-    """The daemon outlives the death of another router.
+def test_a_crashed_peer_ends_no_other_task(backend: str) -> None:
+    """A router keeps running after another one was killed.
 
-    A user saw both surviving routers of three end half a minute after the third
-    was killed, with no signal and no error of their own.  Heartbeats to the dead
-    peer filled its socket's buffer; the next send waited, was given up, and its
-    bare CancelledError ended every task of the daemon.
+    Heartbeats to the killed router fill its socket's buffer.  If the next send
+    waited and timed out, pynng's bare CancelledError would end every task of the
+    daemon.  In a deployment of three routers, both others ended half a minute after
+    one was killed, without a signal or an error.
     """
     survived = False
 
@@ -34,7 +34,7 @@
             for _ in range(BURST):
                 links.put(address, MESSAGE)
                 await anyio.lowlevel.checkpoint()
-            await anyio.sleep(SETTLE)
+            await anyio.sleep(WAIT)
             counters = links.counters
             assert counters.dropped + counters.sent == BURST
             assert counters.dropped > 0
--- a/tests/routers/test_listing.py
+++ b/tests/routers/test_listing.py
@@ -1,4 +1,4 @@
-"""How routers get to know each other, and what they log of it."""
+"""Routers that find each other by the platform's list, and their log messages."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.routers.kit import network, running, until
 
 
-def test_the_list_brings_routers_together() -> None:
-    """Routers know each other only by the platform's list, which has engines too."""
+def test_routers_find_each_other_by_the_list() -> None:
+    """Two routers learn of each other from a list that also has an engine."""
 
     def entry(name: str, address: str, role: str) -> types.SimpleNamespace:
         return types.SimpleNamespace(
@@ -46,8 +46,8 @@
     anyio.run(run)
 
 
-def test_list_is_read_again_soon_after_a_failure() -> None:
-    """Guards against routers that serve for seconds before they know each other."""
+def test_the_list_is_read_again_soon_after_a_failure() -> None:
+    """A failed first read must not leave a router without peers for seconds."""
     one = network("a.1")
     reads: list[float] = []
 
@@ -59,7 +59,7 @@
 
     async def run() -> None:
         with anyio.move_on_after(10.0):
-            await one.follow_list(source)
+            await one.poll_list(source)
 
     anyio.run(
         run,
@@ -71,8 +71,8 @@
     assert third - second > 3.0
 
 
-def test_changes_of_belief_are_logged(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against logs from which nobody can tell why a router was not recovered."""
+def test_status_changes_are_logged(caplog: pytest.LogCaptureFixture) -> None:
+    """The log must show why a router was, or was not, recovered."""
     one = network("a.1")
 
     async def run() -> None:
@@ -88,11 +88,11 @@
     with caplog.at_level(logging.INFO):
         anyio.run(run)
     lines = [one for one in caplog.records if one.msg == "router status changed"]
-    told = [
+    changes = [
         (vars(line)["member"], vars(line)["before"], vars(line)["status"])
         for line in lines
     ]
-    assert told == [
+    assert changes == [
         ("b.1", None, "alive"),
         ("b.1", "alive", "suspect"),
         ("b.2", None, "alive"),
--- a/tests/routers/test_network.py
+++ b/tests/routers/test_network.py
@@ -29,8 +29,8 @@
 from ebonyhold.types import RouterId
 from tests.routers.kit import (
     BACKENDS,
-    GUARD,
     KEY,
+    TEST_TIMEOUT,
     network,
     pair,
     running,
@@ -39,7 +39,7 @@
 
 
 def push(address: str, *messages: bytes) -> None:
-    """Send raw messages, as anybody on the network can."""
+    """Send raw messages, as anyone on the network can."""
     with pynng.Push0(dial=f"tcp://{address}", block_on_dial=True) as sender:
         for message in messages:
             sender.send(message)
@@ -60,7 +60,7 @@
             await until(lambda: set(one.alive()) == {"b.1", "c.1"})
             await until(lambda: set(three.alive()) == {"a.1", "b.1"})
             reply = await one.ask(
-                "b.1", TransferRequest("acme", 5), TransferGiven, GUARD
+                "b.1", TransferRequest("acme", 5), TransferGiven, TEST_TIMEOUT
             )
             assert reply == TransferGiven("acme", "t1", 5)
 
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "alive", "least", "most"),
+    ("listed", "alive", "min_delay", "max_delay"),
     [
         (0, 0, 0.0, 0.0),
         (8, 8, 0.0, 0.0),
@@ -78,13 +78,13 @@
         (None, 0, 1.5, 1.5 + 9 / 30),
     ],
 )
-def test_a_start_waits_for_its_turn(
-    listed: int | None, alive: int, least: float, most: float
+def test_startup_delay(
+    listed: int | None, alive: int, min_delay: float, max_delay: float
 ) -> None:
-    """All routers start after a power cut, or only this one does.
+    """All routers start at the same time after a power failure, or only this one.
 
-    Alone it starts at once; among many it takes its part of the time that all
-    of them need.
+    Alone it starts at once.  Otherwise it checks for 1.5 seconds who is alive, and
+    then waits at random up to 1/30 of a second per router.
     """
 
     async def run() -> None:
@@ -100,16 +100,16 @@
             view.merge(update, 0.0)
         start = anyio.current_time()
         await one.wait_for_start()
-        assert least <= anyio.current_time() - start <= most + 0.001
+        assert min_delay <= anyio.current_time() - start <= max_delay + 0.001
 
     options = {"clock": MockClock(autojump_threshold=0)}
     anyio.run(run, backend="trio", backend_options=options)
 
 
-def test_garbage_does_not_stop_the_listener() -> None:
-    """Somebody who can reach the port sends noise, and a lot of it.
+def test_malformed_messages_do_not_stop_the_receiver() -> None:
+    """Someone who can reach the port sends malformed and oversized messages.
 
-    The router counts it and goes on talking to its peers.
+    The router counts them and continues to communicate with its peers.
     """
 
     async def run() -> None:
@@ -122,15 +122,17 @@
             await until(lambda: two.refused["malformed"] >= 3)
             await until(lambda: two.refused["oversized"] == 1)
             await until(lambda: one.alive() == ("b.1",))
-            await one.ask("b.1", TransferRequest("acme", 5), TransferGiven, GUARD)
+            await one.ask(
+                "b.1", TransferRequest("acme", 5), TransferGiven, TEST_TIMEOUT
+            )
 
     anyio.run(run)
 
 
 def test_a_router_with_a_wrong_key_is_refused() -> None:
-    """One VM was set up with the wrong key.
+    """One VM was set up with a wrong key.
 
-    Neither side takes it for alive, and both count what they refused.
+    Neither router considers the other alive, and the refusals are counted.
     """
 
     async def run() -> None:
@@ -145,11 +147,11 @@
 def test_keys_rotate_without_a_stop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Operators bring a new key to both routers, then take the old one away.
+    """Operators add a new key to both routers and then remove the old one.
 
-    The routers never lose each other: nobody is suspected at any step.
+    Both routers receive messages after each step and are alive to each other.
     """
-    monkeypatch.setattr(_network, "KEYS_PERIOD", 0.02)
+    monkeypatch.setattr(_network, "KEYS_INTERVAL", 0.02)
     old, new = "k1:" + "01" * 32, "k2:" + "02" * 32
     files = [tmp_path / "one", tmp_path / "two"]
     for path in files:
@@ -178,12 +180,11 @@
     anyio.run(run)
 
 
-def test_a_message_for_the_incarnation_before_is_refused() -> None:
+def test_a_message_to_an_earlier_incarnation_is_refused() -> None:
     """A router is sealed while a peer's message to it is under way.
 
-    It goes on at once as a new incarnation on the same address.  The message
-    arrives there and is refused; the peer soon knows the new one, and takes the
-    old one for gone.
+    It continues as a new incarnation on the same address, which refuses the message.
+    The peer then learns of the new incarnation and marks the old one as gone.
     """
 
     async def run() -> None:
@@ -202,16 +203,16 @@
     anyio.run(run)
 
 
-def test_a_doubled_message_is_handled_once() -> None:
-    """A message is recorded on the network and sent again."""
-    heard = []
+def test_a_replayed_message_is_handled_once() -> None:
+    """Someone on the network records a message and sends it again."""
+    received = []
 
-    async def hear(sender: RouterId, message: PeerMessage) -> None:
-        heard.append(message)
+    async def receive(sender: RouterId, message: PeerMessage) -> None:
+        received.append(message)
 
     async def run() -> None:
         one, two = pair()
-        two.handle(VersionNotice, hear)
+        two.handle(VersionNotice, receive)
         async with running(one, two):
             await until(lambda: one.alive() == ("b.1",))
             frame = Frame(Purpose.NOTICE, 0, VersionNotice(3, "d"))
@@ -219,16 +220,16 @@
             address = two.membership.me.address
             await anyio.to_thread.run_sync(push, address, sealed, sealed, sealed)
             await until(lambda: two.refused["replayed"] == 2)
-            await until(lambda: len(heard) > 0)
+            await until(lambda: len(received) > 0)
 
     anyio.run(run)
-    assert heard == [VersionNotice(3, "d")]
+    assert received == [VersionNotice(3, "d")]
 
 
-def test_a_flood_of_questions_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A peer asks faster than the handlers answer.
+def test_running_handlers_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A peer sends messages faster than the handlers finish.
 
-    What exceeds the bound is dropped and counted; heartbeats go on.
+    Messages above the limit are dropped and counted, and heartbeats continue.
     """
     monkeypatch.setattr(_network, "MAX_HANDLERS", 2)
 
@@ -248,17 +249,17 @@
             received = two.received
             await until(lambda: two.received > received + 3)
             release.set()
-            await until(lambda: two.running == 0)
+            await until(lambda: two.running_handlers == 0)
 
     anyio.run(run)
 
 
 @pytest.mark.parametrize("backend", BACKENDS)
-def test_a_dead_peer_does_not_end_the_others(backend: str) -> None:
-    """One of three routers dies, and the others go on sending to it.
+def test_a_crashed_peer_does_not_end_the_others(backend: str) -> None:
+    """One of three routers crashes, and the others continue to send to it.
 
-    Its socket takes nothing, its queue fills up, and what does not fit is
-    dropped; the other two call it gone and still hear each other.
+    Its queue fills up and further messages are dropped.  The other two no longer
+    consider it alive, and they still receive each other's messages.
     """
 
     async def run() -> None:
--- a/tests/routers/test_wire.py
+++ b/tests/routers/test_wire.py
@@ -1,4 +1,4 @@
-"""Each kind of message over the wire, and kinds that cannot be registered."""
+"""Encoding of each kind of message, and kinds that cannot be registered."""
 
 from __future__ import annotations
 
@@ -18,68 +18,72 @@
 EXAMPLES: dict[type, object] = {bool: True, int: 7, float: 0.5, str: "oak", bytes: b"a"}
 
 
-def filled(kind: typing.Any) -> typing.Any:
-    """Return a value of a type, with something in every nested field."""
+def example_of(kind: typing.Any) -> typing.Any:
+    """Return a value of a type with all nested fields set."""
     if kind in EXAMPLES:
         return EXAMPLES[kind]
     if attrs.has(kind):
         fields = attrs.fields(kind)
-        return kind(**{member.name: filled(member.type) for member in fields})
+        return kind(**{member.name: example_of(member.type) for member in fields})
     if isinstance(kind, type) and issubclass(kind, Enum):
         return next(iter(kind))
     inner = typing.get_args(kind)
     if typing.get_origin(kind) is tuple:
-        return tuple(filled(item) for item in inner if item is not Ellipsis)
-    return filled(inner[0])
+        return tuple(example_of(item) for item in inner if item is not Ellipsis)
+    return example_of(inner[0])
 
 
 @pytest.mark.parametrize("name", sorted(KINDS))
-def test_every_kind_is_read_back_with_every_field_filled(name: str) -> None:
-    """Guards against answers that every receiver refuses as malformed."""
-    frame = Frame(Purpose.ANSWER, 1, filled(KINDS[name]))
+def test_every_kind_is_decoded_with_all_fields_set(name: str) -> None:
+    """Guards against kinds that every receiver refuses as malformed."""
+    frame = Frame(Purpose.ANSWER, 1, example_of(KINDS[name]))
     assert decode(encode(frame)) == frame
 
 
-def test_the_daemons_kinds_are_among_them() -> None:
+def test_the_kinds_of_the_daemon_are_registered() -> None:
     assert ebonyhold.daemon._messages.StatusReply in KINDS.values()
 
 
 @frozen
 class Unresolved:
-    """Nested in a message, with an annotation that no module knows."""
+    """A nested class with an annotation that is not defined."""
 
     value: Unknown  # type: ignore[name-defined]  # noqa: F821
 
 
 @frozen
-class OfUnresolved(PeerMessage):
-    """Holds what cannot be resolved."""
+class UnresolvedField(PeerMessage):
+    """A message with a field whose annotations cannot be resolved."""
 
     inner: tuple[Unresolved, ...] = ()
 
 
 @frozen
-class OfAnything(PeerMessage):
-    """Holds what the codec cannot turn back."""
+class ObjectField(PeerMessage):
+    """A message with a field that the codec cannot decode."""
 
     value: object = None
 
 
 @frozen
-class OfOneOfTwo(PeerMessage):
-    """Holds what the codec cannot tell apart."""
+class CallableField(PeerMessage):
+    """A message with a union that the codec cannot decode."""
 
     value: typing.Callable[[], int] | None = None
 
 
 @pytest.mark.parametrize(
     ("kind", "error"),
-    [(OfUnresolved, NameError), (OfAnything, TypeError), (OfOneOfTwo, TypeError)],
+    [
+        (UnresolvedField, NameError),
+        (ObjectField, TypeError),
+        (CallableField, TypeError),
+    ],
 )
-def test_kind_that_cannot_be_read_back(
+def test_a_kind_that_cannot_be_decoded_is_rejected(
     kind: type[PeerMessage], error: type[Exception]
 ) -> None:
-    """Guards against a kind that fails only once a value is sent."""
+    """Guards against kinds that fail only when a value is sent."""
     with pytest.raises(error):
         peer_message("unreadable")(kind)
     assert "unreadable" not in KINDS
