--- a/ebonyhold/platform/_documents.py
+++ b/ebonyhold/platform/_documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the servers' entries, decoded to our types."""
+"""Decode the operator's configuration and the entries of backend servers."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     Workspace,
 )
 
-KINDS = {
+ROUTE_KINDS = {
     "safe": RouteKind.SAFE,
     "unsafe": RouteKind.UNSAFE,
     "streaming": RouteKind.STREAM,
 }
 
-UNREADABLE = (
+DECODE_ERRORS = (
     ValueError,
     KeyError,
     TypeError,
@@ -34,69 +34,75 @@
     OverflowError,
     RecursionError,
 )
-"""What decoding raises of a value that does not hold what it must: of another type or
-form, of a number without end, or nested deeper than the decoder goes."""
+"""Errors raised by decoding a malformed value: one of a wrong type or form, an infinite
+number, or one nested too deeply for the JSON decoder.
+"""
 
-NAME = re.compile(r"[!-~]+")
-"""A server's name, which goes into a header of each of its requests."""
+SERVER_NAME = re.compile(r"[!-~]+")
+"""Form of a server's name: printable ASCII, as it goes into a request header."""
 
-ADDRESS = re.compile(
+HOST_AND_PORT = re.compile(
     r"(?P<host>[A-Za-z0-9_-]{1,63}(?:\.[A-Za-z0-9_-]{1,63})*):(?P<port>[0-9]{1,5})"
 )
-"""A host, whose labels have at most 63 characters, and a port.
+"""Form of a server's address: a host, whose labels have at most 63 characters, and a
+port.
 
-What the system cannot connect to raises errors beside those of a lost connection.
+Connecting to a longer label would raise an error other than a failed connection.
 """
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
+"""The highest TCP port."""
+
 
-NO_PRIORITY = 5
-"""The rank that engines give a request without one."""
+DEFAULT_PRIORITY = 5
+"""The priority that engines give a request that has none."""
 
 
 def seconds(milliseconds: Any) -> float:
-    """Return seconds for the platform's milliseconds."""
+    """Convert milliseconds, the platform's unit, to seconds."""
     return float(milliseconds) / 1000
 
 
 def read_shares(raw: Mapping[str, Any]) -> tuple[ServiceShare, ...]:
-    """Read the services of a route, split or not."""
+    """Decode the services of a route: one service, or several with weights."""
     split = raw.get("traffic-split")
     if not split:
         return (ServiceShare(str(raw["service"]), 1.0),)
-    return tuple(ServiceShare(str(s["service"]), float(s["weight"])) for s in split)
+    return tuple(
+        ServiceShare(str(share["service"]), float(share["weight"])) for share in split
+    )
 
 
 def read_route(raw: Mapping[str, Any]) -> Route:
-    """Read one route."""
+    """Decode one route."""
     return Route(
         name=str(raw["name"]),
         host=str(raw["host"]).lower(),
         prefix=str(raw["prefix"]),
         shares=read_shares(raw),
-        kind=KINDS[raw["kind"]],
+        kind=ROUTE_KINDS[raw["kind"]],
         timeout=seconds(raw["timeout-ms"]),
         target=seconds(raw.get("target-latency-ms", raw["timeout-ms"])),
         most_attempts=max(1, int(raw.get("max-attempts", 1))),
-        priority=int(raw.get("priority", NO_PRIORITY)),
+        priority=int(raw.get("priority", DEFAULT_PRIORITY)),
         anonymous=bool(raw.get("allow-anonymous", False)),
         resumable=bool(raw.get("resume-streams", False)),
     )
 
 
 def read_service(raw: Mapping[str, Any]) -> Service:
-    """Read one service."""
+    """Decode one service."""
     engine = raw.get("engine") or {}
     return Service(
         name=str(raw["name"]),
         connections=int(raw.get("connection-limit", 0)),
-        # A stride is how many tokens one event of a stream holds at most.
+        # A stride is the largest number of tokens in one event of a stream.
         event_tokens=max(1, int(engine.get("stride", 1))),
     )
 
 
 def read_workspace(raw: Mapping[str, Any]) -> Workspace:
-    """Read one workspace."""
+    """Decode one workspace."""
     priority = raw.get("priority")
     prepaid = raw.get("prepaid")
     return Workspace(
@@ -108,18 +114,20 @@
 
 
 def read_limits(raw: Mapping[str, Any]) -> CallerLimits:
-    """Read what callers are held to."""
-    known = CallerLimits()
+    """Decode the limits on callers' requests; absent fields get the defaults."""
+    defaults = CallerLimits()
     return CallerLimits(
-        head_bytes=int(raw.get("header-bytes", known.head_bytes)),
-        body_bytes=int(raw.get("body-bytes", known.body_bytes)),
-        head_timeout=seconds(raw.get("header-timeout-ms", known.head_timeout * 1000)),
-        idle_timeout=seconds(raw.get("idle-timeout-ms", known.idle_timeout * 1000)),
+        head_bytes=int(raw.get("header-bytes", defaults.head_bytes)),
+        body_bytes=int(raw.get("body-bytes", defaults.body_bytes)),
+        head_timeout=seconds(
+            raw.get("header-timeout-ms", defaults.head_timeout * 1000)
+        ),
+        idle_timeout=seconds(raw.get("idle-timeout-ms", defaults.idle_timeout * 1000)),
     )
 
 
 def index_routes(routes: list[Route]) -> dict[str, dict[str, Route]]:
-    """Return routes by host and then by prefix."""
+    """Return the routes by host and then by prefix."""
     index: dict[str, dict[str, Route]] = {}
     for route in routes:
         index.setdefault(route.host, {})[route.prefix] = route
@@ -130,7 +138,7 @@
     """Decode the operator's configuration.
 
     Raises:
-        ConfigurationError: It cannot be read.
+        ConfigurationError: The value is malformed.
     """
     try:
         raw = json.loads(value)
@@ -145,61 +153,60 @@
             owners={key: item for item in workspaces for key in item.keys},
             limits=read_limits(raw.get("limits") or {}),
         )
-    except UNREADABLE as error:
-        raise ConfigurationError(f"unreadable configuration: {error!r}") from error
+    except DECODE_ERRORS as error:
+        raise ConfigurationError(f"malformed configuration: {error!r}") from error
 
 
-def member(raw: Mapping[str, Any], name: str, kind: type) -> Any:
-    """Return a member of an entry, checked to have its type.
+def typed_field(raw: Mapping[str, Any], name: str, kind: type) -> Any:
+    """Return a field of an entry after checking its type.
 
     Raises:
-        MalformedEntryError: It is missing or of another type.
+        MalformedEntryError: The field is missing or of another type.
     """
     value = raw.get(name)
     if isinstance(value, bool) or not isinstance(value, kind):
-        raise MalformedEntryError(f"{name}: {value!r} is no {kind.__name__}")
+        raise MalformedEntryError(f"{name}: {value!r} is not of type {kind.__name__}")
     return value
 
 
 def read_address(text: str) -> tuple[str, int]:
-    """Read a host and a port.
+    """Split an address into host and port.
 
     Raises:
-        MalformedEntryError: It is neither.
+        MalformedEntryError: It is not a host and a port.
     """
-    found = ADDRESS.fullmatch(text)
-    if found is None or not 0 < int(found["port"]) <= MOST_PORT:
-        raise MalformedEntryError(f"address: {text[:80]!r} is no host and port")
-    return found["host"], int(found["port"])
+    match = HOST_AND_PORT.fullmatch(text)
+    if match is None or not 0 < int(match["port"]) <= MAX_PORT:
+        raise MalformedEntryError(f"address: {text[:80]!r} is not a host and port")
+    return match["host"], int(match["port"])
 
 
 def read_backend(name: str, value: bytes) -> Backend:
     """Decode a server's entry in the list of servers.
 
-    Entries may come from another writer; one that does not hold what it must
-    names no server to use.
+    Other programs may write entries, so each field is checked.
 
     Raises:
-        MalformedEntryError: It cannot be read.
+        MalformedEntryError: The entry is malformed.
     """
-    if not NAME.fullmatch(name):
-        raise MalformedEntryError(f"name: {name[:80]!r} fits into no header")
+    if not SERVER_NAME.fullmatch(name):
+        raise MalformedEntryError(f"name: {name[:80]!r} cannot go into a header")
     try:
         raw = json.loads(value)
         state = BackendState(raw["state"])
         cold_for = seconds(raw.get("cold-remaining-ms") or 0)
-    except UNREADABLE as error:
-        raise MalformedEntryError(f"unreadable entry: {error!r}") from error
-    slots = member(raw, "slots", int)
-    member(raw, "sequence", int)
+    except DECODE_ERRORS as error:
+        raise MalformedEntryError(f"malformed entry: {error!r}") from error
+    slots = typed_field(raw, "slots", int)
+    typed_field(raw, "sequence", int)
     return Backend(
         name=name,
-        service=member(raw, "service", str),
-        address=read_address(member(raw, "address", str)),
-        domain=member(raw, "zone", str),
+        service=typed_field(raw, "service", str),
+        address=read_address(typed_field(raw, "address", str)),
+        domain=typed_field(raw, "zone", str),
         slots=max(1, slots),
         state=state,
-        # The moment of its start, which alone tells two lives under one name apart.
-        started_at=member(raw, "born", int) if "born" in raw else 0,
+        # The start time tells apart two incarnations of a server of the same name.
+        started_at=typed_field(raw, "born", int) if "born" in raw else 0,
         cold_for=cold_for,
     )
--- a/ebonyhold/platform/_headers.py
+++ b/ebonyhold/platform/_headers.py
@@ -1,4 +1,4 @@
-"""The platform's header fields, decoded to and encoded from our own types."""
+"""Translate the platform's header fields to and from our types."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 )
 
 REQUEST_ID = b"x-ebonyhold-request-id"
-# It does not name a moment: it is how long the caller will wait, from now.
-PATIENCE = b"x-ebonyhold-deadline-milliseconds"
+# How long the caller waits from now on; not a point in time.
+TIME_LIMIT = b"x-ebonyhold-deadline-milliseconds"
 KEY = b"x-ebonyhold-key"
 WORKSPACE = b"x-ebonyhold-tenant"
-# Two numbers: the length of the prompt, and the most tokens of the answer.
+# Two numbers of tokens: the prompt's length and the answer's maximum.
 TOKENS = b"x-ebonyhold-token-counts"
-# All parts of the prompt in order, not only the part that is shared.
+# All parts of the prompt in order, not only the prefix shared with other prompts.
 PROMPT_PARTS = b"x-ebonyhold-prompt-prefix"
 EXPECTED_BACKEND = b"x-ebonyhold-expect-instance"
 PRIORITY = b"x-ebonyhold-request-priority"
-PROOF = b"x-ebonyhold-response-stamp"
+RESPONSE_STAMP = b"x-ebonyhold-response-stamp"
 NOT_RUN = b"x-ebonyhold-not-executed"
 RESUME_AFTER = b"last-event-id"
 
 MISDIRECTED = 421
-"""The status of a server that is not the one the dispatch named."""
+"""Status of a server that isn't the one named in `EXPECTED_BACKEND`."""
 
-LEAST_URGENT = 9
-"""The last rank that engines know."""
+LOWEST_PRIORITY = 9
+"""The lowest priority that engines accept; 0 is the highest."""
 
-MOST_DIGITS = 18
-"""Digits of a number; any such number fits into 64 bits, and into a float."""
+MAX_DIGITS = 18
+"""Limit of a number's digits: any such number fits into 64 bits and into a float."""
 
-OURS_TO_SET = frozenset(
+NOT_FORWARDED = frozenset(
     {
         KEY,
         WORKSPACE,
-        PATIENCE,
+        TIME_LIMIT,
         EXPECTED_BACKEND,
         PRIORITY,
         b"x-ebonyhold-expect-version",
@@ -52,43 +52,42 @@
         b"kv-fetch",
     }
 )
-"""Fields that a caller must not be able to pass on to a backend server."""
+"""Fields of a caller's request that are not forwarded to a backend server."""
 
 
-def find(headers: Headers, name: bytes) -> bytes:
-    """Return the first value of a field; empty if it is absent."""
+def first_value(headers: Headers, name: bytes) -> bytes:
+    """Return the first value of a field, or an empty one if the field is absent."""
     for field, value in headers:
         if field == name:
             return value
     return b""
 
 
-def whole_number(name: bytes, value: bytes) -> int:
-    """Read a number that is not negative.
+def read_number(name: bytes, value: bytes) -> int:
+    """Decode a non-negative number of at most `MAX_DIGITS` digits.
 
     Raises:
-        MalformedRequestError: It is none.
+        MalformedRequestError: The value is not such a number.
     """
     digits = value.strip()
-    # Python refuses to convert some numbers of more digits than this, with an error
-    # that nobody expects of what a caller wrote.
-    if not digits.isdigit() or len(digits) > MOST_DIGITS:
-        raise MalformedRequestError(f"{name.decode()}: {value[:40]!r} is no number")
+    # Digits are counted first, since int() raises ValueError for too many of them.
+    if not digits.isdigit() or len(digits) > MAX_DIGITS:
+        raise MalformedRequestError(f"{name.decode()}: {value[:40]!r} is not a number")
     return int(digits)
 
 
 def read_tokens(value: bytes) -> tuple[int, int]:
-    """Read the length of the prompt and the most tokens of the answer.
+    """Decode the length of the prompt and the maximum of the answer, in tokens.
 
     >>> read_tokens(b"1460,80")
     (1460, 80)
     """
-    prompt, _, most = value.partition(b",")
-    return whole_number(TOKENS, prompt), whole_number(TOKENS, most)
+    prompt, _, max_output = value.partition(b",")
+    return read_number(TOKENS, prompt), read_number(TOKENS, max_output)
 
 
 def read_parts(value: bytes) -> tuple[PromptPart, ...]:
-    """Read the parts of a prompt.
+    """Decode the parts of a prompt: pairs of a name and a length in tokens.
 
     >>> read_parts(b"5c1e07a2:800,91bd3f06:410")
     (('5c1e07a2', 800), ('91bd3f06', 410))
@@ -96,47 +95,47 @@
     parts: list[PromptPart] = []
     for item in value.split(b","):
         name, _, length = item.strip().partition(b":")
-        parts.append((name.decode("latin-1"), whole_number(PROMPT_PARTS, length)))
+        parts.append((name.decode("latin-1"), read_number(PROMPT_PARTS, length)))
     return tuple(parts)
 
 
 @frozen
 class PlatformDialect:
-    """The platform's header fields."""
+    """Decodes and encodes the platform's header fields."""
 
     def read_request(self, headers: Headers) -> CallerRequest:
         """Decode the headers of a caller's request.
 
         Raises:
-            MalformedRequestError: A field cannot be read.
+            MalformedRequestError: A field is malformed.
         """
-        patience = find(headers, PATIENCE)
-        tokens = find(headers, TOKENS)
-        parts = find(headers, PROMPT_PARTS)
-        resume = find(headers, RESUME_AFTER)
-        prompt, most = read_tokens(tokens) if tokens else (0, 0)
+        time_limit = first_value(headers, TIME_LIMIT)
+        tokens = first_value(headers, TOKENS)
+        parts = first_value(headers, PROMPT_PARTS)
+        resume = first_value(headers, RESUME_AFTER)
+        prompt, max_output = read_tokens(tokens) if tokens else (0, 0)
         return CallerRequest(
-            request_id=find(headers, REQUEST_ID).decode("latin-1"),
-            key=find(headers, KEY).decode("latin-1").strip(),
-            patience=whole_number(PATIENCE, patience) / 1000 if patience else None,
+            request_id=first_value(headers, REQUEST_ID).decode("latin-1"),
+            key=first_value(headers, KEY).decode("latin-1").strip(),
+            patience=read_number(TIME_LIMIT, time_limit) / 1000 if time_limit else None,
             prompt_tokens=prompt,
-            most_output=most,
+            most_output=max_output,
             prompt_parts=read_parts(parts) if parts else (),
-            resume_after=whole_number(RESUME_AFTER, resume) if resume else None,
+            resume_after=read_number(RESUME_AFTER, resume) if resume else None,
         )
 
     def dispatch_headers(self, headers: Headers, dispatch: Dispatch) -> Headers:
-        """Return the caller's end-to-end fields with this dispatch's own ones."""
+        """Return a dispatch's headers: the caller's end-to-end fields and our own."""
         resumes = dispatch.resume_after is not None
         kept = [
             (name, value)
             for name, value in headers
-            if name not in OURS_TO_SET and not (resumes and name == RESUME_AFTER)
+            if name not in NOT_FORWARDED and not (resumes and name == RESUME_AFTER)
         ]
         left = max(1, int(dispatch.time_left * 1000))
-        kept.append((PATIENCE, b"%d" % left))
+        kept.append((TIME_LIMIT, b"%d" % left))
         kept.append((EXPECTED_BACKEND, dispatch.backend.encode("latin-1")))
-        kept.append((PRIORITY, b"%d" % min(LEAST_URGENT, max(0, dispatch.priority))))
+        kept.append((PRIORITY, b"%d" % min(LOWEST_PRIORITY, max(0, dispatch.priority))))
         if dispatch.workspace:
             kept.append((WORKSPACE, dispatch.workspace.encode("latin-1")))
         if dispatch.resume_after is not None:
@@ -146,12 +145,12 @@
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
         """Decode the headers of a backend server's answer."""
         return AnswerFacts(
-            request_id=find(headers, REQUEST_ID).decode("latin-1"),
-            proof=find(headers, PROOF),
-            not_run=status == MISDIRECTED or bool(find(headers, NOT_RUN)),
+            request_id=first_value(headers, REQUEST_ID).decode("latin-1"),
+            proof=first_value(headers, RESPONSE_STAMP),
+            not_run=status == MISDIRECTED or bool(first_value(headers, NOT_RUN)),
             moved=status == MISDIRECTED,
         )
 
     def refusal_headers(self, request_id: str) -> Headers:
-        """Return the fields that name the request in an answer of our own."""
+        """Return the headers of a refusal: the request's id, if it has one."""
         return [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
--- a/ebonyhold/platform/_settings.py
+++ b/ebonyhold/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives a process, decoded to our types."""
+"""Decode the settings file that the platform gives each process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def read_address(text: str) -> tuple[str, int]:
-    """Split a host and a port."""
+    """Split an address into host and port."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -27,7 +27,7 @@
     """Decode the settings.
 
     Raises:
-        SettingsError: A member is missing or wrong.
+        SettingsError: A setting is missing or malformed.
     """
     try:
         listen = raw["listen-addresses"]
@@ -36,13 +36,13 @@
             name=str(raw["node-name"]),
             domain=str(raw["zone"]),
             callers=read_address(listen[CALLERS]),
-            # The address whose answers decide whether callers are sent here.
+            # Answers at this address decide whether callers are sent to this process.
             readiness=read_address(listen[READINESS]),
             host=str(raw["ip-address"]),
             store=read_address(raw["platform"]["address"]),
-            # The first and the last port that are free for our own use; may be empty.
+            # The first and last port of the range for internal use; may be empty.
             peers_port=int((raw.get("internal-ports") or [NO_PORT])[0]),
-            # From the signal to the kill that follows it.
+            # Seconds from SIGTERM until the platform kills the process.
             grace=float(bounds["grace-s"]),
             retry_ratio=float(bounds["retry-budget-ratio"]),
             retry_extra=float(bounds["budget-extra-retries"]),
@@ -53,10 +53,10 @@
 
 
 def load_platform_settings() -> GatewaySettings:
-    """Read the settings file that the environment names.
+    """Read the settings file named by the environment variable.
 
     Raises:
-        SettingsError: It is missing or cannot be used.
+        SettingsError: The file is missing or malformed.
     """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
--- a/ebonyhold/platform/_store.py
+++ b/ebonyhold/platform/_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: rows, transactions and changes."""
+"""Client of the platform's store: reads, transactions and the feed of changes."""
 
 from __future__ import annotations
 
@@ -35,26 +35,26 @@
 
 log = logging.getLogger(__name__)
 
-TRANSACT = "/ebonyhold/rows-tx"
-READ = "/ebonyhold/rows-get"
-FEED = "/ebonyhold/rows-feed"
-# Despite the name it is no history: the version to go on after.
-AFTER = "after-revision"
-# It holds no revision alone but whole rows that are checked.
-CHECKS = "expected-revision"
-VERSION = "version-number"
-NOW = "now-ms"
+TRANSACT_PATH = "/ebonyhold/rows-tx"
+READ_PATH = "/ebonyhold/rows-get"
+FEED_PATH = "/ebonyhold/rows-feed"
+# The feed returns the changes after this version of the table.
+AFTER_FIELD = "after-revision"
+# A list of row keys with the version that each must have.
+CHECKS_FIELD = "expected-revision"
+VERSION_FIELD = "version-number"
+NOW_FIELD = "now-ms"
 
 CALL_TIMEOUT: Seconds = 0.6
-"""The longest wait for one call; an answer usually takes some 12 ms."""
+"""Timeout of one call; an answer usually takes some 12 ms."""
 
 FEED_MARGIN: Seconds = 0.5
-"""How much longer than asked a call for changes may take."""
+"""Added to the requested wait to give the timeout of a call for changes."""
 
-UNDONE = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-"""Statuses by which the store says that it did nothing."""
+NO_EFFECT_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+"""Statuses of a transaction that the store refused without any effect."""
 
-UNREADABLE = (
+DECODE_ERRORS = (
     ValueError,
     LookupError,
     TypeError,
@@ -62,16 +62,16 @@
     OverflowError,
     RecursionError,
 )
-"""What decoding raises of an answer that does not hold what it must."""
+"""Errors raised by decoding a malformed answer."""
 
-PAGE = 500
-"""Rows of one answer."""
+MAX_ROWS = 500
+"""Maximum of rows in one answer; a snapshot reads as many pages as there are."""
 
-JSON = [(b"content-type", b"application/json")]
+JSON_HEADERS = [(b"content-type", b"application/json")]
 
 
 def split_key(key: str) -> dict[str, str]:
-    """Split a key, written ``table/part/rest``, as the platform addresses rows.
+    """Split a key, written ``table/part/rest``, into the fields that calls use.
 
     >>> split_key("prepaid/acme/grant/r1")
     {'table': 'prepaid', 'part': 'acme', 'key': 'grant/r1'}
@@ -81,18 +81,18 @@
 
 
 def join_key(raw: dict[str, Any]) -> str:
-    """Return our key of a row."""
+    """Return the key of a row, written ``table/part/rest``."""
     return f"{raw['table']}/{raw['part']}/{raw['key']}"
 
 
 def encode_check(check: Check) -> dict[str, Any]:
-    """Return a check in the platform's form; version 0 means no row."""
+    """Encode a check; version 0 means that the row must not exist."""
     version = 0 if isinstance(check, Absent) else check.version
-    return {**split_key(check.key), VERSION: version}
+    return {**split_key(check.key), VERSION_FIELD: version}
 
 
 def encode_transaction(transaction: Transaction) -> dict[str, Any]:
-    """Return a transaction in the platform's form."""
+    """Encode a transaction as the body of a call."""
     writes: list[dict[str, Any]] = []
     removals: list[dict[str, Any]] = []
     for write in transaction.writes:
@@ -103,25 +103,25 @@
         else:
             removals.append(split_key(write.key))
     checks = [encode_check(check) for check in transaction.checks]
-    return {CHECKS: checks, "writes": writes, "remove": removals}
+    return {CHECKS_FIELD: checks, "writes": writes, "remove": removals}
 
 
-def decode_raw(raw: dict[str, Any]) -> RawRow:
-    """Read one row, whoever wrote it."""
+def decode_raw_row(raw: dict[str, Any]) -> RawRow:
+    """Decode one row, whoever wrote it; its value stays bytes."""
     deleted = bool(raw.get("deleted"))
     value = b"" if deleted else base64.b64decode(raw["value"])
-    return RawRow(str(raw["key"]), int(raw[VERSION]), value, deleted)
+    return RawRow(str(raw["key"]), int(raw[VERSION_FIELD]), value, deleted)
 
 
 def decode_row(raw: dict[str, Any]) -> Row:
-    """Read one row of our own."""
+    """Decode one row written by this software, with its JSON value."""
     value = json.loads(base64.b64decode(raw["value"]))
-    return Row(join_key(raw), int(raw[VERSION]), value)
+    return Row(join_key(raw), int(raw[VERSION_FIELD]), value)
 
 
 @define
 class StoreClient:
-    """The platform's store; it keeps nothing between calls but connections."""
+    """Client of the platform's store; its only state is its connections."""
 
     address: tuple[str, int]
     calls: HttpCalls = field(init=False)
@@ -130,15 +130,20 @@
         self.calls = HttpCalls(self.address)
 
     def start(self, tasks: TaskStarter) -> None:
-        """Take what starts the tasks in which connections are read."""
+        """Set what starts the tasks that read from the connections."""
         self.calls.start(tasks)
 
-    async def ask(self, path: str, query: dict[str, str], wait: Seconds = 0) -> Any:
-        """Make a reading call.
+    async def fetch(self, path: str, query: dict[str, str], wait: Seconds = 0) -> Any:
+        """Make a GET call and return the decoded body of the answer.
+
+        Args:
+            path: The path of the call.
+            query: The parameters of the call.
+            wait: How long the store may wait for changes before it answers, in seconds.
 
         Raises:
-            HistoryLostError: The changes asked for are no longer kept.
-            UnavailableError: The store did not answer as it should.
+            HistoryLostError: The store no longer keeps the requested changes.
+            UnavailableError: The call failed, or its answer is malformed.
         """
         limit = wait + FEED_MARGIN if wait else CALL_TIMEOUT
         target = f"{path}?{urlencode(query)}".encode()
@@ -154,58 +159,58 @@
         return decode_body(path, answer)
 
     async def snapshot(self, table: str, part: str = "") -> Snapshot:
-        """Read all rows of one part of a table.
+        """Read all rows of one part of a table, page by page.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: A call failed, or its answer is malformed.
         """
         rows: list[RawRow] = []
         version: int | None = None
-        query = {"table": table, "part": part, "limit": str(PAGE)}
+        query = {"table": table, "part": part, "limit": str(MAX_ROWS)}
         while True:
-            body = await self.ask(READ, query)
-            with readable(READ):
-                page = [decode_raw(raw) for raw in body["rows"]]
+            body = await self.fetch(READ_PATH, query)
+            with decoding(READ_PATH):
+                page = [decode_raw_row(raw) for raw in body["rows"]]
                 rows += page
-                # A row of an earlier page may change while a later one is read.  From
-                # the first page's version on the feed tells of it; what later pages
-                # hold already comes once more, which does no harm.
+                # A row of an earlier page may change while a later page is read.  So
+                # the feed is followed from the first page's version; it then repeats
+                # some changes of later pages, which is harmless.
                 if version is None:
-                    version = int(body[VERSION])
+                    version = int(body[VERSION_FIELD])
                 if not body.get("truncated"):
                     return Snapshot(tuple(rows), version)
-                # Keys are read from this one on, so the least larger key is named.
+                # "from" is inclusive: the next page starts at the next possible key.
                 query["from"] = page[-1].key + "\0"
 
     async def changes(self, table: str, after: int, wait: Seconds) -> Changes:
-        """Wait for the changes of a table after a version.
+        """Wait for changes of a table after a version.
 
         Raises:
-            HistoryLostError: They are no longer kept; read everything again.
-            UnavailableError: The store cannot be reached.
+            HistoryLostError: The store no longer keeps them; read a new snapshot.
+            UnavailableError: The call failed, or its answer is malformed.
         """
         milliseconds = str(int(wait * 1000))
-        query = {"table": table, AFTER: str(after), "wait-ms": milliseconds}
-        body = await self.ask(FEED, query, wait)
-        with readable(FEED):
-            rows = tuple(decode_raw(raw) for raw in body["rows"])
-            return Changes(rows, int(body[VERSION]))
+        query = {"table": table, AFTER_FIELD: str(after), "wait-ms": milliseconds}
+        body = await self.fetch(FEED_PATH, query, wait)
+        with decoding(FEED_PATH):
+            rows = tuple(decode_raw_row(raw) for raw in body["rows"])
+            return Changes(rows, int(body[VERSION_FIELD]))
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Read rows whose key starts with a prefix, in the order of their keys.
+        """Read the rows whose key starts with a prefix, in the order of their keys.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call failed, or its answer is malformed.
         """
-        place = split_key(prefix)
-        query = {"table": place["table"], "part": place["part"], "limit": str(PAGE)}
-        # "target" is the end of the range, which it leaves out.
-        query["from"] = place["key"]
-        query["target"] = place["key"] + "\x7f"
+        start = split_key(prefix)
+        query = {"table": start["table"], "part": start["part"], "limit": str(MAX_ROWS)}
+        # "target" is the end of the range of keys, exclusive.
+        query["from"] = start["key"]
+        query["target"] = start["key"] + "\x7f"
         if after:
             query["from"] = split_key(after)["key"] + "\0"
-        body = await self.ask(READ, query)
-        with readable(READ):
+        body = await self.fetch(READ_PATH, query)
+        with decoding(READ_PATH):
             return [decode_row(raw) for raw in body["rows"][:limit]]
 
     async def commit(self, transaction: Transaction) -> Committed:
@@ -213,77 +218,77 @@
 
         Raises:
             ConflictError: A check failed; nothing was written.
-            UnavailableError: It certainly had no effect.
-            UnknownOutcomeError: It may have taken effect, or may yet.
+            UnavailableError: The transaction had no effect.
+            UnknownOutcomeError: It may have taken effect, or may still do so.
         """
         body = encode_transaction(transaction)
         content = json.dumps(body, separators=(",", ":")).encode()
-        request = Outbound(b"POST", TRANSACT.encode(), JSON, content, True)
+        request = Outbound(b"POST", TRANSACT_PATH.encode(), JSON_HEADERS, content, True)
         try:
             answer = await self.calls.call(request, CALL_TIMEOUT)
         except CallNotSentError as error:
-            raise UnavailableError(f"{TRANSACT}: {error}") from error
+            raise UnavailableError(f"{TRANSACT_PATH}: {error}") from error
         except BackendLostError as error:
-            raise UnknownOutcomeError(f"{TRANSACT}: {error}") from error
+            raise UnknownOutcomeError(f"{TRANSACT_PATH}: {error}") from error
         status = answer.head.status
         if status == HTTPStatus.PRECONDITION_FAILED:
             rows = conflicting_rows(answer)
             keys = tuple(row.key for row in rows)
             raise ConflictError("a check failed", keys, rows)
-        if status not in UNDONE and status != HTTPStatus.OK:
-            raise UnknownOutcomeError(f"{TRANSACT}: status {status}")
-        check_status(TRANSACT, answer)
+        if status not in NO_EFFECT_STATUSES and status != HTTPStatus.OK:
+            raise UnknownOutcomeError(f"{TRANSACT_PATH}: status {status}")
+        check_status(TRANSACT_PATH, answer)
         try:
             raw = json.loads(answer.body)
-            return Committed(int(raw[VERSION]), raw[NOW] / 1000)
-        except UNREADABLE as error:
-            raise UnknownOutcomeError(f"{TRANSACT}: {error!r}") from error
+            return Committed(int(raw[VERSION_FIELD]), raw[NOW_FIELD] / 1000)
+        except DECODE_ERRORS as error:
+            raise UnknownOutcomeError(f"{TRANSACT_PATH}: {error!r}") from error
 
 
 def conflicting_rows(answer: WholeAnswer) -> tuple[Row, ...]:
-    """Return the rows that a failed transaction checked, as they are now.
+    """Return the current rows that a failed transaction checked.
 
-    A body that cannot be read tells nothing of them; the failure itself is certain.
+    They are empty if the body is malformed; the status alone proves the conflict.
     """
     try:
         return tuple(decode_row(raw) for raw in json.loads(answer.body).get("rows", ()))
-    except UNREADABLE as error:
-        log.warning("conflict without rows", extra={"detail": repr(error)})
+    except DECODE_ERRORS as error:
+        log.warning("rows of a conflict not readable", extra={"detail": repr(error)})
         return ()
 
 
 def check_status(path: str, answer: WholeAnswer) -> None:
-    """Make sure that the store did what was asked.
+    """Raise an error unless the call succeeded.
 
     Raises:
-        ThrottledError: It refused for its rate ceiling; nothing was done.
-        UnavailableError: It did nothing.
+        ThrottledError: Refused for the store's rate limit; the call had no effect.
+        UnavailableError: The call had no effect.
     """
     status = answer.head.status
     if status == HTTPStatus.TOO_MANY_REQUESTS:
-        raise ThrottledError(f"{path}: over the rate ceiling")
+        raise ThrottledError(f"{path}: over the store's rate limit")
     if status != HTTPStatus.OK:
         raise UnavailableError(f"{path}: status {status}")
 
 
 def decode_body(path: str, answer: WholeAnswer) -> Any:
-    """Read the JSON body of an answer.
+    """Decode the JSON body of an answer.
 
     Raises:
-        UnavailableError: It is none.
+        UnavailableError: The body is not JSON.
     """
-    with readable(path):
+    with decoding(path):
         return json.loads(answer.body)
 
 
 @contextmanager
-def readable(path: str) -> Iterator[None]:
-    """Take what an answer to a reading call holds.
+def decoding(path: str) -> Iterator[None]:
+    """Turn decoding errors within the block into `UnavailableError`.
 
     Raises:
-        UnavailableError: It does not hold what it must.
+        UnavailableError: The answer is malformed.
     """
     try:
         yield
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise UnavailableError(f"{path}: malformed answer: {error!r}") from error
--- a/ebonyhold/platform/_wiring.py
+++ b/ebonyhold/platform/_wiring.py
@@ -1,4 +1,4 @@
-"""Everything a gateway talks to on this platform."""
+"""Build the platform adapter of a gateway."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from ebonyhold.platform._settings import load_platform_settings
 from ebonyhold.platform._store import StoreClient
 
-# The operator's table and row, and the servers' table.
+# Names of rows and tables in the platform's store.
 RULES_TABLE = "op"
 RULES_KEY = "config"
 SERVERS_TABLE = "servers"
 
 
 def platform_peers() -> Peers:
-    """Return what a gateway talks to, by the settings file of this process.
+    """Return the platform adapter, configured by the process's settings file.
 
     Raises:
-        SettingsError: The settings cannot be used.
+        SettingsError: The settings file is missing or malformed.
     """
     settings = load_platform_settings()
     return Peers(
