--- a/tests/platform/kit/__init__.py
+++ b/tests/platform/kit/__init__.py
@@ -8,9 +8,9 @@
     Try,
     converse,
 )
-from tests.platform.kit._lives import Life, begin, find_life
 from tests.platform.kit._logs import log_faults
-from tests.platform.kit._promises import (
+from tests.platform.kit._processes import Life, begin, find_life
+from tests.platform.kit._rules import (
     DOOR_MARGIN,
     LATE_AFTER,
     LOSS_SLACK,
--- a/tests/platform/kit/_promises.py
+++ b/tests/platform/kit/_rules.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from tests.platform.kit._callers import MISSED_BY, Style, Try
-from tests.platform.kit._lives import Life
+from tests.platform.kit._processes import Life
 from tests.platform.kit._world import GRACE
 
 DOOR_MARGIN = 0.4
--- a/tests/platform/soak/_play.py
+++ b/tests/platform/soak/_run.py
@@ -36,7 +36,7 @@
     read_runs,
     settings,
 )
-from tests.platform.soak._judge import PATIENCE, SETTLED, Evidence, Hurt, judge
+from tests.platform.soak._checks import PATIENCE, SETTLED, Evidence, Hurt, judge
 
 GATEWAYS = 3
 CALLERS = 8
--- a/tests/platform/stops/__init__.py
+++ b/tests/platform/stops/__init__.py
@@ -8,7 +8,7 @@
 
 from tests.platform.stops._cases import CASES, LONG_CASES, Case, Overlap, Trouble
 from tests.platform.stops._findings import Broken, Promise
-from tests.platform.stops._play import play_case, play_cases
+from tests.platform.stops._run import play_case, play_cases
 
 __all__ = [
     "CASES",
--- a/tests/platform/stops/_play.py
+++ b/tests/platform/stops/_run.py
@@ -31,9 +31,9 @@
     settings,
 )
 from tests.platform.stops._cases import Case, Overlap, Trouble
+from tests.platform.stops._checks import judge
 from tests.platform.stops._domain import Domain
 from tests.platform.stops._findings import Broken, Evidence, Promise
-from tests.platform.stops._judge import judge
 
 PROGRAM = "ebonyhold.gateway"
 WORKSPACES = {"acme": 40_000_000, "blue": 40_000_000}
--- a/tests/platform/test_late_requests.py
+++ b/tests/platform/test_late_requests.py
@@ -26,7 +26,7 @@
     converse,
     read_runs,
 )
-from tests.platform.soak._play import PROGRAM, Soak, no_more
+from tests.platform.soak._run import PROGRAM, Soak, no_more
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/platform/test_soak_judge.py
+++ b/tests/platform/test_soak_checks.py
@@ -9,7 +9,7 @@
 from attrs import evolve
 
 from tests.platform.kit import Fault, Length, Life, Seen, Style, Try, log_faults
-from tests.platform.soak._judge import Evidence, Hurt, judge_end, judge_stopped
+from tests.platform.soak._checks import Evidence, Hurt, judge_end, judge_stopped
 from tests.platform.standin import has_fate
 
 LIFE = Life(0, 1.0, listening_at=2.0, asked_at=100.0, exited_at=107.0, code=0)
--- a/tests/platform/test_stops_judge.py
+++ b/tests/platform/test_stops_checks.py
@@ -9,8 +9,8 @@
 
 from tests.platform.kit import Fault, Life, Seen, Style, Try
 from tests.platform.stops._cases import LONG, MIDDLE, PLAIN, SHORT, Case, Trouble
+from tests.platform.stops._checks import judge, judge_end, judge_try
 from tests.platform.stops._findings import Broken, Evidence, Promise
-from tests.platform.stops._judge import judge, judge_end, judge_try
 
 CASE = Case("case")
 LIFE = Life(0, 1.0, listening_at=2.0, asked_at=100.0, exited_at=107.0, code=0)
