--- a/tests/platform/kit/_callers.py
+++ b/tests/platform/kit/_callers.py
@@ -14,10 +14,10 @@
 
 from tests.platform.kit._world import EVENT_TOKENS, Gateway
 
-CONNECT_TIME = 1.0
+CONNECT_TIMEOUT = 1.0
 """Seconds in which callers want a connection, as the platform's do."""
 
-PATIENCE = 15.0
+ANSWER_TIMEOUT = 15.0
 """Seconds after which a request hangs: longer than any answer and any grace."""
 
 PIECE_PAUSE = (0.05, 1.1)
@@ -26,15 +26,15 @@
 KEPT_PAUSE = (0.02, 0.25)
 """Seconds between requests on a kept connection."""
 
-MISSED_BY = 0.01
+CROSSING_TOLERANCE = 0.01
 """Seconds that a request and an answer on their way may miss each other by."""
 
-CROSSING_TIME = 0.05
+CROSSING_DELAY = 0.05
 """Within so many seconds after a request the next one crosses its answer, which takes
 some 30 ms."""
 
-PIPELINED = 3
-SLOW_BODY = 3000
+PIPELINE_LENGTH = 3
+SLOW_BODY_BYTES = 3000
 
 
 class Style(Enum):
@@ -71,7 +71,7 @@
 
 
 @define(eq=False)
-class Try:
+class RequestRecord:
     """One request, and what its caller saw.  Moments are of the monotonic clock.
 
     Attributes:
@@ -93,16 +93,16 @@
         patience: How long the gateway has for it; 0 for as long as the route allows.
     """
 
-    request: str
+    request_id: str
     vm: int
     style: Style
     length: Length
     workspace: str
     prompt: int
-    asked_at: float = field(factory=time.monotonic)
+    started_at: float = field(factory=time.monotonic)
     connected_at: float = 0.0
     sent_at: float = 0.0
-    named: bool = False
+    head_sent: bool = False
     closing_at: float = 0.0
     followed: bool = False
     behind_cut: bool = False
@@ -110,23 +110,23 @@
     status: int = 0
     close: bool = False
     retry_after: str = ""
-    right: bool = True
+    id_matches: bool = True
     events: list[int] = field(factory=list)
     whole: bool = False
     fault: str = Fault.NONE
     ended_at: float = 0.0
-    sound: bool = True
-    patience: float = 0.0
+    fault_free: bool = True
+    time_limit: float = 0.0
 
     @property
     def target(self) -> str:
         """The target, with what its engine is asked to do."""
-        place = "/chat/a" if self.length.events else "/book/a"
+        path = "/chat/a" if self.length.events else "/book/a"
         script = f"?events={self.length.events}&pause={self.length.pause}&sound=1"
-        return place + script if self.sound else place
+        return path + script if self.fault_free else path
 
     @property
-    def most(self) -> int:
+    def max_tokens(self) -> int:
         """The most tokens of the answer."""
         return self.length.events * EVENT_TOKENS
 
@@ -136,20 +136,20 @@
         lines = [
             f"POST {self.target} HTTP/1.1",
             f"host: {'book' if plain else 'chat'}.example",
-            f"x-ebonyhold-request-id: {self.request}",
+            f"x-ebonyhold-request-id: {self.request_id}",
             f"x-ebonyhold-key: key-{self.workspace}",
             f"content-length: {len(body)}",
         ]
-        if self.patience:
-            milliseconds = int(self.patience * 1000)
+        if self.time_limit:
+            milliseconds = int(self.time_limit * 1000)
             lines.append(f"x-ebonyhold-deadline-milliseconds: {milliseconds}")
         if self.prompt and not plain:
-            lines.append(f"x-ebonyhold-token-counts: {self.prompt},{self.most}")
+            lines.append(f"x-ebonyhold-token-counts: {self.prompt},{self.max_tokens}")
         return "\r\n".join([*lines, "", ""]).encode()
 
 
 @define(eq=False)
-class Line:
+class Connection:
     """A connection to a VM.
 
     Attributes:
@@ -163,88 +163,90 @@
 
     stream: SocketStream
     connected_at: float = field(factory=time.monotonic)
-    rest: bytes = b""
+    unread: bytes = b""
     closing_at: float = 0.0
-    before: Try | None = None
-    cut: bool = False
-    over: bool = False
+    previous: RequestRecord | None = None
+    was_cut: bool = False
+    closed: bool = False
 
     async def send(self, data: bytes) -> None:
         """Write some bytes; a failure shows when the answer is read."""
         try:
             await self.stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.over = True
+            self.closed = True
 
-    async def ask(self, one: Try, body: bytes = b"abc") -> None:
+    async def send_request(self, request: RequestRecord, body: bytes = b"abc") -> None:
         """Write a whole request."""
-        await self.send(one.head(body) + body)
-        self.note_sent(one)
+        await self.send(request.head(body) + body)
+        self.record_sent(request)
 
-    def note_sent(self, one: Try) -> None:
+    def record_sent(self, request: RequestRecord) -> None:
         """Note that the last byte of a request was handed over."""
-        one.connected_at = self.connected_at
-        one.named = True
-        if not self.over:
-            one.sent_at = time.monotonic()
+        request.connected_at = self.connected_at
+        request.head_sent = True
+        if not self.closed:
+            request.sent_at = time.monotonic()
 
-    async def ask_slowly(self, one: Try, chances: Random) -> None:
+    async def send_slowly(self, request: RequestRecord, rng: Random) -> None:
         """Write a request in pieces, unless something comes back meanwhile."""
-        one.connected_at = self.connected_at
-        body = b"a" * SLOW_BODY
-        head = one.head(body)
+        request.connected_at = self.connected_at
+        body = b"a" * SLOW_BODY_BYTES
+        head = request.head(body)
         whole = head + body
-        if one.style is Style.SLOW_HEAD:
-            cuts = sorted(chances.sample(range(1, len(head)), 2))
+        if request.style is Style.SLOW_HEAD:
+            cuts = sorted(rng.sample(range(1, len(head)), 2))
         else:
-            cuts = sorted(chances.sample(range(len(head), len(whole)), 2))
+            cuts = sorted(rng.sample(range(len(head), len(whole)), 2))
         for start, end in zip([0, *cuts], [*cuts, len(whole)], strict=True):
             await self.send(whole[start:end])
-            one.named = end >= len(head)
-            if self.over or end == len(whole):
+            request.head_sent = end >= len(head)
+            if self.closed or end == len(whole):
                 break
-            if await self.heard_within(chances.uniform(*PIECE_PAUSE)):
+            if await self.received_within(rng.uniform(*PIECE_PAUSE)):
                 return
-        self.note_sent(one)
+        self.record_sent(request)
 
-    async def heard_within(self, seconds: float) -> bool:
+    async def received_within(self, seconds: float) -> bool:
         """Tell whether an answer began, or the connection ended, in some time."""
         with anyio.move_on_after(seconds):
             try:
-                self.rest += await self.stream.receive()
+                self.unread += await self.stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
-                self.over = True
+                self.closed = True
             return True
         return False
 
-    async def read(self, one: Try) -> None:
+    async def read(self, request: RequestRecord) -> None:
         """Read the answer to a request."""
-        one.closing_at = self.closing_at
-        one.behind_cut = self.cut
-        one.fault = Fault.HUNG
-        with anyio.move_on_after(PATIENCE):
+        request.closing_at = self.closing_at
+        request.behind_cut = self.was_cut
+        request.fault = Fault.HUNG
+        with anyio.move_on_after(ANSWER_TIMEOUT):
             try:
-                one.fault = await self.read_answer(one)
+                request.fault = await self.read_answer(request)
             except anyio.BrokenResourceError:
-                one.fault = Fault.RESET
+                request.fault = Fault.RESET
             except h11.RemoteProtocolError:
-                one.fault = Fault.ENDED
-        one.ended_at = time.monotonic()
-        self.over = self.over or bool(one.fault) or one.close
-        self.cut = self.cut or bool(one.fault and one.status)
-        if self.before is not None and one.status:
-            self.before.followed = one.sent_at <= self.before.head_at + MISSED_BY
-        self.before = one
-        if one.close and not self.closing_at:
-            self.closing_at = one.head_at
-
-    async def read_answer(self, one: Try) -> str:
+                request.fault = Fault.ENDED
+        request.ended_at = time.monotonic()
+        self.closed = self.closed or bool(request.fault) or request.close
+        self.was_cut = self.was_cut or bool(request.fault and request.status)
+        if self.previous is not None and request.status:
+            self.previous.followed = (
+                request.sent_at <= self.previous.head_at + CROSSING_TOLERANCE
+            )
+        self.previous = request
+        if request.close and not self.closing_at:
+            self.closing_at = request.head_at
+
+    async def read_answer(self, request: RequestRecord) -> str:
         """Read an answer to its end; return how the connection failed."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
         parser.send(h11.EndOfMessage())
-        parser.receive_data(self.rest) if self.rest else None
-        self.rest = b""
+        parser.receive_data(self.unread) if self.unread else None
+        self.unread = b""
         text = b""
         while True:
             event = parser.next_event()
@@ -254,117 +256,145 @@
                 except anyio.EndOfStream:
                     parser.receive_data(b"")
             elif isinstance(event, h11.Response):
-                note_head(one, event)
+                record_head(request, event)
             elif isinstance(event, h11.Data):
                 text += bytes(event.data)
                 *events, _ = text.split(b"\n\n")
-                one.events = [int(e.split()[1]) for e in events if e[:3] == b"id:"]
+                request.events = [int(e.split()[1]) for e in events if e[:3] == b"id:"]
             elif isinstance(event, h11.EndOfMessage):
-                one.whole = True
-                self.rest = parser.trailing_data[0]
+                request.whole = True
+                self.unread = parser.trailing_data[0]
                 return Fault.NONE
             else:
                 return Fault.ENDED
 
 
-def note_head(one: Try, head: h11.Response) -> None:
+def record_head(request: RequestRecord, head: h11.Response) -> None:
     """Note what the head of an answer says."""
-    names: Mapping[bytes, bytes] = dict(head.headers)
-    one.head_at = time.monotonic()
-    one.status = head.status_code
-    one.close = b"close" in names.get(b"connection", b"").lower()
-    one.retry_after = names.get(b"retry-after", b"").decode()
-    name = names.get(b"x-ebonyhold-request-id", b"").decode()
+    fields: Mapping[bytes, bytes] = dict(head.headers)
+    request.head_at = time.monotonic()
+    request.status = head.status_code
+    request.close = b"close" in fields.get(b"connection", b"").lower()
+    request.retry_after = fields.get(b"retry-after", b"").decode()
+    name = fields.get(b"x-ebonyhold-request-id", b"").decode()
     # What has no name yet cannot be answered by its name.
-    one.right = name == one.request or not (name or one.named)
+    request.id_matches = name == request.request_id or not (name or request.head_sent)
 
 
-async def connect(gateway: Gateway, one: Try) -> Line | None:
+async def connect(gateway: Gateway, request: RequestRecord) -> Connection | None:
     """Open a connection for a request; if there is none, the request says why."""
-    one.asked_at = time.monotonic()
-    one.fault = Fault.SILENT
-    line = None
-    with anyio.move_on_after(CONNECT_TIME):
+    request.started_at = time.monotonic()
+    request.fault = Fault.SILENT
+    connection = None
+    with anyio.move_on_after(CONNECT_TIMEOUT):
         try:
             stream = await anyio.connect_tcp(gateway.address, gateway.port)
-            one.fault = Fault.NONE
-            line = Line(stream)
+            request.fault = Fault.NONE
+            connection = Connection(stream)
         except OSError:
-            one.fault = Fault.REFUSED
-    one.ended_at = time.monotonic()
-    return line
+            request.fault = Fault.REFUSED
+    request.ended_at = time.monotonic()
+    return connection
 
 
-NextTry = Callable[[], Try]
+NextRequest = Callable[[], RequestRecord]
 """Returns a further request of a caller to the same VM."""
 
-Over = Callable[[], bool]
+IsOver = Callable[[], bool]
 
 
-async def ask_once(line: Line, one: Try, more: NextTry, chances: Random) -> None:
+async def send_once(
+    connection: Connection,
+    request: RequestRecord,
+    next_request: NextRequest,
+    rng: Random,
+) -> None:
     """Ask one request."""
-    del more, chances
-    await line.ask(one)
-    await line.read(one)
+    del next_request, rng
+    await connection.send_request(request)
+    await connection.read(request)
 
 
-async def ask_pipelined(line: Line, one: Try, more: NextTry, chances: Random) -> None:
+async def send_pipelined(
+    connection: Connection,
+    request: RequestRecord,
+    next_request: NextRequest,
+    rng: Random,
+) -> None:
     """Ask several requests at once, and read all that is answered."""
-    del chances
-    tries = [one, *(more() for _ in range(PIPELINED - 1))]
-    for item in tries:
-        await line.ask(item)
-    for item in tries:
-        await line.read(item)
-
-
-async def ask_crossing(line: Line, one: Try, more: NextTry, chances: Random) -> None:
+    del rng
+    requests = [request, *(next_request() for _ in range(PIPELINE_LENGTH - 1))]
+    for item in requests:
+        await connection.send_request(item)
+    for item in requests:
+        await connection.read(item)
+
+
+async def send_crossing(
+    connection: Connection,
+    request: RequestRecord,
+    next_request: NextRequest,
+    rng: Random,
+) -> None:
     """Ask a second request while the answer to the first is on its way."""
-    await line.ask(one)
+    await connection.send_request(request)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(line.read, one)
-        await anyio.sleep(chances.uniform(0.0, CROSSING_TIME))
-        if one.close or line.over:
+        tasks.start_soon(connection.read, request)
+        await anyio.sleep(rng.uniform(0.0, CROSSING_DELAY))
+        if request.close or connection.closed:
             return
-        second = more()
-        await line.ask(second)
-    await line.read(second)
+        second = next_request()
+        await connection.send_request(second)
+    await connection.read(second)
 
 
-async def ask_slowly(line: Line, one: Try, more: NextTry, chances: Random) -> None:
+async def send_slowly(
+    connection: Connection,
+    request: RequestRecord,
+    next_request: NextRequest,
+    rng: Random,
+) -> None:
     """Ask a request in pieces; at times a usual one goes before it."""
-    if chances.random() < 0.5:
-        first = more()
-        await ask_once(line, first, more, chances)
-        if line.over:
-            one.fault = Fault.NONE
+    if rng.random() < 0.5:
+        earlier = next_request()
+        await send_once(connection, earlier, next_request, rng)
+        if connection.closed:
+            request.fault = Fault.NONE
             return
-    await line.ask_slowly(one, chances)
-    await line.read(one)
+    await connection.send_slowly(request, rng)
+    await connection.read(request)
 
 
-Ask = Callable[[Line, Try, NextTry, Random], Awaitable[None]]
+Sender = Callable[[Connection, RequestRecord, NextRequest, Random], Awaitable[None]]
 
-ASKS: dict[Style, Ask] = {
-    Style.NEW: ask_once,
-    Style.KEPT: ask_once,
-    Style.PIPELINED: ask_pipelined,
-    Style.CROSSING: ask_crossing,
-    Style.SLOW_HEAD: ask_slowly,
-    Style.SLOW_BODY: ask_slowly,
+SENDERS: dict[Style, Sender] = {
+    Style.NEW: send_once,
+    Style.KEPT: send_once,
+    Style.PIPELINED: send_pipelined,
+    Style.CROSSING: send_crossing,
+    Style.SLOW_HEAD: send_slowly,
+    Style.SLOW_BODY: send_slowly,
 }
 
 
-async def converse(
-    gateway: Gateway, one: Try, more: NextTry, chances: Random, over: Over
+async def use_connection(
+    gateway: Gateway,
+    request: RequestRecord,
+    next_request: NextRequest,
+    rng: Random,
+    is_over: IsOver,
 ) -> None:
     """Ask over one connection, for as long as the style and the VM keep it."""
-    line = await connect(gateway, one)
-    if line is None:
+    connection = await connect(gateway, request)
+    if connection is None:
         return
-    async with line.stream:
-        await ASKS[one.style](line, one, more, chances)
-        while one.style is not Style.NEW and not line.over and not over():
+    async with connection.stream:
+        await SENDERS[request.style](connection, request, next_request, rng)
+        while (
+            request.style is not Style.NEW and not connection.closed and not is_over()
+        ):
             # A connection that ends while nothing is asked costs its caller nothing.
-            if not await line.heard_within(chances.uniform(*KEPT_PAUSE)):
-                await ASKS[one.style](line, more(), more, chances)
+            if not await connection.received_within(rng.uniform(*KEPT_PAUSE)):
+                await SENDERS[request.style](
+                    connection, next_request(), next_request, rng
+                )
--- a/tests/platform/kit/_logs.py
+++ b/tests/platform/kit/_logs.py
@@ -9,13 +9,13 @@
 TRACEBACK = "Traceback"
 
 
-def log_faults(path: Path) -> list[str]:
+def log_errors(path: Path) -> list[str]:
     """Return the lines of a log that tell of an error, or are a traceback's first."""
     lines = path.read_text(errors="replace").splitlines() if path.exists() else []
-    return [f"{path.name} logged: {line[:400]}" for line in lines if is_fault(line)]
+    return [f"{path.name} logged: {line[:400]}" for line in lines if is_error(line)]
 
 
-def is_fault(line: str) -> bool:
+def is_error(line: str) -> bool:
     """Tell whether a line tells of an error."""
     if TRACEBACK in line:
         return True
--- a/tests/platform/kit/_processes.py
+++ b/tests/platform/kit/_processes.py
@@ -12,11 +12,11 @@
 
 from tests.platform.kit._world import Gateway
 
-LOOK_EVERY = 0.02
+POLL_INTERVAL = 0.02
 
 
 @define(eq=False)
-class Life:
+class ProcessRecord:
     """One process of a VM.  Moments are of the monotonic clock.
 
     Attributes:
@@ -32,7 +32,7 @@
     vm: int
     started_at: float = field(factory=time.monotonic)
     listening_at: float = 0.0
-    asked_at: float = 0.0
+    sigterm_at: float = 0.0
     exited_at: float = 0.0
     code: int | None = None
     idle: bool = False
@@ -41,15 +41,15 @@
     log_size: int = 0
     ended: anyio.Event = field(factory=anyio.Event)
 
-    def covers(self, moment: float) -> bool:
+    def was_running(self, moment: float) -> bool:
         """Tell whether the process lived at a moment."""
         return self.started_at <= moment and not 0 < self.exited_at < moment
 
-    def note_asked(self, gateway: Gateway) -> None:
+    def record_sigterm(self, gateway: Gateway) -> None:
         """Note that the process is about to get a SIGTERM."""
-        if not self.asked_at and not self.exited_at:
+        if not self.sigterm_at and not self.exited_at:
             self.logged = gateway.log_size() > self.log_size
-            self.asked_at = time.monotonic()
+            self.sigterm_at = time.monotonic()
 
     async def watch_end(self, process: subprocess.Popen[bytes]) -> None:
         """Note when and how the process ends."""
@@ -65,17 +65,26 @@
                     self.listening_at = time.monotonic()
                     return
             except OSError:
-                await anyio.sleep(LOOK_EVERY)
+                await anyio.sleep(POLL_INTERVAL)
 
 
-def begin(gateway: Gateway, tasks: TaskGroup) -> Life:
+def start_process(gateway: Gateway, tasks: TaskGroup) -> ProcessRecord:
     """Start a VM's process and watch it."""
-    life = Life(gateway.number, log_size=gateway.log_size())
-    tasks.start_soon(life.watch_end, gateway.start())
-    tasks.start_soon(life.watch_start, gateway)
-    return life
+    process = ProcessRecord(gateway.number, log_size=gateway.log_size())
+    tasks.start_soon(process.watch_end, gateway.start())
+    tasks.start_soon(process.watch_start, gateway)
+    return process
 
 
-def find_life(lives: Sequence[Life], vm: int, moment: float) -> Life | None:
+def find_process(
+    processes: Sequence[ProcessRecord], vm: int, moment: float
+) -> ProcessRecord | None:
     """Return the process of a VM that lived at a moment."""
-    return next((life for life in lives if life.vm == vm and life.covers(moment)), None)
+    return next(
+        (
+            process
+            for process in processes
+            if process.vm == vm and process.was_running(moment)
+        ),
+        None,
+    )
--- a/tests/platform/kit/_world.py
+++ b/tests/platform/kit/_world.py
@@ -27,7 +27,7 @@
 PORTS = range(20_000, 32_000)
 """Below those that the kernel gives to outgoing connections."""
 
-given: list[int] = []
+taken_ports: list[int] = []
 """The first port of each row that this process was given."""
 
 
@@ -35,14 +35,14 @@
     """Return the first of some ports in a row that are free, and given to nobody."""
     while True:
         first = random.SystemRandom().choice(PORTS)
-        if any(abs(first - other) < count for other in given):
+        if any(abs(first - other) < count for other in taken_ports):
             continue
         try:
             for port in range(first, first + count):
                 socket.create_server((HOST, port)).close()
         except OSError:
             continue
-        given.append(first)
+        taken_ports.append(first)
         return first
 
 
@@ -66,9 +66,9 @@
         listener = await anyio.create_tcp_listener(
             local_host=HOST, local_port=self.port
         )
-        await listener.serve(self.carry)
+        await listener.serve(self.forward_connection)
 
-    async def carry(self, stream: ByteStream) -> None:
+    async def forward_connection(self, stream: ByteStream) -> None:
         """Pass one connection on until a side ends it."""
         if self.mode == "reset":
             return
@@ -77,12 +77,12 @@
                 await anyio.connect_tcp(HOST, self.target) as store,
                 anyio.create_task_group() as tasks,
             ):
-                tasks.start_soon(self.pump, stream, store, False, tasks)
-                tasks.start_soon(self.pump, store, stream, True, tasks)
+                tasks.start_soon(self.forward, stream, store, False, tasks)
+                tasks.start_soon(self.forward, store, stream, True, tasks)
         except OSError:
             return
 
-    async def pump(
+    async def forward(
         self, source: ByteStream, sink: ByteStream, answers: bool, tasks: TaskGroup
     ) -> None:
         """Pass one direction on as the mode allows."""
@@ -168,12 +168,12 @@
     folder: Path
     program: str
     process: subprocess.Popen[bytes] | None = None
-    ends: list[int] = field(factory=list)
+    exit_codes: list[int] = field(factory=list)
 
-    def note_end(self) -> None:
+    def record_exit(self) -> None:
         """Remember how the last life ended, if it has."""
         if self.process is not None and self.process.poll() is not None:
-            self.ends.append(self.process.returncode)
+            self.exit_codes.append(self.process.returncode)
 
     @property
     def log(self) -> Path:
@@ -186,7 +186,7 @@
 
     def start(self) -> subprocess.Popen[bytes]:
         """Start the program; what it logs goes to a file of the seed."""
-        self.note_end()
+        self.record_exit()
         path = self.folder / f"vm-{self.number}.toml"
         with self.log.open("ab") as output:
             self.process = subprocess.Popen(
--- a/tests/platform/soak/__init__.py
+++ b/tests/platform/soak/__init__.py
@@ -6,6 +6,6 @@
 series and at once.  Callers keep asking all the while.
 """
 
-from tests.platform.soak._run import play_seed
+from tests.platform.soak._run import run_seed
 
-__all__ = ["play_seed"]
+__all__ = ["run_seed"]
--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -9,21 +9,21 @@
 import anyio
 
 from tests.platform.kit import ROOT
-from tests.platform.soak import play_seed
+from tests.platform.soak import run_seed
 
-SECONDS = 15.0
+DEFAULT_SECONDS = 15.0
 
 
 def main() -> int:
     """Play seeds one after the other; keep the logs of those that found something."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
-    seconds = float(sys.argv[3]) if len(sys.argv) > 3 else SECONDS
+    seconds = float(sys.argv[3]) if len(sys.argv) > 3 else DEFAULT_SECONDS
     found = 0
     for seed in range(first, first + count):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            broken = anyio.run(play_seed, seed, seconds, folder)
-            if broken:
+            violations = anyio.run(run_seed, seed, seconds, folder)
+            if violations:
                 found += 1
                 kept = ROOT / "out" / f"soak-{seed}"
                 kept.mkdir(parents=True, exist_ok=True)
--- a/tests/platform/soak/_run.py
+++ b/tests/platform/soak/_run.py
@@ -23,27 +23,33 @@
     WORKSPACES,
     Gateway,
     Length,
-    Life,
+    ProcessRecord,
     Proxy,
+    RequestRecord,
     Style,
-    Try,
     address_of,
-    begin,
     configuration,
-    converse,
     free_ports,
-    log_faults,
+    log_errors,
     read_runs,
     settings,
+    start_process,
+    use_connection,
+)
+from tests.platform.soak._checks import (
+    RECOVERY_TIME,
+    TIME_LIMIT,
+    Evidence,
+    InjectedFault,
+    check,
 )
-from tests.platform.soak._checks import PATIENCE, SETTLED, Evidence, Hurt, judge
 
 GATEWAYS = 3
 CALLERS = 8
-KEEPERS = 4
+KEPT_CALLERS = 4
 """Callers that keep a connection, and use it until the process is gone."""
 
-GIVE_UP = 6.0
+CALLER_TIMEOUT = 6.0
 """Seconds after which a caller leaves."""
 
 SIGNALS_WITHIN = 3.0
@@ -57,7 +63,7 @@
 
 
 @define(eq=False)
-class Soak:
+class SoakRun:
     """One seed."""
 
     seed: int
@@ -67,13 +73,13 @@
     base: int = field(factory=lambda: free_ports(40))
     gateways: list[Gateway] = field(factory=list)
     proxies: list[Proxy] = field(factory=list)
-    tries: list[Try] = field(factory=list)
-    lives: list[Life] = field(factory=list)
-    hurts: list[Hurt] = field(factory=list)
+    requests: list[RequestRecord] = field(factory=list)
+    processes: list[ProcessRecord] = field(factory=list)
+    faults: list[InjectedFault] = field(factory=list)
     counts: dict[int, int] = field(factory=dict)
     tasks: TaskGroup = field(init=False)
 
-    def chances(self, name: str) -> random.Random:
+    def rng(self, name: str) -> random.Random:
         """Return the chances of one task."""
         return random.Random(f"{self.seed} {name}")
 
@@ -83,7 +89,7 @@
             [sys.executable, "-m", "tests.platform.standin", str(self.base)], cwd=ROOT
         )
         try:
-            return await self.play()
+            return await self.run_traffic()
         finally:
             for gateway in self.gateways:
                 gateway.send(signal.SIGCONT)
@@ -93,7 +99,7 @@
             platform.kill()
             platform.wait()
 
-    async def play(self) -> list[str]:
+    async def run_traffic(self) -> list[str]:
         """Start everything, hurt it, heal it, and look at what is left."""
         await self.write("op//config", configuration())
         async with anyio.create_task_group() as tasks:
@@ -103,29 +109,31 @@
             await anyio.sleep(2.5)
             for number in range(CALLERS):
                 tasks.start_soon(self.call, number)
-            for number in range(CALLERS, CALLERS + KEEPERS):
-                tasks.start_soon(self.keep, number)
+            for number in range(CALLERS, CALLERS + KEPT_CALLERS):
+                tasks.start_soon(self.call_on_kept_connections, number)
             with anyio.move_on_after(self.seconds):
-                async with anyio.create_task_group() as troubles:
+                async with anyio.create_task_group() as sources:
                     for number in range(2):
-                        troubles.start_soon(self.hurt, number)
-                    troubles.start_soon(self.plan)
-            healed_at = time.monotonic()
-            self.heal()
-            await anyio.sleep(SETTLED + 3.0)
+                        sources.start_soon(self.inject_faults, number)
+                    sources.start_soon(self.run_planned_work)
+            faults_ended_at = time.monotonic()
+            self.end_faults()
+            await anyio.sleep(RECOVERY_TIME + 3.0)
             tasks.cancel_scope.cancel()
-        runs = read_runs(await self.witness())
-        broken = judge(Evidence(self.tries, runs, self.lives, self.hurts, healed_at))
+        runs = read_runs(await self.engine_records())
+        violations = check(
+            Evidence(self.requests, runs, self.processes, self.faults, faults_ended_at)
+        )
         for gateway in self.gateways:
-            broken += log_faults(gateway.log)
-        return broken
+            violations += log_errors(gateway.log)
+        return violations
 
-    async def witness(self) -> dict[str, Any]:
+    async def engine_records(self) -> dict[str, Any]:
         """Return what engines saw."""
         async with httpx.AsyncClient() as client:
             answer = await client.get(f"http://{HOST}:{self.base + 1}/")
-        seen: dict[str, Any] = answer.json()
-        return seen
+        records: dict[str, Any] = answer.json()
+        return records
 
     def add_gateway(self, number: int) -> None:
         """Start a VM and its path to the store."""
@@ -142,11 +150,15 @@
 
     def start(self, gateway: Gateway) -> None:
         """Start a VM's process."""
-        self.lives.append(begin(gateway, self.tasks))
+        self.processes.append(start_process(gateway, self.tasks))
 
-    def life(self, gateway: Gateway) -> Life:
+    def current_process(self, gateway: Gateway) -> ProcessRecord:
         """Return a VM's last process."""
-        return next(x for x in reversed(self.lives) if x.vm == gateway.number)
+        return next(
+            process
+            for process in reversed(self.processes)
+            if process.vm == gateway.number
+        )
 
     async def write(self, key: str, value: Any) -> None:
         """Write a row as the operator does, once the store is there."""
@@ -163,29 +175,31 @@
                 return
         raise RuntimeError("the platform did not start")
 
-    async def hurt(self, number: int) -> None:
+    async def inject_faults(self, number: int) -> None:
         """Hurt gateways and paths, in series; two such tasks overlap."""
-        chances = self.chances(f"hurt {number}")
+        rng = self.rng(f"hurt {number}")
         while True:
-            await anyio.sleep(chances.uniform(0.1, 1.5))
-            victim = chances.randrange(GATEWAYS)
-            kind = chances.choice(
-                ["path", "path", "all", "kill", "herd", "stop", "pause"]
-            )
-            length = chances.uniform(0.3, 4.0)
-            mode = chances.choice(["slow", "silent", "deaf", "reset"])
-            chosen = list(range(GATEWAYS)) if kind in ("all", "herd") else [victim]
+            await anyio.sleep(rng.uniform(0.1, 1.5))
+            target = rng.randrange(GATEWAYS)
+            kind = rng.choice(["path", "path", "all", "kill", "herd", "stop", "pause"])
+            length = rng.uniform(0.3, 4.0)
+            mode = rng.choice(["slow", "silent", "deaf", "reset"])
+            chosen = list(range(GATEWAYS)) if kind in ("all", "herd") else [target]
             if kind in ("path", "all"):
-                await self.hurt_paths(chosen, mode, length)
+                await self.disturb_paths(chosen, mode, length)
             elif kind == "pause":
-                await self.pause(self.gateways[victim], length)
+                await self.pause(self.gateways[target], length)
             else:
-                everyone = [self.gateways[vm] for vm in chosen]
-                await self.restart(everyone, kind == "stop", chances.uniform(0.2, 1.5))
+                chosen_gateways = [self.gateways[vm] for vm in chosen]
+                await self.restart(
+                    chosen_gateways, kind == "stop", rng.uniform(0.2, 1.5)
+                )
 
-    async def hurt_paths(self, chosen: Sequence[int], mode: str, length: float) -> None:
+    async def disturb_paths(
+        self, chosen: Sequence[int], mode: str, length: float
+    ) -> None:
         """Hurt paths to the store for some time."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         for vm in chosen:
             self.proxies[vm].mode = mode
         try:
@@ -193,70 +207,80 @@
         finally:
             for vm in chosen:
                 self.proxies[vm].mode = "open"
-                self.hurts.append(Hurt(vm, began_at, time.monotonic()))
+                self.faults.append(InjectedFault(vm, started_at, time.monotonic()))
 
     async def pause(self, gateway: Gateway, length: float) -> None:
         """Pause a process for some time."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         gateway.send(signal.SIGSTOP)
         try:
             await anyio.sleep(length)
         finally:
             gateway.send(signal.SIGCONT)
             now = time.monotonic()
-            self.hurts.append(Hurt(gateway.number, began_at, now, paused=True))
+            self.faults.append(
+                InjectedFault(gateway.number, started_at, now, paused=True)
+            )
 
-    async def plan(self) -> None:
+    async def run_planned_work(self) -> None:
         """Do planned work, for ever: stops that overlap, reloads, repeated signals."""
-        chances = self.chances("plan")
+        rng = self.rng("plan")
         while True:
-            await anyio.sleep(chances.uniform(0.1, 1.5))
-            kind = chances.choice(["rolling", "rolling", "again", "reload"])
-            order = chances.sample(self.gateways, GATEWAYS)
+            await anyio.sleep(rng.uniform(0.1, 1.5))
+            kind = rng.choice(["rolling", "rolling", "again", "reload"])
+            order = rng.sample(self.gateways, GATEWAYS)
             if kind == "rolling":
                 async with anyio.create_task_group() as stops:
                     for gateway in order:
-                        down = chances.uniform(0.2, 1.5)
+                        down = rng.uniform(0.2, 1.5)
                         stops.start_soon(self.restart, [gateway], True, down)
-                        await anyio.sleep(chances.uniform(0.0, 2.0))
+                        await anyio.sleep(rng.uniform(0.0, 2.0))
             elif kind == "reload":
-                for gateway in order[: chances.randint(1, GATEWAYS)]:
+                for gateway in order[: rng.randint(1, GATEWAYS)]:
                     self.reload(gateway)
             else:
-                number = chances.choice([signal.SIGTERM, signal.SIGHUP])
-                after = chances.uniform(0.0, SIGNALS_WITHIN)
-                life = self.life(order[0])
-                self.tasks.start_soon(self.send_after, order[0], life, number, after)
-                await self.restart(order[:1], True, chances.uniform(0.2, 1.5))
+                number = rng.choice([signal.SIGTERM, signal.SIGHUP])
+                after = rng.uniform(0.0, SIGNALS_WITHIN)
+                process = self.current_process(order[0])
+                self.tasks.start_soon(self.send_after, order[0], process, number, after)
+                await self.restart(order[:1], True, rng.uniform(0.2, 1.5))
 
     def reload(self, gateway: Gateway) -> None:
         """Tell a process that its settings changed, unless it only starts."""
-        if self.life(gateway).listening_at:
+        if self.current_process(gateway).listening_at:
             gateway.send(signal.SIGHUP)
 
     async def send_after(
-        self, gateway: Gateway, life: Life, number: signal.Signals, after: float
+        self,
+        gateway: Gateway,
+        process: ProcessRecord,
+        number: signal.Signals,
+        after: float,
     ) -> None:
         """Send a stopping process another signal after some time."""
         await anyio.sleep(after)
-        if life is self.life(gateway) and life.asked_at and life.listening_at:
+        if (
+            process is self.current_process(gateway)
+            and process.sigterm_at
+            and process.listening_at
+        ):
             gateway.send(number)
 
     async def restart(
         self, gateways: Sequence[Gateway], gently: bool, down: float
     ) -> None:
         """End processes and start them again."""
-        lives = [self.life(gateway) for gateway in gateways]
-        for gateway, life in zip(gateways, lives, strict=True):
+        processes = [self.current_process(gateway) for gateway in gateways]
+        for gateway, process in zip(gateways, processes, strict=True):
             gateway.send(signal.SIGCONT)
             if gently:
-                life.note_asked(gateway)
+                process.record_sigterm(gateway)
                 gateway.send(signal.SIGTERM)
             else:
                 self.kill(gateway)
         with anyio.move_on_after(GRACE):
-            for life in lives:
-                await life.ended.wait()
+            for process in processes:
+                await process.ended.wait()
         await anyio.sleep(down)
         for gateway in gateways:
             self.replace(gateway)
@@ -264,7 +288,7 @@
     def kill(self, gateway: Gateway) -> None:
         """Kill a process, if it runs."""
         if gateway.process is not None and gateway.process.poll() is None:
-            self.life(gateway).killed = True
+            self.current_process(gateway).killed = True
             gateway.send(signal.SIGKILL)
 
     def replace(self, gateway: Gateway) -> None:
@@ -274,93 +298,98 @@
             gateway.process.wait()
         self.start(gateway)
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         """End all troubles, and start again whoever was about to be started."""
         for proxy in self.proxies:
             proxy.mode = "open"
         for gateway in self.gateways:
             gateway.send(signal.SIGCONT)
-            life = self.life(gateway)
+            process = self.current_process(gateway)
             if gateway.process is not None and gateway.process.poll() is not None:
                 self.start(gateway)
-            elif life.asked_at:
-                self.tasks.start_soon(self.revive, gateway, life)
+            elif process.sigterm_at:
+                self.tasks.start_soon(self.restart_stopped, gateway, process)
 
-    async def revive(self, gateway: Gateway, life: Life) -> None:
+    async def restart_stopped(self, gateway: Gateway, process: ProcessRecord) -> None:
         """Start a VM again once its process has ended, as it was asked to."""
-        with anyio.move_on_after(life.asked_at + GRACE - time.monotonic()):
-            await life.ended.wait()
+        with anyio.move_on_after(process.sigterm_at + GRACE - time.monotonic()):
+            await process.ended.wait()
         self.replace(gateway)
 
     async def call(self, number: int) -> None:
         """Ask one request after the other until the soak is over."""
-        chances = self.chances(f"call {number}")
+        rng = self.rng(f"call {number}")
         while True:
-            one = self.next_try(number, 0, Style.NEW, chances)
-            gateway = chances.choice(self.gateways)
-            one.vm = gateway.number
-            if chances.random() < 0.3:
-                one.prompt, one.length = 0, BOOKING
-            with anyio.move_on_after(GIVE_UP):
-                await converse(gateway, one, no_more, chances, lambda: True)
-            one.ended_at = time.monotonic()
-            await anyio.sleep(chances.uniform(0.0, 0.1))
-
-    async def keep(self, number: int) -> None:
+            request = self.new_request(number, 0, Style.NEW, rng)
+            gateway = rng.choice(self.gateways)
+            request.vm = gateway.number
+            if rng.random() < 0.3:
+                request.prompt, request.length = 0, BOOKING
+            with anyio.move_on_after(CALLER_TIMEOUT):
+                await use_connection(
+                    gateway, request, no_next_request, rng, lambda: True
+                )
+            request.ended_at = time.monotonic()
+            await anyio.sleep(rng.uniform(0.0, 0.1))
+
+    async def call_on_kept_connections(self, number: int) -> None:
         """Ask on kept connections; use each until the process is gone."""
-        chances = self.chances(f"keep {number}")
-        style = chances.choice([Style.KEPT, Style.PIPELINED, Style.CROSSING])
+        rng = self.rng(f"keep {number}")
+        style = rng.choice([Style.KEPT, Style.PIPELINED, Style.CROSSING])
         while True:
-            gateway = chances.choice(self.gateways)
+            gateway = rng.choice(self.gateways)
 
-            def more(vm: int = gateway.number) -> Try:
-                one = self.next_try(number, vm, style, chances)
-                if chances.random() < 0.3:
-                    one.prompt, one.length = 0, BOOKING
-                return one
+            def next_request(vm: int = gateway.number) -> RequestRecord:
+                request = self.new_request(number, vm, style, rng)
+                if rng.random() < 0.3:
+                    request.prompt, request.length = 0, BOOKING
+                return request
 
-            await converse(gateway, more(), more, chances, lambda: False)
-            await anyio.sleep(chances.uniform(0.0, 0.1))
+            await use_connection(
+                gateway, next_request(), next_request, rng, lambda: False
+            )
+            await anyio.sleep(rng.uniform(0.0, 0.1))
 
-    def next_try(
-        self, number: int, vm: int, style: Style, chances: random.Random
-    ) -> Try:
+    def new_request(
+        self, number: int, vm: int, style: Style, rng: random.Random
+    ) -> RequestRecord:
         """Return a caller's next request."""
-        workspace = chances.choice(list(WORKSPACES))
-        events = chances.choice([1, 4, 20])
-        prompt = chances.choice([20, 100, 400])
+        workspace = rng.choice(list(WORKSPACES))
+        events = rng.choice([1, 4, 20])
+        prompt = rng.choice([20, 100, 400])
         count = self.counts[number] = self.counts.get(number, 0) + 1
-        one = Try(
+        request = RequestRecord(
             f"{self.seed}-{number}-{count}",
             vm,
             style,
             Length(events, 0.0),
             workspace,
             prompt,
-            sound=False,
-            patience=PATIENCE,
+            fault_free=False,
+            time_limit=TIME_LIMIT,
         )
-        self.tries.append(one)
-        return one
+        self.requests.append(request)
+        return request
 
 
-def no_more() -> Try:
+def no_next_request() -> RequestRecord:
     """Return no further request: each of these connections carries one."""
     raise AssertionError("a new connection is for one request")
 
 
-async def play_seed(
+async def run_seed(
     seed: int, seconds: float, folder: Path, program: str = PROGRAM
 ) -> list[str]:
     """Play one seed, print a line on it, and return what was broken."""
-    play = Soak(seed, seconds, folder, program)
-    broken = await play.run()
-    ends: dict[int, int] = {}
-    for one in play.tries:
-        ends[one.status] = ends.get(one.status, 0) + 1
+    soak_run = SoakRun(seed, seconds, folder, program)
+    violations = await soak_run.run()
+    status_counts: dict[int, int] = {}
+    for request in soak_run.requests:
+        status_counts[request.status] = status_counts.get(request.status, 0) + 1
     print(
-        f"seed {seed}: {dict(sorted(ends.items()))}, {len(broken)} broken", flush=True
+        f"seed {seed}: {dict(sorted(status_counts.items()))}, {len(violations)} broken",
+        flush=True,
     )
-    for line in broken:
+    for line in violations:
         print(f"  {line}", flush=True)
-    return broken
+    return violations
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -38,14 +38,14 @@
 from ebonyhold.standins import RowHistory
 
 HOST = "127.0.0.1"
-BEAT = 0.4
+ENTRY_INTERVAL = 0.4
 EVENT_TOKENS = 5
 EVENT_PAUSE = 0.02
-FATES = 15
+FAULT_PERIOD = 15
 """One request in so many is run and gets no answer, and one gets a broken one."""
 
-SAYS_NOTHING = 0
-BREAKS_OFF = 1
+NO_ANSWER = 0
+BROKEN_STREAM = 1
 JSON = [(b"content-type", b"application/json")]
 
 
@@ -61,10 +61,10 @@
 
     events: int | None = None
     pause: float = EVENT_PAUSE
-    sound: bool = False
+    fault_free: bool = False
 
     @classmethod
-    def of(cls, target: str) -> Script:
+    def from_target(cls, target: str) -> Script:
         """Read the script in a target; without a query it is the usual one."""
         query = {name: v[0] for name, v in parse_qs(urlsplit(target).query).items()}
         events = query.get("events")
@@ -75,22 +75,22 @@
         )
 
 
-def has_fate(request: str) -> bool:
+def has_fault(request_id: str) -> bool:
     """Tell whether an engine gives a request no answer, or a broken one."""
-    return zlib.crc32(request.encode()) % FATES in (SAYS_NOTHING, BREAKS_OFF)
+    return zlib.crc32(request_id.encode()) % FAULT_PERIOD in (NO_ANSWER, BROKEN_STREAM)
 
 
-def place(raw: dict[str, Any]) -> str:
+def row_key(raw: dict[str, Any]) -> str:
     """Return our key of a row that a call names."""
     return f"{raw['table']}/{raw['part']}/{raw['key']}"
 
 
-def shown(row: Row) -> dict[str, Any]:
+def encode_row(row: Row) -> dict[str, Any]:
     """Return a row as calls show it."""
     table, part, key = row.key.split("/", 2)
     value = base64.b64encode(json.dumps(row.value).encode()).decode()
-    where = {"table": table, "part": part, "key": key}
-    return {**where, "value": value, "version-number": row.version}
+    address = {"table": table, "part": part, "key": key}
+    return {**address, "value": value, "version-number": row.version}
 
 
 @define(eq=False)
@@ -106,7 +106,7 @@
         url = urlsplit(head.target.decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         calls: dict[str, Callable[[], Awaitable[tuple[int, Any]]]] = {
-            "/ebonyhold/rows-tx": lambda: self.transact(json.loads(body)),
+            "/ebonyhold/rows-tx": lambda: self.commit(json.loads(body)),
             "/ebonyhold/rows-get": lambda: self.get(query),
             "/ebonyhold/rows-feed": lambda: self.feed(query),
             "/operator": lambda: self.write(json.loads(body)),
@@ -116,25 +116,25 @@
         answer["now-ms"] = time.monotonic() * 1000
         await connection.answer(status, JSON, json.dumps(answer).encode())
 
-    async def transact(self, raw: dict[str, Any]) -> tuple[int, Any]:
+    async def commit(self, raw: dict[str, Any]) -> tuple[int, Any]:
         """Apply a transaction, or tell what its checks met."""
         checks: list[Check] = []
         for item in raw["expected-revision"]:
             version = item["version-number"]
             checks.append(
-                AtVersion(place(item), version) if version else Absent(place(item))
+                AtVersion(row_key(item), version) if version else Absent(row_key(item))
             )
         writes = [
-            Put(place(item), json.loads(base64.b64decode(item["value"])))
+            Put(row_key(item), json.loads(base64.b64decode(item["value"])))
             for item in raw["writes"]
         ]
-        removals = [Delete(place(item)) for item in raw["remove"]]
+        removals = [Delete(row_key(item)) for item in raw["remove"]]
         try:
             version = self.history.apply(
                 Transaction(tuple(checks), (*writes, *removals))
             )
         except ConflictError as error:
-            rows = [shown(row) for row in error.rows if isinstance(row, Row)]
+            rows = [encode_row(row) for row in error.rows if isinstance(row, Row)]
             return 412, {"rows": rows}
         return 200, {"version-number": version}
 
@@ -153,8 +153,8 @@
             if key.startswith(prefix) and low <= key[len(prefix) :] < high
         ]
         limit = int(query.get("limit", "500"))
-        shown_rows = [shown(row) for row in rows[:limit]]
-        return 200, {"rows": shown_rows, "truncated": len(rows) > limit}
+        encoded = [encode_row(row) for row in rows[:limit]]
+        return 200, {"rows": encoded, "truncated": len(rows) > limit}
 
     async def feed(self, query: dict[str, str]) -> tuple[int, Any]:
         """Wait for the changes of a table."""
@@ -191,18 +191,18 @@
         sent: Events of the answer that were sent.
     """
 
-    request: str
+    request_id: str
     target: str
     workspace: str
     prompt: int
-    began_at: float = field(factory=time.monotonic)
+    started_at: float = field(factory=time.monotonic)
     ended_at: float = 0.0
     sent: int = 0
 
-    def shown(self) -> list[Any]:
+    def to_list(self) -> list[Any]:
         """Return what the witness tells of it."""
-        seen = [self.request, self.target, self.workspace, self.prompt]
-        return [*seen, self.began_at, self.ended_at, self.sent]
+        records = [self.request_id, self.target, self.workspace, self.prompt]
+        return [*records, self.started_at, self.ended_at, self.sent]
 
 
 @define(eq=False)
@@ -218,22 +218,24 @@
     ) -> None:
         """Run one request."""
         fields = {name.decode(): value.decode() for name, value in head.headers}
-        request = fields["x-ebonyhold-request-id"]
-        identity = [(b"x-ebonyhold-request-id", request.encode())]
+        request_id = fields["x-ebonyhold-request-id"]
+        identity = [(b"x-ebonyhold-request-id", request_id.encode())]
         if fields["x-ebonyhold-expect-instance"] != self.name:
             await connection.answer(421, identity, b"")
             return
-        prompt, _, most = fields.get("x-ebonyhold-token-counts", "0,0").partition(",")
+        prompt, _, max_tokens = fields.get("x-ebonyhold-token-counts", "0,0").partition(
+            ","
+        )
         workspace = fields.get("x-ebonyhold-tenant", "")
         target = head.target.decode()
-        run = Run(request, target, workspace, int(prompt))
+        run = Run(request_id, target, workspace, int(prompt))
         self.runs.append(run)
         resumes = "last-event-id" in fields
         first = int(fields.get("last-event-id", "0")) + 1
-        script = Script.of(target)
-        fate = zlib.crc32(request.encode()) % FATES
+        script = Script.from_target(target)
+        fault = zlib.crc32(request_id.encode()) % FAULT_PERIOD
         try:
-            if fate == SAYS_NOTHING and not resumes and not script.sound:
+            if fault == NO_ANSWER and not resumes and not script.fault_free:
                 await connection.close()
                 return
             proof = [*identity, (b"x-ebonyhold-response-stamp", self.name.encode())]
@@ -244,19 +246,23 @@
             kind = (b"content-type", b"text/event-stream")
             await connection.stream.send(connection.head(200, [*proof, kind]))
             events = script.events
-            last = int(most) // EVENT_TOKENS if events is None else events
-            await self.stream(connection, run, range(first, last + 1), fate)
+            last = int(max_tokens) // EVENT_TOKENS if events is None else events
+            await self.stream(connection, run, range(first, last + 1), fault)
         finally:
             run.ended_at = time.monotonic()
 
     async def stream(
-        self, connection: CallerConnection, run: Run, numbers: range, fate: int
+        self, connection: CallerConnection, run: Run, numbers: range, fault: int
     ) -> None:
         """Send the events of an answer, and its end unless its fate is to break off."""
-        script = Script.of(run.target)
+        script = Script.from_target(run.target)
         for number in numbers:
             await anyio.sleep(script.pause)
-            if fate == BREAKS_OFF and number == 3 > numbers.start and not script.sound:
+            if (
+                fault == BROKEN_STREAM
+                and number == 3 > numbers.start
+                and not script.fault_free
+            ):
                 await connection.close()
                 return
             end = b"end" if number == numbers.stop - 1 else b"more"
@@ -277,14 +283,14 @@
         }
 
 
-async def renew(store: StoreApp, engine: EngineApp, port: int) -> None:
+async def renew_entry(store: StoreApp, engine: EngineApp, port: int) -> None:
     """Keep an engine's entry fresh, for ever."""
     sequence = 0
     while True:
         sequence += 1
         put = Put(f"servers//{engine.name}", engine.entry(port, sequence))
         store.history.apply(Transaction((), (put,)))
-        await anyio.sleep(BEAT)
+        await anyio.sleep(ENTRY_INTERVAL)
 
 
 async def main(port: int, engines: int) -> None:
@@ -292,26 +298,26 @@
     store = StoreApp()
     runs: list[Run] = []
 
-    async def tell(
+    async def serve_records(
         connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
         rows = {key: row.value for key, row in store.history.rows.items()}
-        seen = [run.shown() for run in runs]
-        answer = json.dumps({"runs": seen, "rows": rows}).encode()
+        records = [run.to_list() for run in runs]
+        answer = json.dumps({"runs": records, "rows": rows}).encode()
         await connection.answer(200, JSON, answer)
 
     async with anyio.create_task_group() as tasks:
         limits = CallerLimits
         listener = CallerListener(store.serve, limits)
         tasks.start_soon(listener.run, (HOST, port), tasks)
-        witness = CallerListener(tell, limits)
-        tasks.start_soon(witness.run, (HOST, port + 1), tasks)
+        records_listener = CallerListener(serve_records, limits)
+        tasks.start_soon(records_listener.run, (HOST, port + 1), tasks)
         for number in range(engines):
             engine = EngineApp(f"i-{number}", runs)
-            at = port + 2 + number
-            served = CallerListener(engine.serve, limits)
-            tasks.start_soon(served.run, (HOST, at), tasks)
-            tasks.start_soon(renew, store, engine, at)
+            engine_port = port + 2 + number
+            engine_listener = CallerListener(engine.serve, limits)
+            tasks.start_soon(engine_listener.run, (HOST, engine_port), tasks)
+            tasks.start_soon(renew_entry, store, engine, engine_port)
 
 
 if __name__ == "__main__":
--- a/tests/platform/stops/__init__.py
+++ b/tests/platform/stops/__init__.py
@@ -6,18 +6,18 @@
 of the processes and of the money.
 """
 
-from tests.platform.stops._cases import CASES, LONG_CASES, Case, Overlap, Trouble
-from tests.platform.stops._findings import Broken, Promise
-from tests.platform.stops._run import play_case, play_cases
+from tests.platform.stops._cases import CASES, LONG_CASES, Case, Disturbance, Overlap
+from tests.platform.stops._findings import Guarantee, Violation
+from tests.platform.stops._run import run_case, run_cases
 
 __all__ = [
     "CASES",
     "LONG_CASES",
-    "Broken",
     "Case",
+    "Disturbance",
+    "Guarantee",
     "Overlap",
-    "Promise",
-    "Trouble",
-    "play_case",
-    "play_cases",
+    "Violation",
+    "run_case",
+    "run_cases",
 ]
--- a/tests/platform/stops/__main__.py
+++ b/tests/platform/stops/__main__.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from tests.platform.stops import LONG_CASES, play_cases
+from tests.platform.stops import LONG_CASES, run_cases
 
 
 def main() -> int:
@@ -14,11 +14,11 @@
     first, count = int(sys.argv[1]), int(sys.argv[2])
     names = sys.argv[3:] or [case.name for case in LONG_CASES]
     cases = [case for case in LONG_CASES if case.name in names]
-    found = anyio.run(play_cases, cases, range(first, first + count))
-    for name, broken in found.items():
-        print(f"{name}: {len(broken)} broken")
-        for item in broken:
-            print(f"  {item.promise.name} {item.text}")
+    found = anyio.run(run_cases, cases, range(first, first + count))
+    for name, violations in found.items():
+        print(f"{name}: {len(violations)} broken")
+        for item in violations:
+            print(f"  {item.guarantee.name} {item.text}")
     return 1 if any(found.values()) else 0
 
 
--- a/tests/platform/stops/_cases.py
+++ b/tests/platform/stops/_cases.py
@@ -18,7 +18,7 @@
     SERIES = "each stops once the one before has started again"
 
 
-class Trouble(Enum):
+class Disturbance(Enum):
     """What else happens around the stops."""
 
     NONE = "nothing"
@@ -29,16 +29,16 @@
 
 
 PLAIN = Length(0, 0.02)
-LATE = Length(0, 1.5)
+DELAYED = Length(0, 1.5)
 SHORT = Length(2, 0.02)
 MIDDLE = Length(20, 0.06)
 LONG = Length(60, 0.06)
 ENDLESS = Length(150, 0.06)
 """9 s: longer than the grace."""
 
-USUAL = (PLAIN, SHORT, MIDDLE)
-EVERY = (PLAIN, LATE, SHORT, MIDDLE, LONG, ENDLESS)
-LINES = (Style.NEW, Style.KEPT)
+USUAL_LENGTHS = (PLAIN, SHORT, MIDDLE)
+ALL_LENGTHS = (PLAIN, DELAYED, SHORT, MIDDLE, LONG, ENDLESS)
+USUAL_STYLES = (Style.NEW, Style.KEPT)
 ALL_STYLES = tuple(Style)
 
 
@@ -60,10 +60,10 @@
     name: str
     vms: int = 1
     overlap: Overlap = Overlap.TOGETHER
-    styles: tuple[Style, ...] = LINES
-    lengths: tuple[Length, ...] = USUAL
-    trouble: Trouble = Trouble.NONE
-    priced: bool = True
+    styles: tuple[Style, ...] = USUAL_STYLES
+    lengths: tuple[Length, ...] = USUAL_LENGTHS
+    disturbance: Disturbance = Disturbance.NONE
+    metered: bool = True
     callers: int = 6
 
 
@@ -72,19 +72,19 @@
     Case("one-new", styles=(Style.NEW,)),
     Case("one-kept", styles=(Style.KEPT,)),
     Case("one-pipelined", styles=(Style.PIPELINED,)),
-    Case("one-crossing", styles=(Style.CROSSING,), lengths=(PLAIN, LATE)),
+    Case("one-crossing", styles=(Style.CROSSING,), lengths=(PLAIN, DELAYED)),
     Case("one-slow-head", styles=(Style.SLOW_HEAD,)),
     Case("one-slow-body", styles=(Style.SLOW_BODY,)),
-    Case("one-long", lengths=(LATE, MIDDLE, LONG, ENDLESS)),
-    Case("one-without-price", lengths=EVERY, priced=False),
-    Case("one-again", styles=ALL_STYLES, trouble=Trouble.AGAIN),
-    Case("one-reload", styles=ALL_STYLES, trouble=Trouble.RELOAD),
-    Case("three-starting", vms=3, trouble=Trouble.STARTING),
-    Case("one-silent", trouble=Trouble.SILENT),
+    Case("one-long", lengths=(DELAYED, MIDDLE, LONG, ENDLESS)),
+    Case("one-without-price", lengths=ALL_LENGTHS, metered=False),
+    Case("one-again", styles=ALL_STYLES, disturbance=Disturbance.AGAIN),
+    Case("one-reload", styles=ALL_STYLES, disturbance=Disturbance.RELOAD),
+    Case("three-starting", vms=3, disturbance=Disturbance.STARTING),
+    Case("one-silent", disturbance=Disturbance.SILENT),
     Case("two-alone", vms=2, overlap=Overlap.ALONE, styles=ALL_STYLES),
-    Case("two-together", vms=2, styles=ALL_STYLES, lengths=EVERY),
+    Case("two-together", vms=2, styles=ALL_STYLES, lengths=ALL_LENGTHS),
     Case("two-series", vms=2, overlap=Overlap.SERIES),
-    Case("three-rolling", vms=3, overlap=Overlap.ROLLING, lengths=EVERY),
+    Case("three-rolling", vms=3, overlap=Overlap.ROLLING, lengths=ALL_LENGTHS),
     Case("three-together", vms=3, styles=ALL_STYLES),
 )
 """The rows that each change plays."""
@@ -93,18 +93,18 @@
     *CASES,
     *(
         Case(
-            f"{vms}-{overlap.name}-{trouble.name}".lower(),
+            f"{vms}-{overlap.name}-{disturbance.name}".lower(),
             vms,
             overlap,
             ALL_STYLES,
-            EVERY,
-            trouble,
+            ALL_LENGTHS,
+            disturbance,
         )
         for vms in (1, 2, 3)
         for overlap in Overlap
-        for trouble in Trouble
+        for disturbance in Disturbance
         # A process that is stopped while it starts has no others' stops to overlap.
-        if trouble is not Trouble.STARTING or overlap is Overlap.TOGETHER
+        if disturbance is not Disturbance.STARTING or overlap is Overlap.TOGETHER
     ),
 )
 """The rows that are played by hand."""
--- a/tests/platform/stops/_domain.py
+++ b/tests/platform/stops/_domain.py
@@ -9,16 +9,16 @@
 from anyio.abc import TaskGroup
 from attrs import define, field
 
-from tests.platform.kit import GRACE, Gateway, Life, begin
+from tests.platform.kit import GRACE, Gateway, ProcessRecord, start_process
 
-QUESTION_EVERY = 1.0
+READINESS_INTERVAL = 1.0
 """Seconds between the platform's questions whether a VM is ready."""
 
-MISSES = 2
+FAILURE_THRESHOLD = 2
 """Questions in a row without a 200 that take a VM out of rotation."""
 
-LOOK_EVERY = 0.02
-START_LIMIT = 20.0
+POLL_INTERVAL = 0.02
+START_TIMEOUT = 20.0
 
 
 @define(eq=False)
@@ -33,67 +33,69 @@
 
     gateways: list[Gateway]
     tasks: TaskGroup
-    lives: list[Life] = field(factory=list)
-    misses: dict[int, int] = field(factory=dict)
+    processes: list[ProcessRecord] = field(factory=list)
+    failed_checks: dict[int, int] = field(factory=dict)
 
-    def life(self, vm: int) -> Life:
+    def current_process(self, vm: int) -> ProcessRecord:
         """Return the last process of a VM."""
-        return next(life for life in reversed(self.lives) if life.vm == vm)
+        return next(process for process in reversed(self.processes) if process.vm == vm)
 
-    def start(self, vm: int) -> Life:
+    def start(self, vm: int) -> ProcessRecord:
         """Start a VM's process and watch it."""
-        life = begin(self.gateways[vm], self.tasks)
-        self.lives.append(life)
-        return life
+        process = start_process(self.gateways[vm], self.tasks)
+        self.processes.append(process)
+        return process
 
-    async def stop(self, vm: int) -> Life:
+    async def stop(self, vm: int) -> ProcessRecord:
         """Ask a VM's process to end, kill it after the grace; return once it ended."""
-        gateway, life = self.gateways[vm], self.life(vm)
-        life.note_asked(gateway)
+        gateway, process = self.gateways[vm], self.current_process(vm)
+        process.record_sigterm(gateway)
         gateway.send(signal.SIGTERM)
         with anyio.move_on_after(GRACE):
-            await life.ended.wait()
+            await process.ended.wait()
         gateway.send(signal.SIGKILL)
-        await life.ended.wait()
-        return life
+        await process.ended.wait()
+        return process
 
-    async def ready(self, vm: int) -> None:
+    async def wait_until_ready(self, vm: int) -> None:
         """Return once a VM says that it is ready."""
-        with anyio.fail_after(START_LIMIT):
+        with anyio.fail_after(START_TIMEOUT):
             while True:
-                if await self.says_ready(vm):
+                if await self.is_ready(vm):
                     return
-                await anyio.sleep(LOOK_EVERY)
+                await anyio.sleep(POLL_INTERVAL)
 
-    async def says_ready(self, vm: int) -> bool:
+    async def is_ready(self, vm: int) -> bool:
         """Ask a VM whether it is ready."""
         gateway = self.gateways[vm]
-        question = b"GET /ebonyhold/readiness HTTP/1.1\r\nhost: a\r\n\r\n"
-        with anyio.move_on_after(QUESTION_EVERY):
+        probe = b"GET /ebonyhold/readiness HTTP/1.1\r\nhost: a\r\n\r\n"
+        with anyio.move_on_after(READINESS_INTERVAL):
             try:
                 async with await anyio.connect_tcp(
                     gateway.address, gateway.port + 1
                 ) as stream:
-                    await stream.send(question)
+                    await stream.send(probe)
                     return b" 200 " in await stream.receive()
             except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
                 return False
         return False
 
-    async def question(self, vm: int) -> None:
+    async def poll_readiness(self, vm: int) -> None:
         """Ask a VM every second whether it is ready, for ever."""
         while True:
-            ready = await self.says_ready(vm)
-            self.misses[vm] = 0 if ready else self.misses.get(vm, 0) + 1
-            await anyio.sleep(QUESTION_EVERY)
+            ready = await self.is_ready(vm)
+            self.failed_checks[vm] = 0 if ready else self.failed_checks.get(vm, 0) + 1
+            await anyio.sleep(READINESS_INTERVAL)
 
-    def choose(self, chances: Random) -> int:
+    def choose_vm(self, rng: Random) -> int:
         """Return the VM that a new connection gets, as the platform chooses it.
 
         If fewer than half of a domain's VMs are in rotation, all of them are used.
         """
-        everyone = range(len(self.gateways))
-        rotation = [vm for vm in everyone if self.misses.get(vm, 0) < MISSES]
-        if 2 * len(rotation) < len(everyone):
-            return chances.choice(everyone)
-        return chances.choice(rotation)
+        all_vms = range(len(self.gateways))
+        rotation = [
+            vm for vm in all_vms if self.failed_checks.get(vm, 0) < FAILURE_THRESHOLD
+        ]
+        if 2 * len(rotation) < len(all_vms):
+            return rng.choice(all_vms)
+        return rng.choice(rotation)
--- a/tests/platform/stops/_findings.py
+++ b/tests/platform/stops/_findings.py
@@ -8,24 +8,24 @@
 
 from attrs import field, frozen
 
-from tests.platform.kit import Life, Seen, Try, read_runs
+from tests.platform.kit import EngineRun, ProcessRecord, RequestRecord, read_runs
 
 
-class Promise(Enum):
+class Guarantee(Enum):
     """What a planned stop keeps."""
 
-    DOOR = "callers find an open door until the process ends"
+    CONNECT = "callers find an open door until the process ends"
     ANSWER = "what was read is answered, whole or truthfully"
-    TAKEN = "what has no price and ends in a moment is served"
-    END = "the process ends by itself, well, in time, and logs no error"
+    SERVED = "what has no price and ends in a moment is served"
+    EXIT = "the process ends by itself, well, in time, and logs no error"
     MONEY = "budgets say what was served, and nothing is left out"
 
 
 @frozen
-class Broken:
+class Violation:
     """A promise that was broken, and how it showed."""
 
-    promise: Promise
+    guarantee: Guarantee
     text: str
 
 
@@ -33,14 +33,17 @@
 class Evidence:
     """What callers, processes, engines and the store have to say of a case."""
 
-    tries: Sequence[Try]
-    lives: Sequence[Life]
-    runs: Mapping[str, list[Seen]]
+    requests: Sequence[RequestRecord]
+    processes: Sequence[ProcessRecord]
+    runs: Mapping[str, list[EngineRun]]
     rows: Mapping[str, Any] = field(factory=dict)
 
     @classmethod
-    def of(
-        cls, tries: Sequence[Try], lives: Sequence[Life], witness: Mapping[str, Any]
+    def from_records(
+        cls,
+        requests: Sequence[RequestRecord],
+        processes: Sequence[ProcessRecord],
+        records: Mapping[str, Any],
     ) -> Evidence:
         """Read what the witness tells."""
-        return cls(tries, lives, read_runs(witness), witness["rows"])
+        return cls(requests, processes, read_runs(records), records["rows"])
--- a/tests/platform/stops/_run.py
+++ b/tests/platform/stops/_run.py
@@ -20,29 +20,29 @@
     HOST,
     ROOT,
     Gateway,
-    Life,
+    ProcessRecord,
     Proxy,
-    Try,
+    RequestRecord,
     address_of,
     configuration,
-    converse,
     free_ports,
-    log_faults,
+    log_errors,
     settings,
+    use_connection,
 )
-from tests.platform.stops._cases import Case, Overlap, Trouble
-from tests.platform.stops._checks import judge
+from tests.platform.stops._cases import Case, Disturbance, Overlap
+from tests.platform.stops._checks import check
 from tests.platform.stops._domain import Domain
-from tests.platform.stops._findings import Broken, Evidence, Promise
+from tests.platform.stops._findings import Evidence, Guarantee, Violation
 
 PROGRAM = "ebonyhold.gateway"
 WORKSPACES = {"acme": 40_000_000, "blue": 40_000_000}
 """Prepaid tokens: more than callers ask for, so that none is refused for its price."""
 
-FREE = "free"
+UNLIMITED = "free"
 """The workspace of requests without a price; nothing is prepaid there."""
 
-ROUTE_TIME_MS = 20_000
+ROUTE_TIMEOUT_MS = 20_000
 CALLER_PAUSE = (0.02, 0.25)
 TRAFFIC_BEFORE = (0.6, 1.6)
 """Seconds of traffic before the first stop."""
@@ -53,15 +53,15 @@
 RESTART_AFTER = 0.3
 SIGNALS = 3
 SIGNALS_WITHIN = 6.0
-MOST_WAIT = 1.0
+MAX_WAIT = 1.0
 """The longest time that a refused caller waits, whatever Retry-After says."""
 
-AT_ONCE = 6
+PARALLEL_CASES = 6
 """Cases played beside each other; each has some three processes."""
 
 
 @define(eq=False)
-class Play:
+class CaseRun:
     """One case with one seed."""
 
     case: Case
@@ -70,19 +70,19 @@
     program: str = PROGRAM
     base: int = field(factory=lambda: free_ports(40))
     proxies: list[Proxy] = field(factory=list)
-    tries: list[Try] = field(factory=list)
-    over: bool = False
+    requests: list[RequestRecord] = field(factory=list)
+    finished: bool = False
     domain: Domain = field(init=False)
 
-    def chances(self, name: str) -> Random:
+    def rng(self, name: str) -> Random:
         """Return the chances of one task."""
         return Random(f"{self.case.name} {self.seed} {name}")
 
-    async def run(self) -> list[Broken]:
+    async def run(self) -> list[Violation]:
         """Play the case, and return what was broken."""
         platform = self.start_platform()
         try:
-            return await self.play()
+            return await self.run_and_check()
         finally:
             for gateway in self.domain.gateways:
                 gateway.send(signal.SIGKILL)
@@ -97,34 +97,36 @@
             [sys.executable, "-m", "tests.platform.standin", str(self.base)], cwd=ROOT
         )
 
-    async def play(self) -> list[Broken]:
+    async def run_and_check(self) -> list[Violation]:
         """Start everything, stop it under its callers, and look at what is left."""
         async with anyio.create_task_group() as tasks:
             self.domain = Domain([], tasks)
             await self.configure()
             for vm in range(self.case.vms):
                 self.add_vm(vm, tasks)
-            if self.case.trouble is Trouble.STARTING:
+            if self.case.disturbance is Disturbance.STARTING:
                 await self.stop_starting()
             else:
                 await self.stop_under_traffic()
             evidence = await self.evidence()
             tasks.cancel_scope.cancel()
-        broken = judge(self.case, evidence)
+        violations = check(self.case, evidence)
         for gateway in self.domain.gateways:
-            broken += [Broken(Promise.END, fault) for fault in log_faults(gateway.log)]
-        return broken
+            violations += [
+                Violation(Guarantee.EXIT, fault) for fault in log_errors(gateway.log)
+            ]
+        return violations
 
     async def configure(self) -> None:
         """Write the operator's row, once the store is there."""
         rules = configuration()
         for route in rules["routes"]:
-            route["timeout-ms"] = ROUTE_TIME_MS
+            route["timeout-ms"] = ROUTE_TIMEOUT_MS
         rules["tenants"] = [
             {"name": name, "api-keys": [f"key-{name}"], "prepaid": prepaid}
             for name, prepaid in WORKSPACES.items()
         ]
-        rules["tenants"].append({"name": FREE, "api-keys": [f"key-{FREE}"]})
+        rules["tenants"].append({"name": UNLIMITED, "api-keys": [f"key-{UNLIMITED}"]})
         call = f"http://{HOST}:{self.base}/operator"
         async with httpx.AsyncClient() as client:
             for _ in range(200):
@@ -150,85 +152,85 @@
 
     async def stop_starting(self) -> None:
         """Stop each VM at some moment of its start, with callers at the door."""
-        chances = self.chances("stops")
+        rng = self.rng("stops")
         async with anyio.create_task_group() as callers:
             for number in range(self.case.callers):
                 callers.start_soon(self.call, number)
             async with anyio.create_task_group() as stops:
                 for vm in range(self.case.vms):
-                    moment = chances.uniform(0.0, STARTING_WITHIN)
-                    stops.start_soon(self.stop_after, vm, moment)
-            self.over = True
+                    delay = rng.uniform(0.0, STARTING_WITHIN)
+                    stops.start_soon(self.stop_after, vm, delay)
+            self.finished = True
 
     async def stop_under_traffic(self) -> None:
         """Stop the VMs under their callers, and then what is still there, idle."""
         for vm in range(self.case.vms):
-            await self.domain.ready(vm)
-            self.domain.tasks.start_soon(self.domain.question, vm)
-        chances = self.chances("stops")
+            await self.domain.wait_until_ready(vm)
+            self.domain.tasks.start_soon(self.domain.poll_readiness, vm)
+        rng = self.rng("stops")
         async with anyio.create_task_group() as callers:
             for number in range(self.case.callers):
                 callers.start_soon(self.call, number)
-            await anyio.sleep(chances.uniform(*TRAFFIC_BEFORE))
-            await self.stop_all(chances)
-            self.over = True
+            await anyio.sleep(rng.uniform(*TRAFFIC_BEFORE))
+            await self.stop_all(rng)
+            self.finished = True
         async with anyio.create_task_group() as stops:
             for vm in range(self.case.vms):
-                if not self.domain.life(vm).exited_at:
+                if not self.domain.current_process(vm).exited_at:
                     stops.start_soon(self.stop_idle, vm)
 
-    async def stop_all(self, chances: Random) -> None:
+    async def stop_all(self, rng: Random) -> None:
         """Stop the VMs as the case says."""
-        overlap, everyone = self.case.overlap, range(self.case.vms)
+        overlap, all_vms = self.case.overlap, range(self.case.vms)
         if overlap is Overlap.ALONE:
             await self.stop_after(0, 0.0)
             return
         if overlap is Overlap.SERIES:
-            for vm in everyone:
+            for vm in all_vms:
                 await self.stop_after(vm, 0.0)
                 await self.restart(vm)
             return
         async with anyio.create_task_group() as stops:
-            moment = 0.0
-            for vm in everyone:
+            delay = 0.0
+            for vm in all_vms:
                 if overlap is Overlap.TOGETHER:
-                    moment = chances.uniform(0.0, TOGETHER_WITHIN)
-                    stops.start_soon(self.stop_after, vm, moment)
+                    delay = rng.uniform(0.0, TOGETHER_WITHIN)
+                    stops.start_soon(self.stop_after, vm, delay)
                 else:
-                    stops.start_soon(self.replace, vm, moment)
-                    moment += chances.uniform(*ROLLING_APART)
+                    stops.start_soon(self.stop_and_restart, vm, delay)
+                    delay += rng.uniform(*ROLLING_APART)
 
-    async def replace(self, vm: int, moment: float) -> None:
+    async def stop_and_restart(self, vm: int, delay: float) -> None:
         """Stop a VM after some time, and start it again."""
-        await self.stop_after(vm, moment)
+        await self.stop_after(vm, delay)
         await self.restart(vm)
 
     async def restart(self, vm: int) -> None:
         """Start a VM again, and wait until it is ready."""
         await anyio.sleep(RESTART_AFTER)
         self.domain.start(vm)
-        await self.domain.ready(vm)
+        await self.domain.wait_until_ready(vm)
 
-    async def stop_after(self, vm: int, moment: float) -> Life:
+    async def stop_after(self, vm: int, delay: float) -> ProcessRecord:
         """Stop a VM after some time, with the case's trouble around it."""
-        chances = self.chances(f"trouble {vm}")
-        trouble = self.case.trouble
+        rng = self.rng(f"trouble {vm}")
+        disturbance = self.case.disturbance
         async with anyio.create_task_group() as tasks:
-            if trouble is Trouble.SILENT:
+            if disturbance is Disturbance.SILENT:
                 self.proxies[vm].mode = "silent"
-            if trouble in (Trouble.AGAIN, Trouble.RELOAD):
-                again = trouble is Trouble.AGAIN
+            if disturbance in (Disturbance.AGAIN, Disturbance.RELOAD):
+                again = disturbance is Disturbance.AGAIN
                 number = signal.SIGTERM if again else signal.SIGHUP
                 for _ in range(SIGNALS):
-                    after = moment + chances.uniform(0.01, SIGNALS_WITHIN)
+                    after = delay + rng.uniform(0.01, SIGNALS_WITHIN)
                     tasks.start_soon(self.signal_after, vm, after, number)
                 if not again:
                     self.domain.gateways[vm].send(number)
-            await anyio.sleep(moment)
-            life = await self.domain.stop(vm)
+            await anyio.sleep(delay)
+            process = await self.domain.stop(vm)
             self.proxies[vm].mode = "open"
             tasks.cancel_scope.cancel()
-        return life
+        return process
 
     async def signal_after(self, vm: int, after: float, number: signal.Signals) -> None:
         """Send a VM a signal after some time."""
@@ -237,77 +239,85 @@
 
     async def stop_idle(self, vm: int) -> None:
         """Stop a VM that no caller uses."""
-        self.domain.life(vm).idle = True
+        self.domain.current_process(vm).idle = True
         await self.domain.stop(vm)
 
     async def call(self, number: int) -> None:
         """Ask, as the platform distributes callers, until the case is over."""
-        chances = self.chances(f"call {number}")
-        while not self.over:
-            vm = self.domain.choose(chances)
-
-            def more(vm: int = vm) -> Try:
-                return self.next_try(number, vm, chances)
-
-            first = more()
-            await converse(
-                self.domain.gateways[vm], first, more, chances, lambda: self.over
+        rng = self.rng(f"call {number}")
+        while not self.finished:
+            vm = self.domain.choose_vm(rng)
+
+            def next_request(vm: int = vm) -> RequestRecord:
+                return self.new_request(number, vm, rng)
+
+            first = next_request()
+            await use_connection(
+                self.domain.gateways[vm],
+                first,
+                next_request,
+                rng,
+                lambda: self.finished,
             )
-            last = self.tries[-1]
+            last = self.requests[-1]
             wait = float(last.retry_after or 0) if last.status != 200 else 0.0
-            await anyio.sleep(min(MOST_WAIT, wait) + chances.uniform(*CALLER_PAUSE))
+            await anyio.sleep(min(MAX_WAIT, wait) + rng.uniform(*CALLER_PAUSE))
 
-    def next_try(self, number: int, vm: int, chances: Random) -> Try:
+    def new_request(self, number: int, vm: int, rng: Random) -> RequestRecord:
         """Return a caller's next request."""
         case = self.case
         style = case.styles[number % len(case.styles)]
-        length = chances.choice(case.lengths)
-        workspace = chances.choice(list(WORKSPACES)) if case.priced else FREE
-        prompt = chances.choice([20, 100, 400]) if case.priced else 0
-        name = f"{case.name}-{self.seed}-{len(self.tries)}"
-        one = Try(name, vm, style, length, workspace, prompt)
-        self.tries.append(one)
-        return one
+        length = rng.choice(case.lengths)
+        workspace = rng.choice(list(WORKSPACES)) if case.metered else UNLIMITED
+        prompt = rng.choice([20, 100, 400]) if case.metered else 0
+        name = f"{case.name}-{self.seed}-{len(self.requests)}"
+        request = RequestRecord(name, vm, style, length, workspace, prompt)
+        self.requests.append(request)
+        return request
 
     async def evidence(self) -> Evidence:
         """Return what callers, engines and the store have to say."""
         async with httpx.AsyncClient() as client:
             answer = await client.get(f"http://{HOST}:{self.base + 1}/")
-        seen: dict[str, Any] = answer.json()
-        return Evidence.of(self.tries, self.domain.lives, seen)
+        records: dict[str, Any] = answer.json()
+        return Evidence.from_records(self.requests, self.domain.processes, records)
 
 
-async def play_case(
+async def run_case(
     case: Case, seed: int, folder: Path, program: str = PROGRAM
-) -> list[Broken]:
+) -> list[Violation]:
     """Play a case with a seed, print a line on it, and return what was broken."""
-    play = Play(case, seed, folder, program)
-    broken = await play.run()
-    ends: dict[str, int] = {}
-    for one in play.tries:
-        end = one.fault if one.fault else str(one.status)
-        ends[end] = ends.get(end, 0) + 1
-    print(f"{case.name} {seed}: {dict(sorted(ends.items()))}, {len(broken)} broken")
-    return broken
-
-
-async def play_cases(
+    case_run = CaseRun(case, seed, folder, program)
+    violations = await case_run.run()
+    end_counts: dict[str, int] = {}
+    for request in case_run.requests:
+        end = request.fault if request.fault else str(request.status)
+        end_counts[end] = end_counts.get(end, 0) + 1
+    print(
+        f"{case.name} {seed}: {dict(sorted(end_counts.items()))}, "
+        f"{len(violations)} broken"
+    )
+    return violations
+
+
+async def run_cases(
     cases: Sequence[Case], seeds: Sequence[int], program: str = PROGRAM
-) -> dict[str, list[Broken]]:
+) -> dict[str, list[Violation]]:
     """Play cases beside each other; return what was broken in each."""
-    limiter = anyio.CapacityLimiter(AT_ONCE)
-    found: dict[str, list[Broken]] = {case.name: [] for case in cases}
+    limiter = anyio.CapacityLimiter(PARALLEL_CASES)
+    found: dict[str, list[Violation]] = {case.name: [] for case in cases}
 
-    async def play(case: Case, seed: int) -> None:
+    async def run_limited(case: Case, seed: int) -> None:
         async with limiter:
             with tempfile.TemporaryDirectory() as name:
-                broken = await play_case(case, seed, Path(name), program)
+                violations = await run_case(case, seed, Path(name), program)
         found[case.name] += [
-            Broken(item.promise, f"seed {seed}: {item.text}") for item in broken
+            Violation(item.guarantee, f"seed {seed}: {item.text}")
+            for item in violations
         ]
 
     async with anyio.create_task_group() as tasks:
         for case in cases:
             for seed in seeds:
-                tasks.start_soon(play, case, seed)
+                tasks.start_soon(run_limited, case, seed)
     return found
--- a/tests/platform/test_late_requests.py
+++ b/tests/platform/test_late_requests.py
@@ -18,15 +18,15 @@
     ROOT,
     Fault,
     Length,
-    Life,
+    ProcessRecord,
+    RequestRecord,
     Style,
-    Try,
-    at_the_end,
     configuration,
-    converse,
+    listener_may_be_closed,
     read_runs,
+    use_connection,
 )
-from tests.platform.soak._run import PROGRAM, Soak, no_more
+from tests.platform.soak._run import PROGRAM, SoakRun, no_next_request
 
 pytestmark = pytest.mark.anyio
 
@@ -37,19 +37,19 @@
 """Seconds from the signal until the path to the store turns slow, so that returning a
 grant takes some 0.3 s."""
 
-ASKED_FROM = 2.65
-ASKED_UNTIL = 3.05
-ASKED_EACH = 0.02
+FIRST_LATE = 2.65
+LAST_LATE = 3.05
+LATE_INTERVAL = 0.02
 """Seconds from the signal to the late requests: an idle gateway returns its grants from
 2.6 s on, and has its tokens until the store answers."""
 
-FREE = "free"
+UNLIMITED = "free"
 """A workspace without a bound: its requests need no grant, returned or not."""
 
 EVENT_PAUSE = 0.02
 """Seconds before each event."""
 
-LONG = 60
+LONG_EVENTS = 60
 """Events of the late stream: 1.2 s, longer than the grants take."""
 
 
@@ -66,13 +66,13 @@
 
 
 @asynccontextmanager
-async def one_gateway(folder: Path) -> AsyncIterator[Soak]:
+async def one_gateway(folder: Path) -> AsyncIterator[SoakRun]:
     """Run one gateway on the stand-in of the platform."""
-    soak = Soak(0, 0.0, folder, PROGRAM)
+    soak = SoakRun(0, 0.0, folder, PROGRAM)
     platform = start_platform(soak.base)
     try:
         rules = configuration()
-        rules["tenants"].append({"name": FREE, "api-keys": [f"key-{FREE}"]})
+        rules["tenants"].append({"name": UNLIMITED, "api-keys": [f"key-{UNLIMITED}"]})
         await soak.write("op//config", rules)
         async with anyio.create_task_group() as tasks:
             soak.tasks = tasks
@@ -88,58 +88,62 @@
         platform.wait()
 
 
-async def asked(soak: Soak, name: str, events: int, workspace: str = "vast") -> Try:
+async def send_request(
+    soak: SoakRun, name: str, events: int, workspace: str = "vast"
+) -> RequestRecord:
     """Send one request and return what became of it; without events a booking."""
     length = Length(events, EVENT_PAUSE)
-    one = Try(name, 0, Style.NEW, length, workspace, 20 if events else 0)
-    await converse(soak.gateways[0], one, no_more, random.Random(0), lambda: True)
-    return one
+    request = RequestRecord(name, 0, Style.NEW, length, workspace, 20 if events else 0)
+    await use_connection(
+        soak.gateways[0], request, no_next_request, random.Random(0), lambda: True
+    )
+    return request
 
 
-async def until_served(soak: Soak) -> None:
+async def wait_until_served(soak: SoakRun) -> None:
     """Ask until a request is served, which also draws a grant."""
     with anyio.fail_after(READY_WITHIN):
         for number in range(1000):
-            if (await asked(soak, f"first-{number}", 1)).whole:
+            if (await send_request(soak, f"first-{number}", 1)).whole:
                 return
             await anyio.sleep(0.1)
 
 
-async def ask_late(
-    soak: Soak, told_at: float, events: int, workspace: str
-) -> list[Try]:
+async def send_late_requests(
+    soak: SoakRun, sigterm_at: float, events: int, workspace: str
+) -> list[RequestRecord]:
     """Send late requests, each on a connection of its own, while the process lives."""
-    tries: list[Try] = []
+    requests: list[RequestRecord] = []
 
-    async def one(number: int) -> None:
-        tries.append(await asked(soak, f"late-{number}", events, workspace))
+    async def send_late(number: int) -> None:
+        requests.append(await send_request(soak, f"late-{number}", events, workspace))
 
     process = soak.gateways[0].process
     async with anyio.create_task_group() as tasks:
-        for number in range(round((ASKED_UNTIL - ASKED_FROM) / ASKED_EACH)):
-            due = told_at + ASKED_FROM + number * ASKED_EACH
+        for number in range(round((LAST_LATE - FIRST_LATE) / LATE_INTERVAL)):
+            due = sigterm_at + FIRST_LATE + number * LATE_INTERVAL
             await anyio.sleep(max(0.0, due - time.monotonic()))
             if process is None or process.poll() is not None:
                 break
-            tasks.start_soon(one, number)
-    return tries
+            tasks.start_soon(send_late, number)
+    return requests
 
 
-def at_the_door(one: Try, life: Life) -> bool:
+def met_closed_listener(request: RequestRecord, process: ProcessRecord) -> bool:
     """Tell whether a request met the closed door of a process that was just ending."""
-    return one.fault == Fault.REFUSED and at_the_end(one, life)
+    return request.fault == Fault.REFUSED and listener_may_be_closed(request, process)
 
 
-def answered(one: Try, ran: Container[str]) -> bool:
+def was_answered(request: RequestRecord, runs: Container[str]) -> bool:
     """Tell whether a request got a whole answer, or was truly refused."""
-    if one.status == 200:
-        return one.whole
-    return one.status in (429, 503) and one.request not in ran
+    if request.status == 200:
+        return request.whole
+    return request.status in (429, 503) and request.request_id not in runs
 
 
 @pytest.mark.parametrize(
     ("events", "workspace"),
-    [(LONG, "vast"), (LONG, FREE), (0, "vast")],
+    [(LONG_EVENTS, "vast"), (LONG_EVENTS, UNLIMITED), (0, "vast")],
     ids=["prepaid stream", "free stream", "booking"],
 )
 async def test_a_late_request_of_a_stop_gets_an_answer(
@@ -155,17 +159,21 @@
     early instead, all met a refused connection while the process lived.
     """
     async with one_gateway(tmp_path) as soak:
-        await until_served(soak)
+        await wait_until_served(soak)
         soak.gateways[0].send(signal.SIGTERM)
-        told_at = time.monotonic()
+        sigterm_at = time.monotonic()
         await anyio.sleep(SLOW_AFTER)
         soak.proxies[0].mode = "slow"
-        tries = await ask_late(soak, told_at, events, workspace)
-        life = soak.life(soak.gateways[0])
+        requests = await send_late_requests(soak, sigterm_at, events, workspace)
+        process = soak.current_process(soak.gateways[0])
         with anyio.fail_after(READY_WITHIN):
-            await life.ended.wait()
-        ran = read_runs(await soak.witness())
-    assert len(tries) > 1
-    left = [one for one in tries if not (answered(one, ran) or at_the_door(one, life))]
-    assert left == []
-    assert any(answered(one, ran) for one in tries)
+            await process.ended.wait()
+        runs = read_runs(await soak.engine_records())
+    assert len(requests) > 1
+    unanswered = [
+        request
+        for request in requests
+        if not (was_answered(request, runs) or met_closed_listener(request, process))
+    ]
+    assert unanswered == []
+    assert any(was_answered(request, runs) for request in requests)
--- a/tests/platform/test_signals.py
+++ b/tests/platform/test_signals.py
@@ -9,11 +9,11 @@
 import anyio
 import pytest
 
-from tests.platform.test_late_requests import one_gateway, until_served
+from tests.platform.test_late_requests import one_gateway, wait_until_served
 
 pytestmark = pytest.mark.anyio
 
-LOOK: float = 0.0005
+POLL_INTERVAL: float = 0.0005
 """Seconds between two looks at the log: the interpreter ends within some 50 ms."""
 
 
@@ -35,11 +35,11 @@
     process with their number.
     """
     async with one_gateway(tmp_path) as soak:
-        await until_served(soak)
+        await wait_until_served(soak)
         gateway = soak.gateways[0]
         gateway.send(signal.SIGTERM)
         with anyio.fail_after(10.0):
-            await anyio.to_thread.run_sync(until_line, gateway.log, "stopped")
+            await anyio.to_thread.run_sync(wait_for_line, gateway.log, "stopped")
         gateway.send(number)
         assert gateway.process is not None
         code = await anyio.to_thread.run_sync(gateway.process.wait)
@@ -61,7 +61,7 @@
         gateway = soak.gateways[0]
         for _ in range(STARTS):
             assert gateway.process is not None
-            await anyio.to_thread.run_sync(until_line, gateway.log, "starting")
+            await anyio.to_thread.run_sync(wait_for_line, gateway.log, "starting")
             gateway.send(signal.SIGTERM)
             codes.append(await anyio.to_thread.run_sync(gateway.process.wait))
             gateway.log.write_text("")
@@ -69,7 +69,7 @@
     assert codes == [0] * STARTS
 
 
-def until_line(log: Path, message: str) -> None:
+def wait_for_line(log: Path, message: str) -> None:
     """Wait for a line of a gateway."""
     while not log.exists() or f'"{message}"' not in log.read_text():
-        time.sleep(LOOK)
+        time.sleep(POLL_INTERVAL)
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -8,12 +8,12 @@
 import anyio
 import pytest
 
-from tests.platform.soak import play_seed
+from tests.platform.soak import run_seed
 
 
 def test_a_short_soak_breaks_no_promise(tmp_path: Path) -> None:
     """Kills, pauses, stops and bad paths to the store, in series and at once."""
-    assert anyio.run(play_seed, 1, 6.0, tmp_path) == []
+    assert anyio.run(run_seed, 1, 6.0, tmp_path) == []
 
 
 @pytest.mark.soak
@@ -31,7 +31,7 @@
     for seed in range(1, 6):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        broken = anyio.run(play_seed, seed, 15.0, folder, program)
-        if any(re.search(finding, line) for line in broken):
+        violations = anyio.run(run_seed, seed, 15.0, folder, program)
+        if any(re.search(finding, line) for line in violations):
             return
     pytest.fail(f"no seed shows that {guard} is missing")
--- a/tests/platform/test_soak_checks.py
+++ b/tests/platform/test_soak_checks.py
@@ -8,22 +8,32 @@
 import pytest
 from attrs import evolve
 
-from tests.platform.kit import Fault, Length, Life, Seen, Style, Try, log_faults
-from tests.platform.soak._checks import Evidence, Hurt, judge_end, judge_stopped
-from tests.platform.standin import has_fate
+from tests.platform.kit import (
+    EngineRun,
+    Fault,
+    Length,
+    ProcessRecord,
+    RequestRecord,
+    Style,
+    log_errors,
+)
+from tests.platform.soak._checks import Evidence, InjectedFault, check_exit, check_stop
+from tests.platform.standin import has_fault
 
-LIFE = Life(0, 1.0, listening_at=2.0, asked_at=100.0, exited_at=107.0, code=0)
-SOUND = next(name for name in map(str, range(99)) if not has_fate(name))
-FATED = next(name for name in map(str, range(99)) if has_fate(name))
-RAN = [Seen(101.0, 101.1, 0)]
-PATH = Hurt(0, 90.0, 98.5)
-PAUSE = Hurt(0, 101.0, 102.0, paused=True)
+STOPPED = ProcessRecord(
+    0, 1.0, listening_at=2.0, sigterm_at=100.0, exited_at=107.0, code=0
+)
+WITHOUT_FAULT = next(name for name in map(str, range(99)) if not has_fault(name))
+WITH_FAULT = next(name for name in map(str, range(99)) if has_fault(name))
+ONE_RUN = [EngineRun(101.0, 101.1, 0)]
+PATH_FAULT = InjectedFault(0, 90.0, 98.5)
+PAUSE = InjectedFault(0, 101.0, 102.0, paused=True)
 
 
-def lost(**more: Any) -> Try:
+def lost(**more: Any) -> RequestRecord:
     """Return a request whose connection ended without an answer."""
     usual = {
-        "request": SOUND,
+        "request_id": WITHOUT_FAULT,
         "style": Style.KEPT,
         "connected_at": 90.0,
         "sent_at": 101.0,
@@ -31,61 +41,68 @@
         "fault": Fault.ENDED,
     }
     fixed = {"vm": 0, "length": Length(4, 0.0), "workspace": "acme", "prompt": 20}
-    return Try(**{**fixed, **usual, **more})
+    return RequestRecord(**{**fixed, **usual, **more})
 
 
 @pytest.mark.parametrize(
-    ("change", "hurts", "finding"),
+    ("change", "faults", "finding"),
     [
         ({}, [], ""),
         ({"exited_at": 0.0, "code": None}, [], ""),
-        ({"asked_at": 0.0}, [], "unasked with code 0"),
-        ({"asked_at": 0.0, "code": 1}, [PATH], "unasked with code 1"),
-        ({"asked_at": 0.0, "code": -9, "killed": True}, [], ""),
-        ({"code": 1}, [PATH], "code 1"),
+        ({"sigterm_at": 0.0}, [], "unasked with code 0"),
+        ({"sigterm_at": 0.0, "code": 1}, [PATH_FAULT], "unasked with code 1"),
+        ({"sigterm_at": 0.0, "code": -9, "killed": True}, [], ""),
+        ({"code": 1}, [PATH_FAULT], "code 1"),
         ({"code": -15}, [], "code -15"),
         ({"code": -15, "logged": False}, [], ""),
         ({"code": -9, "killed": True}, [], ""),
-        ({"code": -9, "killed": True, "exited_at": 108.2}, [PATH], "lived 8.20 s"),
+        (
+            {"code": -9, "killed": True, "exited_at": 108.2},
+            [PATH_FAULT],
+            "lived 8.20 s",
+        ),
         ({"code": -9, "killed": True, "exited_at": 108.2}, [PAUSE], ""),
     ],
 )
 def test_each_end_of_a_process_is_judged(
-    change: dict[str, Any], hurts: list[Hurt], finding: str
+    change: dict[str, Any], faults: list[InjectedFault], finding: str
 ) -> None:
     """Only what was asked for ends a process, and then it ends well and in time."""
-    found = " ".join(judge_end(evolve(LIFE, **change), hurts))
+    found = " ".join(check_exit(evolve(STOPPED, **change), faults))
     assert finding in found
     assert bool(finding) is bool(found)
 
 
 @pytest.mark.parametrize(
-    ("change", "runs", "hurts", "finding"),
+    ("change", "runs", "faults", "finding"),
     [
         ({}, [], [], "was read"),
-        ({}, RAN, [], "ran and was cut"),
-        ({}, [], [PATH], ""),
-        ({}, RAN, [PAUSE], ""),
-        ({}, RAN, [evolve(PATH, vm=1)], "ran and was cut"),
-        ({}, RAN, [evolve(PATH, ended_at=96.0)], "ran and was cut"),
-        ({"request": FATED}, RAN, [], ""),
+        ({}, ONE_RUN, [], "ran and was cut"),
+        ({}, [], [PATH_FAULT], ""),
+        ({}, ONE_RUN, [PAUSE], ""),
+        ({}, ONE_RUN, [evolve(PATH_FAULT, vm=1)], "ran and was cut"),
+        ({}, ONE_RUN, [evolve(PATH_FAULT, ended_at=96.0)], "ran and was cut"),
+        ({"request_id": WITH_FAULT}, ONE_RUN, [], ""),
         ({"fault": Fault.RESET}, [], [], ""),
-        ({"fault": Fault.RESET}, RAN, [], "ran and was cut"),
-        ({"status": 200, "events": [1]}, RAN, [], "ran and was cut"),
+        ({"fault": Fault.RESET}, ONE_RUN, [], "ran and was cut"),
+        ({"status": 200, "events": [1]}, ONE_RUN, [], "ran and was cut"),
         ({"sent_at": 101.4}, [], [], ""),
         ({"sent_at": 0.0}, [], [], ""),
         ({"ended_at": 99.0, "sent_at": 98.0}, [], [], ""),
         ({"closing_at": 101.0}, [], [], ""),
         ({"behind_cut": True}, [], [], ""),
-        ({"sent_at": 102.0, "ended_at": 106.9}, [Seen(102.1, 106.9, 1)], [], ""),
+        ({"sent_at": 102.0, "ended_at": 106.9}, [EngineRun(102.1, 106.9, 1)], [], ""),
     ],
 )
 def test_what_a_stop_leaves_unanswered_is_found(
-    change: dict[str, Any], runs: list[Seen], hurts: list[Hurt], finding: str
+    change: dict[str, Any],
+    runs: list[EngineRun],
+    faults: list[InjectedFault],
+    finding: str,
 ) -> None:
     """Read whole and left counts; unplanned trouble and an engine's fate excuse."""
-    evidence = Evidence([], {}, [LIFE], hurts)
-    found = " ".join(judge_stopped(lost(**change), runs, evidence))
+    evidence = Evidence([], {}, [STOPPED], faults)
+    found = " ".join(check_stop(lost(**change), runs, evidence))
     assert finding in found
     assert bool(finding) is bool(found)
 
@@ -107,4 +124,4 @@
     """A traceback or an error in a log is a fault; a warning is none."""
     path = tmp_path / "vm-0.log"
     path.write_text(f"{line}\n")
-    assert len(log_faults(path)) == faults
+    assert len(log_errors(path)) == faults
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -10,16 +10,16 @@
 from tests.platform.stops import (
     CASES,
     LONG_CASES,
-    Broken,
     Case,
-    Promise,
-    play_cases,
+    Guarantee,
+    Violation,
+    run_cases,
 )
 
 SEED = 1
 LONG_SEEDS = range(1, 11)
 
-Found = Callable[[Case, Promise], str]
+Found = Callable[[Case, Guarantee], str]
 every_case = pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 
 
@@ -32,17 +32,19 @@
         if isinstance(item, pytest.Function) and request.module is item.module
     }
     cases = [case for case in CASES if case in chosen]
-    played = anyio.run(play_cases, cases, [SEED])
+    violations = anyio.run(run_cases, cases, [SEED])
 
-    def tell(case: Case, promise: Promise) -> str:
-        return text(item for item in played[case.name] if item.promise is promise)
+    def violations_of(case: Case, guarantee: Guarantee) -> str:
+        return text(
+            item for item in violations[case.name] if item.guarantee is guarantee
+        )
 
-    return tell
+    return violations_of
 
 
-def text(broken: Iterable[Broken]) -> str:
+def text(violations: Iterable[Violation]) -> str:
     """Return a line for each finding."""
-    return "\n".join(item.text for item in broken)
+    return "\n".join(item.text for item in violations)
 
 
 @every_case
@@ -53,7 +55,7 @@
     platform uses all of them.  From 2.6 s after the signal the VM had no door, while it
     served its streams for up to 5 s more: 1,312 tries without a connection on one day.
     """
-    assert not (lines := found(case, Promise.DOOR)), lines
+    assert not (lines := found(case, Guarantee.CONNECT)), lines
 
 
 @every_case
@@ -64,7 +66,7 @@
     answer ends; the stop then closed the connection.  It shows as an orderly end, up to
     seconds after the request's last byte, with no run at any engine.
     """
-    assert not (lines := found(case, Promise.ANSWER)), lines
+    assert not (lines := found(case, Guarantee.ANSWER)), lines
 
 
 @every_case
@@ -74,7 +76,7 @@
     What has no price and takes an engine 0.02 s ends long before the kill when it is
     sent within 3 s of the signal, with or without the store.
     """
-    assert not (lines := found(case, Promise.TAKEN)), lines
+    assert not (lines := found(case, Guarantee.SERVED)), lines
 
 
 @every_case
@@ -84,7 +86,7 @@
     Its handlers go when its tasks are cancelled, and the interpreter takes some 0.1 s
     more.  A supervisor counts such an end as a crash.
     """
-    assert not (lines := found(case, Promise.END)), lines
+    assert not (lines := found(case, Guarantee.EXIT)), lines
 
 
 @every_case
@@ -95,12 +97,12 @@
     so their charges were never filed and the rest of the grant stayed out, in the row
     of a life whose successor had no trace of it.
     """
-    assert not (lines := found(case, Promise.MONEY)), lines
+    assert not (lines := found(case, Guarantee.MONEY)), lines
 
 
 @pytest.mark.soak
 @pytest.mark.parametrize("case", LONG_CASES, ids=lambda case: case.name)
 def test_many_moments_of_a_stop_cost_callers_nothing(case: Case) -> None:
     """The same promises at many moments, with every overlap and every trouble."""
-    lines = text(anyio.run(play_cases, [case], LONG_SEEDS)[case.name])
+    lines = text(anyio.run(run_cases, [case], LONG_SEEDS)[case.name])
     assert not lines, lines
--- a/tests/platform/test_stops_checks.py
+++ b/tests/platform/test_stops_checks.py
@@ -7,26 +7,28 @@
 import pytest
 from attrs import evolve
 
-from tests.platform.kit import Fault, Life, Seen, Style, Try
-from tests.platform.stops._cases import LONG, MIDDLE, PLAIN, SHORT, Case, Trouble
-from tests.platform.stops._checks import judge, judge_end, judge_try
-from tests.platform.stops._findings import Broken, Evidence, Promise
+from tests.platform.kit import EngineRun, Fault, ProcessRecord, RequestRecord, Style
+from tests.platform.stops._cases import LONG, MIDDLE, PLAIN, SHORT, Case, Disturbance
+from tests.platform.stops._checks import check, check_exit, check_request
+from tests.platform.stops._findings import Evidence, Guarantee, Violation
 
 CASE = Case("case")
-LIFE = Life(0, 1.0, listening_at=2.0, asked_at=100.0, exited_at=107.0, code=0)
+STOPPED = ProcessRecord(
+    0, 1.0, listening_at=2.0, sigterm_at=100.0, exited_at=107.0, code=0
+)
 
 
-def run(ended_at: float, sent: int = 2) -> Seen:
+def run(ended_at: float, sent: int = 2) -> EngineRun:
     """Return a run that an engine saw."""
-    return Seen(100.5, ended_at, sent)
+    return EngineRun(100.5, ended_at, sent)
 
 
-def texts(broken: list[Broken]) -> str:
+def texts(violations: list[Violation]) -> str:
     """Return what was found, as one text."""
-    return " ".join(item.text for item in broken)
+    return " ".join(item.text for item in violations)
 
 
-def told(**more: Any) -> Try:
+def answered(**more: Any) -> RequestRecord:
     """Return a request that was answered as it should be, but for what is named."""
     usual: dict[str, Any] = {
         "style": Style.NEW,
@@ -39,13 +41,15 @@
         "close": True,
         "whole": True,
     }
-    return Try(request="r", vm=0, workspace="acme", prompt=20, **{**usual, **more})
+    return RequestRecord(
+        request_id="r", vm=0, workspace="acme", prompt=20, **{**usual, **more}
+    )
 
 
-def lost(**more: Any) -> Try:
+def lost(**more: Any) -> RequestRecord:
     """Return a request without an answer."""
     usual = {"status": 0, "close": False, "whole": False, "head_at": 0.0}
-    return told(**{**usual, "fault": Fault.ENDED, **more})
+    return answered(**{**usual, "fault": Fault.ENDED, **more})
 
 
 REFUSED: dict[str, Any] = {
@@ -54,13 +58,13 @@
     "sent_at": 0.0,
 }
 
-KEPT = [
-    ("served", told(), [run(101.1)]),
-    ("refused truthfully", told(status=503, retry_after="0.5"), []),
-    ("no tokens", told(status=429, retry_after="0.5"), []),
-    ("too slow", told(status=408, retry_after="0.1", sent_at=0.0), []),
-    ("head before the signal", told(head_at=99.0, close=False), [run(101.1)]),
-    ("another answer is due", told(close=False, followed=True), [run(101.1)]),
+ACCEPTED = [
+    ("served", answered(), [run(101.1)]),
+    ("refused truthfully", answered(status=503, retry_after="0.5"), []),
+    ("no tokens", answered(status=429, retry_after="0.5"), []),
+    ("too slow", answered(status=408, retry_after="0.1", sent_at=0.0), []),
+    ("head before the signal", answered(head_at=99.0, close=False), [run(101.1)]),
+    ("another answer is due", answered(close=False, followed=True), [run(101.1)]),
     ("door closed at the end", lost(**REFUSED, ended_at=106.7), []),
     ("door not open yet", lost(**REFUSED, ended_at=1.5), []),
     ("reset at the end", lost(fault=Fault.RESET, ended_at=106.7), []),
@@ -71,20 +75,25 @@
     ("endless", lost(sent_at=102.9, ended_at=106.8), [run(106.8)]),
     (
         "endless in part",
-        told(length=LONG, events=[1], whole=False, close=False, fault=Fault.ENDED),
+        answered(length=LONG, events=[1], whole=False, close=False, fault=Fault.ENDED),
         [run(106.8)],
     ),
 ]
 
-BROKEN = [
+VIOLATIONS = [
     ("ran behind a cut", lost(behind_cut=True), [run(101.1)], "ran and was not"),
-    ("ran and was refused", told(status=503, retry_after="1"), [run(101.1)], "and ran"),
-    ("no time to come back", told(status=503), [], "without Retry-After"),
-    ("no promise", told(status=502), [run(101.1)], "got 502"),
-    ("another's answer", told(right=False), [run(101.1)], "another request"),
-    ("not told to close", told(close=False), [run(101.1)], "not told"),
-    ("ran twice", told(), [run(101.1), run(101.2)], "ran 2 times"),
-    ("too few events", told(length=MIDDLE, events=[1]), [run(101.1)], "early"),
+    (
+        "ran and was refused",
+        answered(status=503, retry_after="1"),
+        [run(101.1)],
+        "and ran",
+    ),
+    ("no time to come back", answered(status=503), [], "without Retry-After"),
+    ("no promise", answered(status=502), [run(101.1)], "got 502"),
+    ("another's answer", answered(id_matches=False), [run(101.1)], "another request"),
+    ("not told to close", answered(close=False), [run(101.1)], "not told"),
+    ("ran twice", answered(), [run(101.1), run(101.2)], "ran 2 times"),
+    ("too few events", answered(length=MIDDLE, events=[1]), [run(101.1)], "early"),
     ("closed door", lost(**REFUSED, ended_at=106.5), [], "closed door: refused"),
     ("no connection", lost(**REFUSED | {"fault": Fault.SILENT}), [], "not connected"),
     ("hung", lost(fault=Fault.HUNG), [], "closed door: hung"),
@@ -110,7 +119,7 @@
     ),
     (
         "cut with time left",
-        told(length=LONG, events=[1], whole=False, fault=Fault.ENDED),
+        answered(length=LONG, events=[1], whole=False, fault=Fault.ENDED),
         [run(103.0)],
         "was cut",
     ),
@@ -118,21 +127,25 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "runs"), [row[1:] for row in KEPT], ids=[row[0] for row in KEPT]
+    ("record", "runs"), [row[1:] for row in ACCEPTED], ids=[row[0] for row in ACCEPTED]
 )
-def test_what_costs_callers_nothing_passes(one: Try, runs: list[Seen]) -> None:
+def test_what_costs_callers_nothing_passes(
+    record: RequestRecord, runs: list[EngineRun]
+) -> None:
     """Callers are answered, told the truth, or came when there was no process."""
-    assert judge_try(one, LIFE, runs) == []
+    assert check_request(record, STOPPED, runs) == []
 
 
 @pytest.mark.parametrize(
-    ("one", "runs", "fault"),
-    [row[1:] for row in BROKEN],
-    ids=[row[0] for row in BROKEN],
+    ("record", "runs", "fault"),
+    [row[1:] for row in VIOLATIONS],
+    ids=[row[0] for row in VIOLATIONS],
 )
-def test_a_broken_promise_is_found(one: Try, runs: list[Seen], fault: str) -> None:
+def test_a_broken_promise_is_found(
+    record: RequestRecord, runs: list[EngineRun], fault: str
+) -> None:
     """Each way in which a stop can cost a caller something is named."""
-    assert fault in texts(judge_try(one, LIFE, runs))
+    assert fault in texts(check_request(record, STOPPED, runs))
 
 
 @pytest.mark.parametrize(
@@ -144,43 +157,43 @@
         ({"code": -15}, "code -15"),
         ({"code": -15, "logged": False}, ""),
         ({"exited_at": 108.1, "code": -9}, "lived 8.10 s"),
-        ({"asked_at": 0.0, "code": 1}, "unasked"),
+        ({"sigterm_at": 0.0, "code": 1}, "unasked"),
     ],
 )
 def test_the_end_of_a_process_is_judged(change: dict[str, Any], fault: str) -> None:
     """It ends by itself, in time, and says that all went well."""
-    found = texts(judge_end(evolve(LIFE, **change), CASE))
+    found = texts(check_exit(evolve(STOPPED, **change), CASE))
     assert fault in found
     assert bool(fault) is bool(found)
 
 
 @pytest.mark.parametrize(
-    ("spent", "out", "held", "trouble", "faults"),
+    ("spent", "out", "held", "disturbance", "faults"),
     [
-        (30, 0, 0, Trouble.NONE, 0),
-        (20, 0, 0, Trouble.NONE, 1),
-        (35, 0, 0, Trouble.NONE, 1),
-        (30, 10, 10, Trouble.NONE, 2),
-        (20, 10, 10, Trouble.SILENT, 0),
-        (35, 0, 0, Trouble.SILENT, 1),
+        (30, 0, 0, Disturbance.NONE, 0),
+        (20, 0, 0, Disturbance.NONE, 1),
+        (35, 0, 0, Disturbance.NONE, 1),
+        (30, 10, 10, Disturbance.NONE, 2),
+        (20, 10, 10, Disturbance.SILENT, 0),
+        (35, 0, 0, Disturbance.SILENT, 1),
     ],
 )
 def test_money_is_whole(
-    spent: int, out: int, held: int, trouble: Trouble, faults: int
+    spent: int, out: int, held: int, disturbance: Disturbance, faults: int
 ) -> None:
     """What was spent is what was served, and nothing is left out."""
-    one = told(length=SHORT, events=[1, 2])
+    request = answered(length=SHORT, events=[1, 2])
     rows = {
         "prepaid/acme/budget": {"budget": {"spent": spent, "outstanding": out}},
         "prepaid/acme/grant/vm-0": {"drawn": 50, "returned": 50 - held},
         "limits/vm-0/row": {},
     }
-    evidence = Evidence([one], [LIFE], {"r": [run(101.1)]}, rows)
-    assert len(judge(Case("case", trouble=trouble), evidence)) == faults
+    evidence = Evidence([request], [STOPPED], {"r": [run(101.1)]}, rows)
+    assert len(check(Case("case", disturbance=disturbance), evidence)) == faults
 
 
 def test_a_process_that_refuses_all_is_found() -> None:
     """A request that would end in a moment is taken while there is time."""
-    one = told(status=503, retry_after="1")
-    found = judge(CASE, Evidence([one], [LIFE], {}, {}))
-    assert [item.promise for item in found] == [Promise.TAKEN]
+    request = answered(status=503, retry_after="1")
+    found = check(CASE, Evidence([request], [STOPPED], {}, {}))
+    assert [item.guarantee for item in found] == [Guarantee.SERVED]
