--- a/ebonyhold/platform/_headers.py
+++ b/ebonyhold/platform/_headers.py
@@ -52,7 +52,7 @@
         b"kv-fetch",
     }
 )
-"""Fields that are removed from a caller's request; the gateway sets some of them anew."""
+"""Fields removed from a caller's request; the gateway sets some of them anew."""
 
 
 def first_value(headers: Headers, name: bytes) -> bytes:
