--- a/ebonyhold/prepaid/_account.py
+++ b/ebonyhold/prepaid/_account.py
@@ -42,13 +42,14 @@
 log = logging.getLogger(__name__)
 
 MAX_ATTEMPTS = 12
-"""Maximum attempts of one round when other routers change the same budget row."""
+"""Maximum attempts to commit in one round, if each conflicts with another router."""
 
 CONFLICT_BACKOFF: Seconds = 0.02
-"""Maximum delay after a first conflict; it doubles with each further one.
+"""Maximum random delay after a first conflict.
 
-When several routers draw on one budget, only one transaction can succeed at a time, and
-the failed attempts count against the store's rate limit.
+The maximum doubles with each of the next four conflicts, up to 0.32 s.  When several
+routers draw on one budget, only one transaction can succeed at a time, and the failed
+attempts count against the store's rate limit.
 """
 
 
@@ -65,22 +66,21 @@
         workspace: The workspace that owns the budget.
         router: The router that owns the grant.
         store: The store of budgets and grants.
-        prepaid: Returns the configuration's version and the prepaid tokens that it
-            sets.
+        prepaid: Returns the configuration's version and its prepaid tokens.
         routers: Returns how many routers share the budget.
         default_typical: Returns the typical request size over all workspaces of this
             router; 0 if unknown.
         limits: The spending limits of this router's renewals.
         renew: Renews the limits in the store immediately.
         can_renew: Returns whether renewals currently reach the store.
-        peers: The other routers, for transfers; None if there are none to ask.
+        peers: Calls to other routers for transfers; None if none can be called.
         is_holder: Returns whether this router is a holder of the workspace.
         options: The options of the prepaid budgets.
         policy: Computes how much to draw or return.
-        demand: The expected demand at this router.
+        demand: The estimated demand at this router.
         grant: The grant's ledger and its stored rows.
-        asked: Total size of the requests that wait for tokens.
-        reachable: Whether the last round reached the store.
+        asked: Total of the tokens needed by requests that wait for a draw or a renewal.
+        reachable: Whether the last completed round reached the store.
         closing: Whether the process is shutting down.  Nothing is drawn any more,
             because it would not be returned.
         lock: Held during a round, so that only one runs at a time.
@@ -111,14 +111,15 @@
         self.grant = Grant(self.workspace, self.router, self.store, self.routers)
 
     def limit(self) -> Tokens:
-        """Return how many tokens may be used in total at this time."""
+        """Return how many tokens may be used by now, since the incarnation started."""
         return self.limits.limit(self.workspace, anyio.current_time())
 
     def try_hold(self, amount: Tokens) -> bool:
         """Hold tokens if they are available within the limit; return whether held.
 
-        Only successful holds count as demand.  Refused callers retry at other routers,
-        and each of those would otherwise draw on a budget that is nearly spent.
+        Only successful holds count as demand.  Refused requests are retried at other
+        routers; if each router counted them, all would draw in advance on a budget that
+        is nearly spent.
         """
         held = self.grant.used + amount <= self.limit() and self.grant.ledger.hold(
             amount
@@ -161,16 +162,22 @@
         )
 
     def is_exhausted(self, amount: Tokens) -> bool:
-        """Return whether a request exceeds the budget even with all grants returned."""
+        """Return whether a request exceeds the budget even if all grants are returned.
+
+        The result is False if the cached budget is unknown or too old to decide.
+        """
         rows = self.grant.cache.rows or GrantRows()
         prepaid = self.apply_configuration(rows.budget).budget.prepaid
         return self.grant.cache.is_exhausted(amount, self.grant.ledger, prepaid)
 
     async def hold_transferred(self, amount: Tokens, peers: TransferPeers) -> bool:
-        """Request missing tokens from other routers; return whether the hold succeeds.
+        """Request the missing tokens from other routers and try the hold again.
 
         Other routers may have idle tokens while this one cannot reach the store or the
         budget has none left to draw.
+
+        Returns:
+            Whether the tokens are held now.
         """
         offers = await peers.offers(self.workspace)
         for peer in choose_givers(offers, amount - self.usable):
@@ -188,10 +195,10 @@
 
     @property
     def offer(self) -> Tokens:
-        """Number of tokens that other routers may request from this one.
+        """Number of tokens that other routers may request; 0 while shutting down.
 
-        While the store is reachable this includes what the budget itself has left, so
-        a router without a connection to the store can draw tokens through this one.
+        While the store is reachable this includes the remaining tokens of the budget,
+        so a router without a connection to the store can draw tokens through this one.
         """
         if self.closing:
             return 0
@@ -200,17 +207,22 @@
         return self.usable
 
     async def give(self, amount: Tokens) -> Tokens:
-        """Give tokens to another router on request; return how many were given."""
+        """Give up to `amount` tokens to another router; draw missing ones first.
+
+        Returns:
+            The number of tokens given, which may be less than `amount`; 0 if the
+            process is shutting down.
+        """
         if amount > self.usable and self.reachable and self.can_renew():
             with anyio.move_on_after(self.options.draw_timeout):
                 await self.obtain(amount)
-        # The process may have begun to return the grant during the wait above.
+        # The shutdown may have begun to return the grant during the draw.
         given = 0 if self.closing else min(amount, self.usable)
         self.grant.give(given)
         return given
 
     def log_refusal(self, amount: Tokens, request: RequestId) -> None:
-        """Log the figures behind a refusal and their age."""
+        """Log a refusal with the budget and limit behind it and their ages."""
         budget = self.budget
         log.info(
             "tokens refused",
@@ -230,7 +242,10 @@
         )
 
     async def obtain(self, amount: Tokens) -> None:
-        """Draw missing tokens for a request, and raise the limit if it is too low."""
+        """Draw missing tokens, and renew the limits if the request exceeds them.
+
+        Both run at the same time.  A failed draw is only logged.
+        """
         self.asked += amount
         try:
             async with anyio.create_task_group() as tasks:
@@ -242,7 +257,10 @@
             self.asked -= amount
 
     async def draw(self) -> None:
-        """Draw what waiting requests lack, unless another task has just done so."""
+        """Draw what waiting requests lack, unless another task has just done so.
+
+        A store error is only logged.
+        """
         async with self.lock:
             if not self.need:
                 return
@@ -255,7 +273,7 @@
                 )
 
     async def tick(self) -> None:
-        """Run a periodic round: draw in advance, return excess tokens, file charges.
+        """Run a round: draw in advance, return excess tokens and file old charges.
 
         Raises:
             PlatformError: The store call failed.
@@ -264,11 +282,14 @@
             await self.round()
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End a request's hold and charge its cost."""
+        """End a request's hold and charge the request's cost, at most the hold."""
         self.grant.settle(hold, charge)
 
     async def close(self) -> None:
-        """File all charges and return all available tokens before the process exits.
+        """Run a round that files all charges and returns all available tokens.
+
+        From now on nothing is drawn.  After `MAX_ATTEMPTS` conflicts the method returns
+        normally, though nothing was filed or returned.
 
         Raises:
             PlatformError: The store call failed.
@@ -298,6 +319,8 @@
     async def round(self) -> None:
         """Refresh the cached rows and commit the change that is due, if any.
 
+        After `MAX_ATTEMPTS` conflicts the change is left to the next round.
+
         Raises:
             PlatformError: The store call failed.
         """
@@ -319,14 +342,18 @@
                 raise
 
     async def refresh(self) -> None:
-        """Resolve a change in doubt, and read rows that are unknown or outdated."""
+        """Resolve a change in doubt, and read rows that are unknown or outdated.
+
+        Raises:
+            PlatformError: The store call failed.
+        """
         await self.grant.resolve_in_doubt()
         holding = self.grant.ledger.available > 0
         await self.grant.cache.refresh(self.need, holding=holding)
 
     @property
     def need(self) -> Tokens:
-        """Tokens that waiting requests lack."""
+        """Tokens that waiting requests need beyond the available ones."""
         return max(0, self.asked - self.grant.ledger.available)
 
     def plan_change(self) -> Change | None:
@@ -344,9 +371,10 @@
         return self.make_change(rows, base, size)
 
     def apply_configuration(self, row: PrepaidRow) -> PrepaidRow:
-        """Return a budget row updated to this router's configuration, if that is newer.
+        """Return a budget row with the prepaid tokens of this router's configuration.
 
-        Only the prepaid tokens and the configuration's version change.
+        The row is returned unchanged if its configuration version is not older than
+        this router's, or if the prepaid tokens are equal.
         """
         version, prepaid = self.prepaid()
         if version <= row.rules_version or prepaid == row.budget.prepaid:
@@ -358,8 +386,8 @@
         budget = self.budget
         unspent = max(0, budget.prepaid - budget.spent)
         inputs = AllowanceInputs(
-            # Received tokens can make `used` negative.  A successor may reclaim no more
-            # than this grant's own row holds, so the limit starts at 0.
+            # Received tokens can make `used` negative.  A negative limit would let a
+            # successor reclaim more than this grant's own row holds.
             used=max(0, self.grant.used),
             asked=self.asked,
             rate=self.demand.rate(anyio.current_time()),
@@ -373,7 +401,10 @@
 
     @property
     def typical(self) -> float:
-        """Typical request size of this workspace, or of the router if unknown."""
+        """Typical request size of this workspace, in tokens.
+
+        Before the first request here, it is the mean over this router's workspaces.
+        """
         return self.demand.typical or self.default_typical()
 
     @property
@@ -386,13 +417,13 @@
         )
 
     def grant_size(self, budget: BudgetRow) -> GrantSize:
-        """Return how much to draw or to return."""
+        """Return how many tokens to draw from or return to the budget."""
         available = self.grant.ledger.available
         if self.closing:
             return GrantSize(give_back=available)
         if budget.remaining < 0:
-            # The operator lowered the budget below what was granted.  All routers
-            # return what they do not use, and draw again from what is left.
+            # The operator lowered the budget below the granted and spent tokens.  Each
+            # router returns available tokens until the budget is no longer exceeded.
             return GrantSize(give_back=min(available, -budget.remaining))
         if not self.is_holder():
             # Requests at this router use a holder's tokens, so available tokens here
@@ -416,8 +447,8 @@
     def make_change(self, rows: GrantRows, base: PrepaidRow, size: GrantSize) -> Change:
         """Return the change of both rows, and remove returned tokens from the ledger.
 
-        The tokens are removed before the change is sent.  If the answer is lost, they
-        could otherwise be spent here and also be drawn from the budget.
+        The tokens are removed before the change is sent.  Otherwise, if the answer is
+        lost, they could be spent here and also be drawn by another router.
         """
         drawn = min(size.draw, max(base.budget.remaining, 0))
         returned = min(size.give_back, self.grant.ledger.available)
--- a/ebonyhold/prepaid/_allowance.py
+++ b/ebonyhold/prepaid/_allowance.py
@@ -14,13 +14,13 @@
 from ebonyhold.types import Seconds, Tokens
 
 LOW_LEVEL = 0.1
-"""Unspent fraction of a budget at which the allowance is smallest."""
+"""Unspent fraction of a budget at and below which the allowance is smallest."""
 
 FULL_LEVEL = 0.6
-"""Unspent fraction of a budget from which the allowance is largest.
+"""Unspent fraction of a budget at and above which the allowance is largest.
 
-A budget for one day is above this level until the middle of the day, and tokens lost to
-kills before that are rarely missed at its end.
+A budget for one day is above this level until the middle of the day.  Tokens lost by
+kills before that rarely cause refusals at the end of the day.
 """
 
 MIN_FACTOR = 0.1
@@ -31,10 +31,10 @@
 
 
 HEADROOM_RENEWALS = 4.0
-"""Headroom of a renewal: the expected demand during this many renewal delays."""
+"""Number of renewal delays whose expected demand a limit covers in advance."""
 
 MAX_HEADROOM = 2.0
-"""Maximum headroom of a renewal, in requests of the typical size."""
+"""Maximum headroom of a limit, in requests of the typical size."""
 
 
 @frozen
@@ -47,9 +47,9 @@
         rate: Expected demand, in tokens per second.
         typical: Typical request size, in tokens.
         cover: Tokens that should be available when an outage begins.
-        horizon: Length of that outage.
+        horizon: Length of the outage that `cover` and the later rate are meant for.
         level: Unspent fraction of the budget.
-        delay: Typical duration of a renewal.
+        delay: Typical time until a renewal is acknowledged.
     """
 
     used: Tokens
@@ -77,12 +77,14 @@
 
     While renewals are fast, the limit has almost no headroom: simultaneous requests
     wait for the same renewal, and a kill loses only tokens in use.  While the store is
-    slow, it includes the expected demand of a few renewals, because waiting requests
-    would miss their deadlines.  In an outage the limit grows at the mean demand rate;
-    a router that needs more receives transfers from others.
+    slow, the headroom covers the expected demand during a few renewals, because
+    requests that wait for a renewal would miss their deadlines.  In an outage the limit
+    grows at the mean demand rate; a router that needs more receives transfers.
 
-    For a workspace with rare requests the mean is no useful estimate.  Its limit has
-    headroom for one request and grows by `cover` over an outage.
+    If the mean demand of an outage is less than one request, it is no useful estimate.
+    The limit then has headroom for one request and grows by `cover` during an outage.
+
+    Headroom, early rate and that growth are reduced as the budget is spent.
     """
     factor = allowance_factor(inputs.level)
     mean = inputs.rate * inputs.horizon
--- a/ebonyhold/prepaid/_books.py
+++ b/ebonyhold/prepaid/_books.py
@@ -30,22 +30,22 @@
 MAX_AGE_PER_SHARER: Seconds = 0.3
 """Maximum age of the cached budget, per sharing router, if tokens are available here.
 
-Only the budget row shows that other routers need tokens; with an older copy a router
-keeps tokens that it does not need.  All routers together read each budget about three
-times a second, whatever their number.
+Only the budget row shows that other routers need tokens; a router with an older copy
+keeps tokens that they need.  Because the maximum age grows with the number of sharing
+routers, all of them together read a budget about three times a second.
 """
 
 MIN_SHARERS = 10
-"""Minimum number of sharing routers for `MAX_AGE_PER_SHARER`.
+"""Lower bound of the number by which `MAX_AGE_PER_SHARER` is multiplied.
 
-Routers of a smaller fleet read the budget no more often than every 3 s.
+With fewer sharing routers the maximum age is still 3 s.
 """
 
 MAX_REFUSAL_AGE: Seconds = 2.0
 """Maximum age of a cached budget that may justify a final refusal.
 
-Other routers return tokens and operators top budgets up, so an older copy might refuse
-a request for good that the budget can now cover.
+Other routers return tokens and operators top budgets up, so with an older copy a router
+might finally refuse a request that the budget can now cover.
 """
 
 
@@ -61,7 +61,7 @@
         routers: Returns how many routers share the budget.
         rows: Both rows; None before the first read, and after a conflict response
             that did not contain both.
-        checked_at: When the store last confirmed the budget.
+        checked_at: When the budget row was last read or written (monotonic clock).
     """
 
     workspace: WorkspaceName
@@ -82,7 +82,7 @@
         return grant_row_key(self.workspace, self.router)
 
     def age(self) -> Seconds:
-        """Return the time since the store last confirmed the budget."""
+        """Return the time since the budget row was last read or written."""
         return anyio.current_time() - self.checked_at
 
     def is_exhausted(
@@ -91,8 +91,9 @@
         """Return whether a request exceeds the budget even if all grants are returned.
 
         Other routers may return their grants, so only filed charges and this router's
-        own unfiled ones count as spent.  Unfiled charges of other routers make the
-        budget look larger than it is, which costs the caller another retry.
+        own unfiled ones count as spent.  Because of unfiled charges of other routers,
+        the result may be False for an exhausted budget; the caller then retries once
+        more.  It is also False if the cached budget is unknown or too old to decide.
 
         Args:
             amount: Maximum cost of the request.
@@ -111,7 +112,7 @@
         return unspent - ledger.unfiled < amount
 
     async def refresh(self, need: Tokens, *, holding: bool) -> None:
-        """Read both rows if they are unknown, or the budget if it is too old.
+        """Read both rows if they are unknown, or the budget row if it is too old.
 
         Args:
             need: Tokens that waiting requests lack.
@@ -158,7 +159,10 @@
         return rows
 
     def decode(self, stored: Iterable[object]) -> GrantRows:
-        """Return the budget and grant rows found among stored rows."""
+        """Return the budget and grant rows found among stored rows.
+
+        A row that is not found is empty and has version 0.
+        """
         rows = GrantRows()
         for row in stored:
             if not isinstance(row, Row):
@@ -172,7 +176,7 @@
         return rows
 
     def update_from_conflict(self, conflict: ConflictError) -> None:
-        """Cache the rows of a conflict response, or mark them as unknown.
+        """Cache the rows of a conflict response, or mark both as unknown if one lacks.
 
         Many routers write the same budget.  Reading both rows after each conflict
         would take two more calls, and make the next conflict more likely.
--- a/ebonyhold/prepaid/_changes.py
+++ b/ebonyhold/prepaid/_changes.py
@@ -31,7 +31,7 @@
     Attributes:
         drawn: Tokens moved from the budget to the grant.
         returned: Tokens moved back to the budget.
-        billed: Charges that are filed.
+        billed: Charged tokens that are filed.
         given: Tokens given to other routers' grants of the same budget.
         received: Tokens received from other routers' grants.
     """
@@ -50,13 +50,13 @@
     base: PrepaidRow,
     amounts: ChangeAmounts,
 ) -> Change:
-    """Return the change of the budget and grant rows.
+    """Return the change of both rows as a transaction that checks their versions.
 
     Args:
         workspace: The workspace that owns the budget.
         router: The router that owns the grant.
         rows: Both rows before the change.
-        base: The budget row with the currently configured prepaid tokens.
+        base: The budget row of `rows`, with the currently configured prepaid tokens.
         amounts: The amounts to draw, return and file.
     """
     budget = change_budget(
--- a/ebonyhold/prepaid/_demand.py
+++ b/ebonyhold/prepaid/_demand.py
@@ -15,7 +15,7 @@
 
     Attributes:
         time_constant: Time after which a request counts for about a third.
-        weight: Requested tokens, each request weighted by its age.
+        weight: Sum of the requested tokens, in which each request decays with its age.
         started_at: When the first request was counted; None before.
         updated_at: When `weight` was last updated.
         typical: Typical request size in tokens, as a moving average.
@@ -28,7 +28,7 @@
     typical: float = 0.0
 
     def record(self, amount: Tokens, now: Seconds) -> None:
-        """Count a request whose tokens were held."""
+        """Add a request whose tokens were held to the estimate."""
         if self.started_at is None:
             self.started_at = now
             self.typical = float(amount)
@@ -37,15 +37,15 @@
         self.typical += (amount - self.typical) * 0.1
 
     def decay(self, now: Seconds) -> None:
-        """Reduce the weight of earlier requests by the time since the last update."""
+        """Apply the exponential decay since the last update to the weight."""
         self.weight *= math.exp((self.updated_at - now) / self.time_constant)
         self.updated_at = now
 
     def rate(self, now: Seconds) -> float:
         """Return the expected demand in tokens per second.
 
-        The weighted sum is divided by the observed part of the time constant, which
-        is shorter soon after the first request.
+        The weight is divided by the time constant, or by less if the first request was
+        counted only a short time ago.  It is 0 before the first request.
         """
         if self.started_at is None:
             return 0.0
--- a/ebonyhold/prepaid/_grant.py
+++ b/ebonyhold/prepaid/_grant.py
@@ -38,7 +38,7 @@
         ledger: Local counters of the grant's tokens.
         cache: The cached budget and grant rows.
         in_doubt: The change whose outcome is unknown; None if there is none.
-        filed_at: When charges were last filed.
+        filed_at: When charges were last filed (monotonic clock).
         charged: Tokens charged to requests since the process started.
         net_given: Tokens given to other routers, less those received, since the
             process started.
@@ -70,15 +70,15 @@
         return self.charged + self.ledger.held + self.net_given
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End a request's hold and charge its cost."""
+        """End a request's hold and charge the request's cost, at most the hold."""
         self.ledger.settle(hold, min(charge, hold))
         self.charged += min(charge, hold)
 
     def give(self, amount: Tokens) -> None:
         """Move available tokens to another router.
 
-        They count as used before the answer is sent.  If the answer is lost, neither
-        router can spend them.
+        The tokens count as used before the answer is sent, so if the answer is lost,
+        neither router can spend them.
         """
         self.ledger.give(amount)
         self.net_given += amount
@@ -100,10 +100,11 @@
     async def reclaim(self, predecessor: Predecessor) -> None:
         """Move the tokens that a predecessor provably left unused to this grant.
 
-        No change may be in doubt when this is called.
+        Nothing is moved if the predecessor has no grant or provably left no tokens.  No
+        change may be in doubt when this is called.
 
         Raises:
-            PlatformError: The store call failed.
+            PlatformError: The store call failed, or another router changed a row first.
         """
         found = await find_predecessor_grant(self.store, self.workspace, predecessor)
         if found is None:
@@ -120,7 +121,7 @@
         self.log_reclaim(predecessor, found)
 
     def log_reclaim(self, predecessor: Predecessor, found: PredecessorGrant) -> None:
-        """Log how many tokens were reclaimed, with the figures behind the number."""
+        """Log how many tokens were reclaimed, and from which row and limit."""
         log.info(
             "grant reclaimed" if found.left else "grant not reclaimed",
             extra={
@@ -140,7 +141,8 @@
         Raises:
             ConflictError: Another router changed a row first; nothing was written.
             UnavailableError: The change had no effect.
-            UnknownOutcomeError: The change may take effect; it is now `in_doubt`.
+            UnknownOutcomeError: The change may have taken effect or may do so later; it
+                is kept as `in_doubt`.
         """
         outcome_known = False
         try:
@@ -151,8 +153,8 @@
             self.ledger.available += change.returned
             raise
         finally:
-            # A cancellation or an unexpected exception also leaves the outcome
-            # unknown.  Only a definite answer from the store settles it.
+            # The outcome is also unknown after a cancellation or an unexpected
+            # exception.  Only a definite answer from the store determines it.
             if not outcome_known:
                 self.in_doubt = change
         self.took_effect(change, committed)
@@ -162,8 +164,11 @@
 
         The transaction has the same checks as before, so the change takes effect at
         most once.  If the checks fail, the sequence number of this router's row shows
-        whether the first attempt took effect.  If it did not, neither attempt can
-        take effect later, because row versions only increase.
+        whether the first attempt took effect.  If the first attempt did not, neither
+        can take effect later, because row versions only increase.
+
+        Raises:
+            PlatformError: The store call failed; the change stays in doubt.
         """
         try:
             committed = await self.store.commit(change.transaction)
@@ -184,7 +189,10 @@
         self.apply(change)
 
     def apply(self, change: Change) -> None:
-        """Apply a committed change to the ledger and log it."""
+        """Apply a committed change to the ledger and log the change.
+
+        Returned tokens have already been removed from the ledger.
+        """
         self.ledger.available += change.drawn
         if change.billed:
             self.ledger.filed(change.billed, change.billed)
--- a/ebonyhold/prepaid/_holders.py
+++ b/ebonyhold/prepaid/_holders.py
@@ -5,8 +5,8 @@
 router has a holder set the tokens of each request aside.  All routers compute the same
 holders.
 
-This serves load that is spread over so many routers that each of them receives a
-request of a workspace only once in many seconds.
+This matters if a workspace's requests are spread over so many routers that each router
+receives one only once in many seconds.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from ebonyhold.types import WorkspaceName
 
 Fleet: TypeAlias = Mapping[str, str]
-"""The failure domain of each router, by the name of the router's VM."""
+"""The routers as a mapping from the name of each router's VM to its failure domain."""
 
 SMALL_FLEET = 12
 """Number of routers up to which each router is a holder of every workspace.
@@ -31,20 +31,24 @@
 """
 
 MIN_HOLDERS = 6
-"""Minimum number of holders of a workspace in a large fleet."""
+"""Minimum number of holders of a workspace in a fleet above `SMALL_FLEET`.
+
+The number is rounded up to the same number in each failure domain.
+"""
 
 
 def rank(workspace: WorkspaceName, router: str) -> bytes:
-    """Return the sort key of a router in a workspace's rendezvous order."""
+    """Return a router's sort key for the rendezvous hashing of a workspace."""
     return hashlib.blake2b(f"{workspace}\n{router}".encode(), digest_size=8).digest()
 
 
 def choose_holders(workspace: WorkspaceName, fleet: Fleet) -> list[str]:
     """Return a workspace's holders by rendezvous hashing, in rank order.
 
-    Each failure domain has the same number of holders, so callers in a domain are
-    served while it is cut off.  A router that joins or leaves changes only the holders
-    of workspaces that it holds.
+    In a small fleet these are all routers.  In a larger one each failure domain has the
+    same number of holders, if it has that many routers, so callers in a domain are
+    served while the domain is cut off.  A router that joins or leaves changes only the
+    holders of workspaces for which it is chosen itself.
 
     >>> fleet = {f"vm-{n}": f"domain-{n % 3}" for n in range(60)}
     >>> holders = choose_holders("acme", fleet)
@@ -103,7 +107,7 @@
             self.cached.clear()
 
     def holders(self, workspace: WorkspaceName) -> Holders:
-        """Return a workspace's holders; only this router while no other is known."""
+        """Return a workspace's holders; only this router if no other is known."""
         found = self.cached.get(workspace)
         if found is None:
             fleet = {**self.fleet, self.router: self.domain}
@@ -115,5 +119,5 @@
         return found
 
     def nearest_first(self, routers: Iterable[str]) -> tuple[str, ...]:
-        """Return routers with those of this router's failure domain first."""
+        """Return the routers, those in this router's failure domain first."""
         return tuple(sorted(routers, key=lambda r: self.fleet.get(r) != self.domain))
--- a/ebonyhold/prepaid/_lent.py
+++ b/ebonyhold/prepaid/_lent.py
@@ -18,15 +18,15 @@
 MAX_HOLD_AGE: Seconds = 60.0
 """Time after which a hold that was not settled is charged in full.
 
-It is longer than any request lasts, so the requesting router was killed or cannot reach
-this one.
+No request lasts that long, so the requesting router was killed or cannot reach this
+one.
 """
 
 EARLY_SETTLEMENT_TTL: Seconds = 10.0
-"""How long a settlement without a known hold is kept.
+"""How long a settlement of an unknown hold is remembered.
 
-A router that stops waiting for a hold settles it with a charge of 0, and its request
-for the hold may arrive later.
+A router that stops waiting for a hold settles the hold with a charge of 0.  If its
+request for the hold arrives only later, the hold is released at once.
 """
 
 
@@ -47,19 +47,19 @@
 
 @define(eq=False)
 class LentHolds:
-    """Holds and settles tokens for requests at other routers.
+    """Sets tokens aside for requests at other routers, and settles these holds.
 
     Held tokens count as used, within this router's limits, before the answer is sent,
-    and a hold that is never settled is charged in full.  So a lost message or a killed
-    router can waste tokens, but no token is spent twice.
+    and a hold that is never settled is charged in full.  So after a lost message or a
+    kill some unspent tokens may count as spent, but no token is spent twice.
 
     Attributes:
         find_grant: Returns this router's grant of a workspace; None if the workspace
             has no budget.
-        closing: Returns whether this router is about to stop and refuses holds, so
-            that other routers are tried.
+        closing: Returns whether this router is about to stop.  It then answers
+            `UNAVAILABLE`, so that other routers are tried.
         open: The holds that are not settled.
-        early_settlements: Arrival times of settlements without a known hold.
+        early_settlements: Arrival times of settlements of unknown holds.
     """
 
     find_grant: Callable[[WorkspaceName], Account | None]
@@ -68,7 +68,13 @@
     early_settlements: dict[HoldId, Seconds] = field(factory=dict)
 
     async def hold(self, wanted: WantedHold) -> HoldOutcome:
-        """Set tokens aside for a request at another router."""
+        """Set tokens aside for a request at another router.
+
+        Returns:
+            `HELD`, or why not: `EXHAUSTED` or `UNREACHABLE` if the grant refused, and
+            `UNAVAILABLE` if this router stops, knows no budget of the workspace, or has
+            received the settlement already.
+        """
         grant = None if self.closing() else self.find_grant(wanted.workspace)
         if grant is None:
             return HoldOutcome.UNAVAILABLE
@@ -86,7 +92,11 @@
         return HoldOutcome.HELD
 
     def settle(self, hold: HoldId, charge: Tokens) -> None:
-        """End a hold and charge its cost; a repeated settlement charges nothing."""
+        """End a hold and charge `charge`, limited to the range from 0 to the hold.
+
+        The settlement of an unknown hold charges nothing; it was sent twice, or
+        arrived before the request for the hold.
+        """
         remote = self.open.pop(hold, None)
         if remote is None:
             self.early_settlements[hold] = anyio.current_time()
@@ -94,7 +104,7 @@
         remote.grant.settle(remote.amount, max(0, min(charge, remote.amount)))
 
     def expire(self, now: Seconds) -> None:
-        """Charge expired holds in full, and drop old settlements of unknown holds."""
+        """Charge expired holds in full, and forget old settlements of unknown holds."""
         for hold, remote in list(self.open.items()):
             if now >= remote.expires_at:
                 log.warning(
--- a/ebonyhold/prepaid/_limits.py
+++ b/ebonyhold/prepaid/_limits.py
@@ -5,9 +5,10 @@
 uses more.  If it is killed, its successor on the same VM can compute from the last
 renewal and the time since then how many tokens were certainly left unused.
 
-The growth covers an outage of the store, during which no renewal arrives.  With a limit
-that grows at a constant rate, a kill during normal operation loses few tokens, and a
-kill after an outage loses the expected demand of the outage, not the whole grant.
+The growth serves requests during an outage of the store, when no renewal succeeds.
+Because the limit grows with time, a kill during normal operation loses few tokens, and
+a kill after an outage loses about the expected demand of the outage, not the whole
+grant.
 """
 
 from __future__ import annotations
@@ -30,13 +31,15 @@
 
 @frozen
 class SpendingLimit:
-    """Maximum number of tokens of a grant that may have been used.
+    """Upper limit of the tokens of a grant that its router may use.
+
+    The limit counts the tokens used since the incarnation started, and grows with the
+    time since the renewal.
 
     Attributes:
-        ceiling: Maximum at the time of the renewal, counted since the incarnation
-            started.
-        early_rate: Growth during `EARLY_PERIOD`, in tokens per second.
-        later_rate: Growth after `EARLY_PERIOD`, in tokens per second.
+        ceiling: The limit at the time of the renewal.
+        early_rate: Growth of the limit during `EARLY_PERIOD`, in tokens per second.
+        later_rate: Growth of the limit after `EARLY_PERIOD`, in tokens per second.
     """
 
     ceiling: Tokens = 0
@@ -44,7 +47,7 @@
     later_rate: float = 0.0
 
     def after(self, elapsed: Seconds) -> Tokens:
-        """Return the limit at a time after the renewal.
+        """Return the limit `elapsed` seconds after the renewal was sent.
 
         >>> limit = SpendingLimit(ceiling=100, early_rate=10.0, later_rate=100.0)
         >>> [limit.after(elapsed) for elapsed in (0.0, 2.3, 3.3)]
@@ -56,10 +59,10 @@
 
 
 ZERO_LIMIT = SpendingLimit()
-"""The limit of a workspace that a renewal does not name."""
+"""The limit of a workspace that a renewal does not list: no tokens may be used."""
 
 Limits: TypeAlias = Mapping[WorkspaceName, SpendingLimit]
-"""The limits of one renewal."""
+"""The spending limit of each workspace's grant in one renewal."""
 
 
 @frozen
@@ -68,9 +71,9 @@
 
     Attributes:
         number: Sequence number of the renewal within its incarnation.
-        sent_at: Send time on the monotonic clock.  That clock stops while a VM is
-            frozen, so the store's clock never shows less time since then.
-        limits: The limits that it stores.
+        sent_at: Send time on the router's monotonic clock.  That clock stops while a VM
+            is frozen, so the time elapsed on the store's clock is never shorter.
+        limits: The limits that the renewal writes to the store.
     """
 
     number: int
@@ -78,17 +81,19 @@
     limits: Limits
 
     def limit(self, workspace: WorkspaceName, now: Seconds) -> Tokens:
-        """Return the limit of a workspace at a given time."""
+        """Return the limit of a workspace's grant at a time on the monotonic clock."""
         return self.limits.get(workspace, ZERO_LIMIT).after(now - self.sent_at)
 
 
 @define
 class LimitBook:
-    """Tracks the renewals that a successor may find; the lowest limit applies.
+    """Tracks the renewals that a successor may find in the store.
+
+    A successor may find any one of them, so the lowest of their limits applies.
 
     Attributes:
         confirmed: The last renewal that the store acknowledged; None before the first.
-        doubtful: Renewals sent since then whose outcome is unknown.
+        doubtful: Renewals sent after `confirmed` whose outcome is unknown.
         sent: Number of renewals sent.
         delay: Typical time until a renewal is acknowledged.
     """
@@ -100,7 +105,7 @@
 
     @property
     def possible(self) -> Iterable[Renewal]:
-        """The renewals that a successor may find in the store."""
+        """The renewals that a successor may find: `confirmed` and those in doubt."""
         confirmed = [self.confirmed] if self.confirmed else []
         return [*confirmed, *self.doubtful]
 
@@ -111,14 +116,15 @@
         return min(renewal.limit(workspace, now) for renewal in self.possible)
 
     def age(self, now: Seconds) -> Seconds:
-        """Return the time since the last confirmed renewal was sent."""
+        """Return the time since the confirmed renewal was sent; inf without one."""
         return now - self.confirmed.sent_at if self.confirmed else float("inf")
 
     def propose(self, wanted: Limits, now: Seconds) -> Renewal:
-        """Return the next renewal, recorded as one whose outcome is unknown.
+        """Return the next renewal, and record it as in doubt until it is confirmed.
 
-        While an earlier renewal is in doubt, no limit is lowered.  Otherwise each
-        failed renewal of an outage would restart the growth of the limits.
+        While an earlier renewal is in doubt, the new renewal lowers no limit.
+        Otherwise each failed renewal in an outage would restart the growth of the
+        limits.
         """
         limits = dict(wanted)
         if self.doubtful:
@@ -134,22 +140,22 @@
     def not_lowered(
         self, workspace: WorkspaceName, limit: SpendingLimit, now: Seconds
     ) -> SpendingLimit:
-        """Return a limit raised to at least the limits already sent."""
+        """Return a limit raised to at least the limits of all possible renewals."""
         sent = [r.limits.get(workspace, ZERO_LIMIT) for r in self.possible]
         later = max(limit.later_rate, *(s.later_rate for s in sent))
         early = max(limit.early_rate, *(s.early_rate for s in sent))
-        # After `EARLY_PERIOD` the limits already grow at the later rate and must not
-        # fall back.  Before it, the later rate would let a router that is killed next
-        # lose a tenth of a budget.
+        # After `EARLY_PERIOD` the limits already grow at the later rate, and must not
+        # return to the early one.  With the later rate before that, a kill of the
+        # router could lose a tenth of a budget.
         long_outage = self.age(now) > EARLY_PERIOD
         ceiling = max(limit.ceiling, self.limit(workspace, now))
         return SpendingLimit(ceiling, later if long_outage else early, later)
 
     def took_effect(self, number: int) -> None:
-        """Mark a renewal as confirmed by the store.
+        """Mark a renewal in doubt as confirmed; ignore one that is not in doubt.
 
-        Other renewals in doubt can no longer take effect, because their transactions
-        check an earlier version of the row.
+        Other renewals in doubt are dropped.  They can no longer take effect, because
+        their transactions check an earlier version of the row.
         """
         for renewal in self.doubtful:
             if renewal.number == number:
@@ -158,5 +164,5 @@
                 return
 
     def had_no_effect(self, number: int) -> None:
-        """Remove a renewal that the store certainly did not apply."""
+        """Remove a renewal in doubt that the store certainly did not apply."""
         self.doubtful = [r for r in self.doubtful if r.number != number]
--- a/ebonyhold/prepaid/_purse.py
+++ b/ebonyhold/prepaid/_purse.py
@@ -20,7 +20,7 @@
 """Maximum number of holders tried for one request, one after the other.
 
 Each holder that does not answer delays the request.  If three do not, this router is
-probably cut off from the others.
+probably cut off from all others, and holds tokens of its own grant.
 """
 
 
@@ -31,15 +31,15 @@
     EXHAUSTED = "exhausted"
     UNREACHABLE = "unreachable"
     UNAVAILABLE = "unavailable"
-    """The holder did not process the request; another router may."""
+    """No tokens are held, but the next holder or the own grant may be tried."""
 
 
 @frozen
 class WantedHold:
-    """A router's request that a holder set tokens aside.
+    """A router's request to a holder to set tokens aside.
 
     Attributes:
-        hold: Identifier of the hold.  The request's identifier is not used for this,
+        hold: Identifier of the hold.  The request's identifier is not used instead,
             because callers choose it and may choose the same one for two requests.
         workspace: The workspace that owns the tokens.
         amount: Number of tokens.
@@ -53,14 +53,14 @@
 
 
 class HolderPeers(Protocol):
-    """Access to the holders at other routers."""
+    """Calls to the other routers that are holders."""
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
         """Request a hold from a holder; `UNAVAILABLE` if it does not answer."""
         ...
 
     def settle(self, peer: str, hold: HoldId, charge: Tokens) -> None:
-        """Queue a settlement for a holder and resend it until the holder confirms."""
+        """Queue a hold's settlement, and send it until the holder confirms it."""
         ...
 
 
@@ -69,8 +69,8 @@
     """The token hold of one request.
 
     The hold is requested from a holder of the workspace; if none answers, this router
-    holds tokens of its own grant.  Either way the tokens are in exactly one grant.  If
-    routers disagree about the holders, this costs an extra call and nothing else.
+    holds tokens of its own grant.  Either way the tokens belong to exactly one grant.
+    So if two routers compute different holders, the only cost is an extra call.
 
     Attributes:
         workspace: The workspace that owns the tokens.
@@ -78,10 +78,10 @@
             budget any more.
         holders: The other routers to try, in this order; empty if this router is a
             holder.
-        peers: Access to other routers; None if there is none.
+        peers: Calls to the holders; None if other routers cannot be called.
         hold_id: Identifier of this hold, unique among all routers.
-        holder: The other router that holds the tokens, if any.
-        own_grant: This router's grant, if it holds the tokens.
+        holder: The other router that holds the tokens; None if there is none.
+        own_grant: This router's grant if it holds the tokens, else None.
     """
 
     workspace: WorkspaceName
@@ -95,6 +95,8 @@
     async def hold(self, amount: Tokens, request: RequestId) -> None:
         """Hold tokens for the request.
 
+        Nothing is held if the workspace has no budget any more.
+
         Args:
             amount: Maximum cost of the request.
             request: Identifier of the request.
@@ -116,8 +118,9 @@
         """Try the holders in turn; return whether one of them holds the tokens.
 
         Raises:
-            BudgetExhaustedError: A holder reported that the budget cannot cover it.
-            BudgetUnreachableError: A holder could not obtain the tokens.
+            BudgetExhaustedError: A holder answered that the budget cannot cover the
+                request.
+            BudgetUnreachableError: A holder could not obtain the tokens in time.
         """
         for peer in self.holders[:MAX_HOLDERS_ASKED]:
             outcome = await peers.hold(peer, wanted)
@@ -127,21 +130,21 @@
                 self.holder = peer
                 return True
             self.log_refusal(wanted, peer)
-            text = f"{wanted.workspace}: {wanted.amount} refused by {peer}"
+            text = f"{wanted.workspace}: {peer} refused to hold {wanted.amount} tokens"
             if outcome is HoldOutcome.EXHAUSTED:
                 raise BudgetExhaustedError(text)
             raise BudgetUnreachableError(text)
         return False
 
     def log_refusal(self, wanted: WantedHold, peer: str) -> None:
-        """Log which holder refused; its own log gives the reason."""
+        """Log which holder refused the hold; the holder logs the reason."""
         fields = {"workspace": wanted.workspace, "amount": wanted.amount}
         log.info(
             "hold refused", extra={"request": wanted.request, "holder": peer, **fields}
         )
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
-        """End the hold and charge the cost of the request."""
+        """End the hold and charge the cost of the request, at most the hold."""
         if self.holder is not None and self.peers is not None:
             self.peers.settle(self.holder, self.hold_id, charge)
         elif self.own_grant is not None:
--- a/ebonyhold/prepaid/_reclaim.py
+++ b/ebonyhold/prepaid/_reclaim.py
@@ -32,12 +32,14 @@
 class Predecessor:
     """An earlier incarnation of this VM's router.
 
-    A VM runs one router process at a time, so the earlier one has ended.
+    A VM runs one router process at a time, so the process of the earlier incarnation
+    has ended.
 
     Attributes:
         router: Identifier of the earlier incarnation.
-        elapsed: Maximum time that it can have run after its last renewal.
-        limits: The limits of that renewal.
+        elapsed: Maximum time that the earlier incarnation can have run after its last
+            renewal.
+        limits: The limits of its last renewal.
     """
 
     router: RouterId
@@ -45,7 +47,7 @@
     limits: Limits = field(factory=dict)
 
     def limit(self, workspace: WorkspaceName) -> Tokens:
-        """Return the maximum number of tokens of a grant that it can have used."""
+        """Return how many tokens of a grant the predecessor can have used at most."""
         limit = self.limits.get(workspace, ZERO_LIMIT)
         return limit.after(self.elapsed + CLOCK_MARGIN)
 
@@ -78,7 +80,7 @@
 async def find_predecessor_grant(
     store: PrepaidStore, workspace: WorkspaceName, predecessor: Predecessor
 ) -> PredecessorGrant | None:
-    """Return a predecessor's grant; None if it had none.
+    """Return a predecessor's grant of a workspace; None if it has no grant row.
 
     Raises:
         PlatformError: The store cannot be reached, or the row is damaged.
@@ -100,8 +102,8 @@
     second reclaim finds nothing more to move.  Because the predecessor's row gets a new
     version, a delayed write of the predecessor fails its check.
 
-    The change does not write the budget row.  After a power cut of all VMs, all routers
-    would conflict there.
+    The change does not write the budget row, because after a power cut of all VMs the
+    writes of all routers would conflict there.
     """
     own_key = grant_row_key(workspace, router)
     grant = change_grant(rows.grant, drawn=found.left)
--- a/ebonyhold/prepaid/_transfers.py
+++ b/ebonyhold/prepaid/_transfers.py
@@ -1,10 +1,10 @@
 """Transfers of tokens between routers, without the store.
 
 The giver counts transferred tokens as used, within its limit, before it answers.  The
-receiver does not count them in its own grant row.  So transfers do not change what a
-successor can prove about either grant, and if the answer is lost, neither router can
-spend the tokens.  Both routers file a transfer in their rows with the next change of
-their grants.
+receiver does not add them to the drawn tokens of its own grant row, from which a
+successor computes the unused ones.  So each grant can still be reclaimed by its own row
+and limit, and if the answer is lost, neither router can spend the tokens.  Both routers
+file the transferred tokens in their rows with the next change of their grants.
 
 Transfers serve requests at a router that has no tokens of its own while the store is
 unreachable, or while all tokens of the budget are granted to routers.
@@ -22,11 +22,11 @@
 
 @frozen
 class Offer:
-    """Tokens that another router reports it can give.
+    """Another router's offer to give tokens.
 
     Attributes:
         peer: Name of the router's VM.
-        tokens: Number of tokens.
+        tokens: Number of tokens that the router can give.
     """
 
     peer: str
@@ -34,10 +34,10 @@
 
 
 class TransferPeers(Protocol):
-    """The other routers, as sources of transfers."""
+    """Calls to the other routers for transfers."""
 
     async def offers(self, workspace: WorkspaceName) -> Sequence[Offer]:
-        """Request offers from other routers and return those that arrive."""
+        """Request offers from other routers and return those that arrive in time."""
         ...
 
     async def transfer(
@@ -51,7 +51,8 @@
     """Return the routers to request tokens from, those with the most tokens first.
 
     The list is empty if all offers together are too small.  A partial transfer would
-    not serve the request, and would take tokens from routers with smaller requests.
+    not serve the request, and would take tokens that the givers' own, smaller requests
+    may need.
 
     >>> offers = [Offer("a", 10), Offer("b", 50), Offer("c", 30)]
     >>> choose_givers(offers, 70)
--- a/ebonyhold/prepaid/_treasury.py
+++ b/ebonyhold/prepaid/_treasury.py
@@ -26,7 +26,7 @@
 RETRY_FACTOR = 0.2
 """Fraction of the tick after which a change in doubt or a failed return is retried.
 
-Until the outcome of a change in doubt is known, nothing is drawn or returned.
+Retries are fast because nothing is drawn or returned while a change is in doubt.
 """
 
 RECOVERY_SPREAD: Seconds = 0.02
@@ -42,8 +42,9 @@
 """
 
 RECLAIM_ATTEMPTS = 40
-"""Attempts to reclaim one grant, one per tick (0.5 s), which outlast an outage.
+"""Maximum attempts to reclaim one grant.
 
+At one attempt per tick (0.5 s), they last longer than an outage of the store.
 An attempt with an unknown outcome can be repeated safely, because a reclaimed grant has
 no provably unused tokens left.
 """
@@ -63,18 +64,19 @@
         limits: The spending limits of this router's renewals.
         renew: Renews the limits in the store immediately.
         can_renew: Returns whether renewals currently reach the store.
-        peers: The other routers, for transfers; None if there are none to ask.
-        holders: The holders at other routers, for holds; None if there are none.
-        table: The holders of each workspace.
-        fleet_known: Returns whether enough is known of the other routers to draw
-            tokens before the first request.
+        peers: Calls to other routers for transfers; None if none can be called.
+        holders: Calls to the holders at other routers; None if none can be called.
+        table: Computes the holders of each workspace.
+        fleet_known: Returns whether enough other routers are known to compute the
+            holders, so that tokens may be drawn before the first request.
         options: The options of the prepaid budgets.
         accounts: The grants opened so far, by workspace.
-        paused_until: When the first round of each grant after an outage may start.
-        guard: Runs the return of one grant, so that its failure affects no other.
-        closing: Whether the process is shutting down.  No grant is opened or reclaimed
-            any more, because it would not be returned.
-        holds: Number of request holds created, for their identifiers.
+        paused_until: Earliest time of each grant's first round after an outage.
+        guard: Runs a function and returns whether it succeeded.  An unexpected error
+            in the return of one grant must not end the return of the others.
+        closing: Whether the process is shutting down.  No tokens are drawn or reclaimed
+            any more, because they might not be returned.
+        holds: Number of request holds created so far; numbers their identifiers.
     """
 
     router: RouterId
@@ -138,20 +140,24 @@
         return self.table.holders(workspace).own
 
     def sharers(self, workspace: WorkspaceName) -> int:
-        """Return how many routers share a workspace's budget."""
+        """Return how many routers draw on a workspace's budget: its holders or all."""
         holders = self.table.holders(workspace)
         return self.routers() if holders.whole_fleet else len(holders.names)
 
     def configured_budget(self, workspace: WorkspaceName) -> tuple[int, Tokens]:
         """Return the configuration's version and a workspace's prepaid tokens.
 
-        Version 0 for a workspace without a budget leaves its stored budget as it is.
+        Both are 0 if the workspace has no budget.  A stored budget then stays as it is,
+        because its version is never below 0.
         """
         version, prepaid = self.prepaid(workspace)
         return (version, prepaid) if prepaid is not None else (0, 0)
 
     def mean_typical(self) -> float:
-        """Return the mean typical request size of all workspaces; 0 if unknown."""
+        """Return the mean typical request size, in tokens, of the open grants.
+
+        Grants without a request so far are left out; the mean is 0 if all are.
+        """
         sizes = [g.demand.typical for g in self.accounts.values() if g.demand.typical]
         return sum(sizes) / len(sizes) if sizes else 0.0
 
@@ -160,7 +166,7 @@
         return {name: g.wanted_limit() for name, g in self.accounts.items()}
 
     async def run(self) -> None:
-        """Maintain all grants until cancelled."""
+        """Open grants ahead of requests and run the grants' rounds until cancelled."""
         while True:
             await anyio.sleep(self.pause())
             self.stock_unmet()
@@ -169,11 +175,11 @@
                     tasks.start_soon(self.maintain, grant)
 
     def stock_unmet(self) -> None:
-        """Open grants of workspaces that had no request yet, at random times.
+        """Open grants of held workspaces before their first request, at random times.
 
         Otherwise the first request of a workspace would find no tokens during an
-        outage.  Routers that start together share each budget, so their first draws
-        are spread over time.
+        outage.  The random times spread the first draws of routers that start together
+        and would otherwise conflict at each budget.
         """
         if self.closing or not self.fleet_known():
             return
@@ -185,16 +191,16 @@
                 self.account(workspace)
 
     def pause(self) -> Seconds:
-        """Return the time until the next round; shorter while a change is in doubt."""
+        """Return the delay before the next rounds: shorter if a change is in doubt."""
         in_doubt = any(grant.grant.in_doubt for grant in self.accounts.values())
         return self.options.tick * (RETRY_FACTOR if in_doubt else 1.0)
 
     async def maintain(self, grant: Account) -> None:
-        """Run one round of a grant; the next one retries what failed.
+        """Run one round of a grant, unless the grant is paused.
 
-        While renewals do not reach the store, no round is run.  After an outage all
-        routers have changes for each budget, so each grant waits a random time before
-        its first round.
+        A store error is logged, and the next round tries again.  No round is run while
+        renewals do not reach the store.  After an outage all routers have changes for
+        each budget, so each grant waits a random time before its first round.
         """
         now = anyio.current_time()
         if not self.can_renew():
@@ -210,10 +216,11 @@
             log.warning("budget round failed", extra=fields)
 
     async def reclaim(self, predecessor: Predecessor) -> bool:
-        """Reclaim the tokens that a predecessor provably left in all its grants.
+        """Reclaim the tokens that a predecessor provably left unused in its grants.
 
-        Only grants that the predecessor's limits name can have been used.  A grant that
-        it drew just before it was killed may be missing there and is not reclaimed.
+        Only grants that the predecessor's limits list can have been used.  A grant that
+        the predecessor drew just before it was killed may be missing there, and is not
+        reclaimed.
 
         Returns:
             False if a grant could not be reclaimed or the process is shutting down,
@@ -230,10 +237,15 @@
     async def reclaim_one(
         self, predecessor: Predecessor, workspace: WorkspaceName
     ) -> bool:
-        """Reclaim one grant of a predecessor; return whether that succeeded."""
+        """Reclaim one grant of a predecessor, and retry after store errors.
+
+        Returns:
+            False after `RECLAIM_ATTEMPTS` failed attempts or if the process is shutting
+            down, else True, also if the workspace has no budget any more.
+        """
         grant = self.account(workspace)
         if grant is None:
-            # The workspace has no budget any more, so its tokens are not needed.
+            # No request can use the tokens of a workspace without a budget.
             return True
         for _ in range(RECLAIM_ATTEMPTS):
             try:
@@ -245,14 +257,16 @@
         return False
 
     async def close(self, timeout: Seconds) -> bool:
-        """Return the available tokens of all grants, as far as the time allows.
+        """Return the available tokens of all open grants to their budgets.
+
+        Store errors are retried until the time limit, other errors are not.
 
         Args:
             timeout: Time limit, in seconds.
 
         Returns:
-            Whether all grants were returned.  The tokens of the others stay granted
-            until a successor reclaims them.
+            Whether the return of all grants succeeded.  Tokens that were not returned
+            stay granted until a successor reclaims them.
         """
         self.closing = True
         remaining = set(self.accounts)
@@ -278,13 +292,16 @@
         """Return one grant, and mark it as failed on an unexpected error.
 
         Without the guard, an error in one grant would end the return of all grants and
-        the shutdown, and cut the requests that are still open.
+        the orderly shutdown, and abort the requests that are still open.
         """
         if not await self.guard(partial(self.return_grant, grant, remaining)):
             failed.add(grant.workspace)
 
     async def return_grant(self, grant: Account, remaining: set[WorkspaceName]) -> None:
-        """Return one grant's tokens; the next round retries after a store error."""
+        """Return one grant's tokens and remove the grant from `remaining`.
+
+        After a store error the grant stays in `remaining`, and `close` tries again.
+        """
         try:
             await grant.close()
             remaining.discard(grant.workspace)
--- a/ebonyhold/prepaid/_types.py
+++ b/ebonyhold/prepaid/_types.py
@@ -17,7 +17,9 @@
     """The store operations that prepaid budgets use."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Read rows whose key starts with a prefix, ordered by key.
+        """Return rows whose key starts with `prefix`, ordered by key.
+
+        At most `limit` rows are returned, all with keys greater than `after`.
 
         Raises:
             UnavailableError: The store cannot be reached.
@@ -25,12 +27,13 @@
         ...
 
     async def commit(self, transaction: Transaction) -> Committed:
-        """Commit a transaction.
+        """Write all rows of a transaction if all its checks hold.
 
         Raises:
             ConflictError: A check failed; nothing was written.
             UnavailableError: The transaction had no effect.
-            UnknownOutcomeError: It may have taken effect, or may do so later.
+            UnknownOutcomeError: The transaction may have taken effect, or may do so
+                later.
         """
         ...
 
@@ -54,8 +57,8 @@
     """The result of a committed transaction.
 
     Attributes:
-        version: The version of the rows that it wrote.
-        now: The store's steady clock.
+        version: The version of the written rows.
+        now: The store's monotonic clock at the commit.
     """
 
     version: int
@@ -64,7 +67,7 @@
 
 @frozen
 class GrantRows:
-    """The two rows that one router changes, as last read or written.
+    """A workspace's budget row and one router's grant row, as last read or written.
 
     Attributes:
         budget: The workspace's budget.
@@ -85,13 +88,14 @@
 
     Attributes:
         transaction: The transaction.
-        after: Both rows after the commit, without their new versions.
+        after: Both rows after the commit, with 0 in place of their new versions.
         drawn: Tokens moved from the budget to the grant.
-        returned: Tokens moved back; they have already left the ledger.
-        billed: Charges that it files.
-        given: Tokens given to other routers that it files.
-        received: Tokens received from other routers that it files.
-        writes_budget: Whether it writes the budget row.
+        returned: Tokens moved back to the budget; they were removed from the ledger
+            before the change is sent.
+        billed: Charged tokens that are filed.
+        given: Tokens given to other routers that are filed.
+        received: Tokens received from other routers that are filed.
+        writes_budget: Whether the transaction writes the budget row.
     """
 
     transaction: Transaction
@@ -112,10 +116,12 @@
         horizon: Length of a store outage that a grant should cover.  The longest
             outages that operators reported last 9 s.
         tick: Interval between two periodic checks of a grant.
-        draw_timeout: How long a request waits for tokens from the store.
-        file_after: Maximum time before charges are filed, so that operators see
-            recent spending.
-        demand_time_constant: Time constant of the demand estimate.
+        draw_timeout: Maximum time that a request, or another router's request for a
+            transfer, waits for tokens from the store.
+        file_after: Time after the last filing from which a periodic check files new
+            charges even if no tokens are moved, so that operators see recent spending.
+        demand_time_constant: Time constant of the exponential decay in the demand
+            estimate.
     """
 
     horizon: Seconds = 9.0
