--- a/ebonyhold/money/_claims.py
+++ b/ebonyhold/money/_claims.py
@@ -31,7 +31,7 @@
 from ebonyhold.types import AttemptId
 
 MAX_CLAIM_TRIES = 5
-"""Maximum tries to write one claim when it conflicts with other writers."""
+"""Maximum tries to write one claim when the write conflicts with others."""
 
 
 @frozen
@@ -46,7 +46,11 @@
 class Claims:
     """Reads and writes claims for one incarnation.
 
-    A claim is a request's row that names the attempt that runs the request.
+    A claim is a request's row that names the attempt allowed to run the request.
+
+    Attributes:
+        router: Row of the incarnation; each claim is conditional on its version.
+        table: The table.
     """
 
     router: Seen[RouterRow]
@@ -72,12 +76,13 @@
     ) -> ClaimReading:
         """Write the claim, and return the reading on which it is based.
 
-        This is a newer reading if the row changed since `reading`. If the request has
-        completed in the meantime, its answer is to be replayed and no claim is written.
+        A newer reading is returned if the row changed since `reading`. If the request
+        has completed in the meantime, its answer is to be replayed and no claim is
+        written.
 
         Raises:
-            UnavailableError: The table cannot be reached; the claim may still take
-                effect later.
+            UnavailableError: The table cannot be reached, or all `MAX_CLAIM_TRIES`
+                tries failed; the claim may still take effect later.
             SealedError: This incarnation was sealed.
             KeyReusedError: The key was used before with another body.
             OutcomeUnknownError: The request may have run and must not run again.
@@ -109,7 +114,11 @@
     async def _reread(
         self, order: Order, reading: ClaimReading, attempt: AttemptId
     ) -> ClaimReading | None:
-        """Read the row after a failed commit; return None if the claim was written."""
+        """Read the row again after a commit without success.
+
+        Returns:
+            The new reading; None if the claim took effect.
+        """
         key = reading.request.key
         router, row = await self.table.read((self.router.key, key))
         if router is None or router.version != self.router.version:
@@ -131,7 +140,7 @@
 
 
 def raise_refusal(decision: ClaimDecision, order: Order) -> None:
-    """Raise the error for the caller if a request may not run."""
+    """Raise the error for the caller if the decision refuses the request."""
     if decision.answer is ClaimAnswer.KEY_REUSED:
         raise KeyReusedError(f"the key {order.request} came with another body before")
     if decision.answer is ClaimAnswer.UNKNOWN:
@@ -145,7 +154,7 @@
 
 
 def needs_claim(order: Order) -> bool:
-    """Return whether a request must not run without its claim in the table."""
+    """Return whether a request may run only with its claim in the table."""
     return order.claim_needed and order.kind is RequestKind.BOOKING
 
 
--- a/ebonyhold/money/_demand.py
+++ b/ebonyhold/money/_demand.py
@@ -1,4 +1,4 @@
-"""An estimate of the rate at which one workspace uses tokens."""
+"""Estimate of the token demand of one workspace at one router."""
 
 from __future__ import annotations
 
@@ -9,15 +9,22 @@
 from ebonyhold.types import Seconds, Tokens
 
 TIME_CONSTANT: Seconds = 1800.0
-"""Time after which a request counts for 1/e of a new one."""
+"""Time after which a request counts for 1/e (about a third) of a new one."""
 
 MIN_WINDOW: Seconds = 300.0
-"""Minimum time over which the demand is averaged, also for a first request."""
+"""Minimum time over which the demand is averaged, also soon after a first request."""
 
 
 @define
 class DemandEstimate:
-    """An exponentially weighted rate of the tokens that requests hold."""
+    """Estimates the demand in tokens per second and the typical request size.
+
+    Attributes:
+        weight: Sum of the needed tokens, in which each request decays with its age.
+        at: When `weight` was last updated.
+        since: When the first request was recorded; None before.
+        typical: Typical request size in tokens, as a moving average.
+    """
 
     weight: float = 0.0
     at: Seconds = 0.0
@@ -25,7 +32,7 @@
     typical: Tokens = 0
 
     def record(self, need: Tokens, now: Seconds) -> None:
-        """Record the tokens that a request needs."""
+        """Add a request to the estimate, whether or not the request gets its hold."""
         if self.since is None:
             self.since = now
         self.weight = self._decayed(now) + need
@@ -35,9 +42,9 @@
     def rate(self, now: Seconds) -> float:
         """Return the demand in tokens per second.
 
-        The weighted sum is divided by the weight of the time observed so far. Dividing
-        by the whole time constant would underestimate a workspace that was observed for
-        a short time only.
+        The weight is divided by the time constant, or by less if the first request was
+        recorded a short time ago. Dividing by the whole time constant would then
+        underestimate the demand.
         """
         observed_for = now - self.since if self.since is not None else 0.0
         span = TIME_CONSTANT * (
--- a/ebonyhold/money/_exchange.py
+++ b/ebonyhold/money/_exchange.py
@@ -1,4 +1,4 @@
-"""Transfers of tokens: giving them to other routers and requesting them."""
+"""Token transfers of one router: giving to other routers and requesting from them."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 
 @define(eq=False)
 class TokenExchange:
-    """Transfers of tokens between one incarnation and the other routers.
+    """Gives, requests and receives tokens for one incarnation.
 
     Attributes:
         self_id: Identifier of this incarnation.
-        peers: The link to the other routers, or None.
+        peers: The link to the other routers; None if there is none.
         grants: The grants of the workspaces in use.
-        grant_of: Returns a workspace's grant, and creates it if needed.
-        over: Whether this incarnation neither gives nor receives tokens any more.
-        received: Names of all transfers received; each is counted once.
-        serial: Number of transfers given.
+        grant_of: Returns a workspace's grant, and creates one if needed.
+        over: Returns whether this incarnation is sealed or draining, and so neither
+            gives nor receives tokens.
+        received: Names of all transfers received, so that a repeated one is ignored.
+        serial: Number of transfers given; numbers their names.
     """
 
     self_id: RouterId
@@ -50,17 +51,21 @@
     serial: int = 0
 
     def register_handlers(self) -> None:
-        """Start to answer requests of other routers."""
+        """Register the handlers for requests and transfers of other routers."""
         if self.peers is not None:
             self.peers.handle(TransferRequest, self.answer_request)
             self.peers.handle(TransferGiven, self.take_given)
 
     def count_routers(self) -> int:
-        """Return how many routers are believed alive, including this one."""
+        """Return the number of routers believed alive, including this one."""
         return 1 + (len(self.peers.alive()) if self.peers else 0)
 
     async def ask_peers(self, grant: WorkspaceGrant, shortage: Tokens) -> None:
-        """Request tokens from peers in turn until the shortage is covered."""
+        """Request tokens from peers in turn until the shortage is covered.
+
+        At most `max_peers` peers are tried, and none if the grant policy uses no
+        transfers. The shortage may remain.
+        """
         policy = find_grant_policy(self.policy().grants)
         if self.peers is None or not policy.asks_peers:
             return
@@ -92,7 +97,14 @@
     async def answer_request(
         self, peer: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Give tokens to another router, if this one can spare some."""
+        """Answer another router's request with a transfer.
+
+        If an earlier transfer to that router was lost, it is sent again, in place of a
+        new one. The answer is sent once the transfer is in the journal. The amount is 0
+        if there are no tokens to give, this incarnation is sealed or draining, or the
+        journal took longer than `give_timeout`; the next request then gets the transfer
+        that was journalled late.
+        """
         assert isinstance(message, TransferRequest)
         grant = self.grants.get(message.workspace)
         if grant is None or self.over():
@@ -111,9 +123,9 @@
     def _unreceived_transfer(
         self, grant: WorkspaceGrant, peer: RouterId, have: tuple[str, ...]
     ) -> GivenTransfer | None:
-        """Return a transfer given to this peer that it has not received.
+        """Return an unsettled transfer to a peer that the peer has not received.
 
-        Sending it again is safe, since a receiver counts a transfer once.
+        Sending the transfer again is safe, since a receiver counts each only once.
         """
         for given in grant.transfers.given.values():
             to = transfer_ends(given.transfer)[1]
@@ -138,13 +150,16 @@
     async def take_given(
         self, peer: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Receive tokens from another router; a repeated transfer is ignored."""
+        """Journal a transfer from another router, then add its tokens to the grant.
+
+        Repeated and empty transfers, and those for another incarnation, are ignored.
+        """
         assert isinstance(message, TransferGiven)
         transfer = message.transfer
         if not transfer or message.amount <= 0 or transfer in self.received:
             return None
-        # A transfer to another incarnation is not accepted: the router that recovers
-        # that incarnation settles it.
+        # A transfer to another incarnation is ignored. The router that recovers that
+        # incarnation settles the transfer, or the giver gets the tokens back.
         if transfer_ends(transfer) != (peer, self.self_id) or self.over():
             return None
         self.received.add(transfer)
--- a/ebonyhold/money/_grant_writer.py
+++ b/ebonyhold/money/_grant_writer.py
@@ -1,4 +1,4 @@
-"""Reading and writing one grant, one settlement at a time."""
+"""Reading and writing the rows of one grant, one settlement at a time."""
 
 from __future__ import annotations
 
@@ -44,10 +44,12 @@
         workspace: Name of the workspace.
         on_applied: Called once when a settlement has taken effect.
         on_discarded: Called once when a settlement can no longer take effect.
-        budget: The budget as last read or written.
-        in_doubt: The settlement whose outcome is unknown.
+        budget: The budget as last read or written; None if it has no row or was not
+            read.
+        in_doubt: The settlement that is planned and whose outcome is not known; None if
+            there is none.
         reads_started: Number of reads started.
-        last_read: Number of the last read that succeeded.
+        last_read: Number of the latest read that succeeded; 0 before.
     """
 
     workspace: WorkspaceName
@@ -94,7 +96,7 @@
     def resolve(self, rows: GrantRows) -> bool:
         """Apply the settlement in doubt if it took effect; return whether it did.
 
-        The sequence number of the grant's row shows whether it took effect.
+        The sequence number of the grant's row shows whether the settlement took effect.
         """
         in_doubt = self.in_doubt
         grant = rows.grant.value or GrantRow()
@@ -104,7 +106,7 @@
         return True
 
     def plan(self, rows: GrantRows, change: LedgerChange) -> Settlement:
-        """Plan a settlement; it is in doubt until its outcome is known."""
+        """Plan a settlement, and record it as in doubt until its outcome is known."""
         self.in_doubt = plan_settlement(
             self.journal.self_id,
             self.journal.router,
@@ -129,7 +131,8 @@
         """
         if plan.returned:
             # The returned tokens may come from holds whose outcomes are not in the
-            # journal yet. If the router crashed, recovery would charge those holds.
+            # journal yet. If the router crashed after the return, recovery would charge
+            # these holds, though their tokens are back in the budget.
             await self.journal.flush()
         try:
             await self.table.commit(plan.transaction)
--- a/ebonyhold/money/_incarnations.py
+++ b/ebonyhold/money/_incarnations.py
@@ -1,4 +1,4 @@
-"""Successive incarnations of a router: each sealed one is replaced by a new one."""
+"""Successive incarnations of a router: a sealed one is replaced by a new one."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
 
     Attributes:
         current: Manager of the incarnation that serves requests.
-        renewals: How often an incarnation was replaced.
+        renewals: Number of sealed incarnations that were replaced.
+        renewed: Set and replaced at each renewal, to wake waiting requests.
+        stopping: Whether `drain` was called; no incarnation is replaced after that.
     """
 
     def __init__(
@@ -82,9 +84,10 @@
         self.renewed = anyio.Event()
 
     async def begin(self, order: Order) -> Permit | Replay:
-        """Begin a request, under the next incarnation if this one is sealed.
+        """Begin a request; if the incarnation is sealed, wait and use the next one.
 
         Raises:
+            UnavailableError: No new incarnation was registered within `RENEW_TIMEOUT`.
             EbonyholdError: As `Treasury.begin` does.
         """
         manager = self.current
@@ -112,7 +115,10 @@
     async def finish(
         self, permit: Permit, outcome: Outcome, *, durable_within: float = 0.0
     ) -> None:
-        """Settle a request; one of a sealed incarnation is settled by recovery."""
+        """Settle a request, unless its incarnation was sealed.
+
+        A request of a sealed incarnation is settled by the router that recovers it.
+        """
         await self.current.finish(permit, outcome, durable_within=durable_within)
 
     async def drain(self) -> None:
--- a/ebonyhold/money/_interface.py
+++ b/ebonyhold/money/_interface.py
@@ -1,4 +1,4 @@
-"""The interface through which the request path obtains permits and settles requests."""
+"""The interface by which the request path obtains permits and settles requests."""
 
 from __future__ import annotations
 
@@ -52,8 +52,7 @@
     Attributes:
         order: Parameters of the request.
         attempt: The attempt identifier to send to the backend server.
-        unbilled: Whether the request has been billed already, so that this repeat is
-            free.
+        unbilled: Whether the request was billed before, so that this repeat is free.
     """
 
     order: Order
@@ -63,7 +62,7 @@
 
 @frozen
 class Replay:
-    """The kept answer of a request that completed earlier; it is not billed again."""
+    """The kept answer of a request that completed earlier and is not billed again."""
 
     row: RequestRow
     answer: KeptAnswer
@@ -78,11 +77,11 @@
         """Cancel an attempt, prevent its later start, and return its status.
 
         The status is `AttemptState.UNKNOWN` if the server cannot be reached or cannot
-        determine it. `AttemptState.NEVER_RAN` also means that the attempt can never run
-        later. A server may return it only if it refuses the closed attempt until it
-        restarts, or if the attempt names another boot of the server. Otherwise a router
-        that was paused between its intent and its dispatch could run the attempt after
-        the server was restarted.
+        determine the status. `AttemptState.NEVER_RAN` also means that the attempt can
+        never run later. A server may return `NEVER_RAN` only if it refuses the closed
+        attempt until it restarts, or if the attempt names another boot of the server.
+        Otherwise a router that was paused between its intent and its dispatch could run
+        the attempt after the server was restarted.
         """
         ...
 
--- a/ebonyhold/money/_journal.py
+++ b/ebonyhold/money/_journal.py
@@ -41,11 +41,11 @@
 from ebonyhold.types import RouterId
 
 MAX_APPEND_TRIES = 4
-"""Maximum tries of one append to the table, and then to the object store."""
+"""Maximum tries of one append at the table, and after that at the object store."""
 
 
 class JournalTarget(Enum):
-    """Where the last append was written; `NOWHERE` if it failed."""
+    """Where the last append was written; `NOWHERE` if both targets failed."""
 
     TABLE = "table"
     OBJECTS = "objects"
@@ -60,9 +60,9 @@
         entries: The entries, which are appended together.
         retry: Whether the entries stay queued after a failed append. Intents do not, so
             that a request is refused promptly and does not wait until an outage ends.
-        done: Set when the entries are durable or have failed.
-        error: Why the entries failed.
-        on_done: Called when the entries are durable or have failed.
+        done: Set when the entries are durable, were withdrawn or have failed.
+        error: Why the entries failed; None if they did not.
+        on_done: Called when `done` is set.
     """
 
     entries: tuple[JournalEntry, ...]
@@ -72,14 +72,14 @@
     on_done: Callable[[], None] | None = None
 
     def finish(self, error: Exception | None = None) -> None:
-        """Record the result and call `on_done`."""
+        """Set `done`, with the error if the entries failed, and call `on_done`."""
         self.error = error
         self.done.set()
         if self.on_done is not None:
             self.on_done()
 
     async def wait(self) -> None:
-        """Wait until the entries are durable.
+        """Wait until the entries are durable or were withdrawn.
 
         Raises:
             UnavailableError: Neither the table nor the object store could be written.
@@ -92,14 +92,14 @@
 
 @frozen
 class _Pin:
-    """Name of a run or transfer that keeps its segments from being deleted."""
+    """A run or transfer, by name, whose segments must not be deleted yet."""
 
     name: str
 
 
 @define(eq=False)
 class Journal:
-    """Journal of one incarnation.
+    """Journal of one incarnation, in the table or else in the object store.
 
     Entries are appended in the order in which they were queued, and no append starts
     before the previous one is durable or has failed. Recovery relies on that order:
@@ -109,9 +109,13 @@
         self_id: Identifier of this incarnation.
         router: Row of the incarnation; each append to the table checks its version.
         target: Where the last append was written.
-        sealed: Set when another router has sealed this journal, or when it is closed.
+        sealed: Set when another router is found to have sealed this journal, or when
+            the incarnation is closed.
         appended: Number of entries made durable.
         segments: Number of segments written, by target.
+        pins: Names of the runs and transfers that keep each segment in the table.
+        pinned: Numbers of the segments that each run or transfer keeps.
+        deletable: Numbers of the segments that the next appends may delete.
         random: Source of random delays for all tasks of this incarnation.
     """
 
@@ -143,13 +147,12 @@
     def enqueue(
         self, *entries: JournalEntry, retry: bool = True, lazy: bool = False
     ) -> PendingAppend:
-        """Queue entries; the returned append reports when they are durable.
+        """Queue entries; wait on the returned append until they are durable.
 
         Args:
             entries: The entries, which are appended together.
             retry: Whether they stay queued after a failed append.
-            lazy: Whether they may wait for other entries, up to the outcome delay, and
-                be withdrawn in the meantime.
+            lazy: Whether they may wait for other entries, up to the outcome delay.
         """
         append = PendingAppend(entries, retry)
         if self.sealed.is_set():
@@ -162,7 +165,7 @@
         return append
 
     def withdraw(self, append: PendingAppend) -> bool:
-        """Remove entries that are still queued; return False if they no longer are.
+        """Remove entries from the queue; return False if they are not queued any more.
 
         An outcome need not be written once its bill is in the table.
         """
@@ -173,7 +176,7 @@
         return True
 
     async def flush(self) -> None:
-        """Wait until all entries queued so far are durable.
+        """Wait until all entries queued so far are durable or have failed.
 
         Raises:
             SealedError: The journal is sealed.
@@ -193,7 +196,7 @@
                 self.deletable.append(number)
 
     def table_keys(self) -> list[str]:
-        """Return the keys of the segments that are still in the table."""
+        """Return the keys of this journal's segments that are still in the table."""
         numbers = sorted((*self.pins, *self.deletable))
         return [segment_key(self.self_id, number) for number in numbers]
 
@@ -229,7 +232,7 @@
                 append.finish()
 
     def seal(self, batch: list[PendingAppend], error: SealedError) -> None:
-        """Fail all appends, because this incarnation was sealed."""
+        """Mark this journal as sealed, and fail the given and all queued appends."""
         self.sealed.set()
         for append in (*batch, *self.queue):
             append.finish(error)
@@ -297,8 +300,8 @@
             else:
                 written = segment
             if written is None:
-                # The lost call may still take effect. Retrying with the same number is
-                # safe, because a number can be written only once.
+                # The commit may still take effect later. Retrying with the same number
+                # is safe, because each number can be written only once.
                 continue
             self.table_number = number + 1
             self._pin(number, written)
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -31,7 +31,7 @@
 from ebonyhold.types import RequestId, Tokens, WorkspaceName
 
 MAX_TRIES = 30
-"""Maximum tries of one change; routers that draw from the same budget conflict."""
+"""Maximum tries of one change, which conflicts with routers that change the budget."""
 
 
 Rows: TypeAlias = tuple[Row | None, ...]
@@ -46,8 +46,8 @@
 ) -> bool:
     """Commit a planned change of some rows, and retry on conflicts with other writers.
 
-    After an unknown outcome the rows are read again. The plan finds its own row there
-    if the change took effect, and returns None.
+    After an unknown outcome the rows are read and planned again. If the change took
+    effect, the plan finds the change in the rows and returns None.
 
     Args:
         table: The table.
@@ -56,10 +56,10 @@
         label: Name of the change in error messages.
 
     Returns:
-        Whether this call made the change; False if it had been made before.
+        Whether this call made the change; False if the change had been made before.
 
     Raises:
-        ValueError: The plan refuses the change.
+        ValueError: The change is not allowed; raised by `plan`.
         PlatformError: The table could not be written; try again.
     """
     in_doubt = False
@@ -84,7 +84,7 @@
     """Add prepaid tokens to a workspace's budget, once for each key.
 
     Returns:
-        Whether this call made the top-up; False if it had been made before.
+        Whether this call made the top-up; False if an earlier call with the key did.
 
     Raises:
         ValueError: The amount is not above zero, or the key was used for another
@@ -114,7 +114,7 @@
     """Return a part of a request's charge to the budget, once for each key.
 
     Returns:
-        Whether this call made the refund; False if it had been made before.
+        Whether this call made the refund; False if an earlier call with the key did.
 
     Raises:
         ValueError: The request has no bill, too little of its charge is left, or the
@@ -141,7 +141,9 @@
 async def rule(
     table: Table, workspace: WorkspaceName, request: RequestId, *, ran: bool
 ) -> bool:
-    """Settle a request whose outcome is unknown, as an operator decided.
+    """Settle a billed request whose outcome is unknown, as an operator decided.
+
+    The charge is kept if the request ran, else it is returned to the budget.
 
     Args:
         table: The table.
--- a/ebonyhold/money/_options.py
+++ b/ebonyhold/money/_options.py
@@ -12,32 +12,33 @@
     """Intervals, timeouts and batch sizes; times are in seconds.
 
     Attributes:
-        filing_interval: Maximum time a bill waits for other bills of its workspace, to
-            be filed in the same transaction.
-        outcome_delay: Maximum time a chat's outcome waits for other journal entries. It
-            exceeds the filing interval because an outcome need not be written if its
-            bill is filed first. If the router crashes in the meantime, recovery looks
-            up the attempt at its engine.
+        filing_interval: Maximum time for which bills of a workspace are collected, to
+            be filed in one transaction.
+        outcome_delay: Maximum time a chat's outcome waits for other journal entries.
+            The delay exceeds the filing interval because an outcome need not be written
+            if its bill is filed first. If the router crashes before either, recovery
+            looks up the attempt at its engine.
         bills_per_transaction: Maximum number of bills in one transaction.
         resize_interval: Interval between checks of a grant's size if no request needs
             tokens.
-        evict_after: Idle time after which a workspace's grant is returned and its state
-            is discarded.
+        evict_after: Time without requests after which a workspace's grant is returned
+            and its state is discarded.
         table_backoff: Time for which the journal does not use the table after a failed
             append.
         conflict_delay: Maximum random delay after a settlement conflicted with another
             writer.
-        min_retry_delay: Delay after a first failure; it doubles with each further one.
-            A router that drains also polls its grants at this interval.
+        min_retry_delay: Delay after a first failure; doubled with each further one. A
+            router that drains also polls its grants at this interval.
         max_retry_delay: Maximum delay between retries.
         acquire_timeout: Maximum time a request waits for tokens.
         peer_timeout: Maximum time to wait for one peer's answer.
         recheck_interval: Interval at which the budget is read again while requests wait
-            for others to return tokens.
-        max_peers: Maximum number of peers asked for tokens in one round.
-        give_timeout: Maximum time a giver waits until a transfer is in its journal.
-        deletions_per_append: Maximum number of settled segments that one append
-            deletes.
+            for tokens that other requests hold.
+        max_peers: Maximum number of peers from which tokens are requested in one round.
+        give_timeout: Maximum time a giver waits until a transfer is in its journal;
+            after that it answers that it gives nothing.
+        deletions_per_append: Maximum number of settled segments that one append to the
+            table deletes.
     """
 
     filing_interval: Seconds = 1.0
--- a/ebonyhold/money/_recovery.py
+++ b/ebonyhold/money/_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of another incarnation's work; several routers may do it at once."""
+"""Recovery of an incarnation by other routers, of which several may do so at once."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 @frozen
 class UnsettledRun:
-    """A run whose outcome is unknown; its hold is kept until the outcome is known."""
+    """A run of a request whose outcome is unknown, so that its hold is kept."""
 
     workspace: WorkspaceName
     request: str
@@ -80,12 +80,12 @@
 
     Attributes:
         router: The incarnation that was recovered.
-        closed: Whether everything of the incarnation is settled.
+        closed: Whether the incarnation is closed, with no run unsettled.
         billed: Number of bills that this recovery filed.
-        paid: Tokens of those bills.
+        paid: Tokens charged by these bills.
         returned: Tokens that were returned to the budgets.
-        stranded: Tokens that cannot be returned yet.
-        unsettled: Runs whose outcome is unknown.
+        stranded: Tokens of unsettled runs and pending transfers, not returned yet.
+        unsettled: Runs of requests whose outcome is unknown.
     """
 
     router: RouterId
@@ -115,8 +115,9 @@
     async def recover(self, router: RouterId) -> RecoveryReport:
         """Seal an incarnation, file its bills and return its tokens.
 
-        It may be called again, and by several routers at once: each write is
-        conditional on the rows that were read.
+        The incarnation is closed unless the outcome of a run is unknown. The method may
+        be called again, and by several routers at once: each write is conditional on
+        the rows that were read.
 
         Raises:
             PlatformError: The table or the object store could not be reached; call
@@ -143,9 +144,9 @@
     async def rule(
         self, router: RouterId, attempt: AttemptId, state: RequestState, charge: Tokens
     ) -> None:
-        """Settle a run whose outcome is unknown, as an operator decided.
+        """File the bill of a run whose outcome is unknown, as an operator decided.
 
-        Call `recover` again afterwards to return the rest of the hold.
+        Call `recover` again afterwards to return the rest of the run's hold.
 
         Raises:
             ValueError: The router is not sealed, or its journal has no such open run.
@@ -192,7 +193,7 @@
     async def _announce_given(
         self, reading: JournalReading
     ) -> dict[WorkspaceName, Tokens]:
-        """Write unsettled given transfers to the table.
+        """Write given transfers to the table, and end those that were lost.
 
         Returns:
             The tokens of transfers that are still pending, by workspace.
@@ -241,7 +242,9 @@
         return False
 
     async def sweep(self) -> int:
-        """Return pending transfers that closed routers never received to the budgets.
+        """End pending transfers that can never arrive, and return their tokens.
+
+        A transfer can never arrive if its receiver is closed without having settled it.
 
         Returns:
             The number of transfers that are still pending.
@@ -278,9 +281,10 @@
         return bills
 
     async def _is_settled(self, intent: Intent) -> bool:
-        """Return whether the run's final row is filed.
+        """Return whether the request's row has the final state of this run.
 
-        The journal may then lack its outcome, because settled segments are deleted.
+        The journal may then lack the run's outcome, because settled segments are
+        deleted.
         """
         key = request_key(intent.workspace, intent.request)
         (raw,) = await self.table.read((key,))
@@ -373,7 +377,7 @@
                 assert grant.value is not None
                 report.returned += max(grant.value.held - reserved, 0)
                 return
-        raise UnavailableError(f"{key} could not be returned")
+        raise UnavailableError(f"the tokens of {key} could not be returned")
 
     async def _close(self, router: Seen[RouterRow]) -> None:
         transaction = close_transaction(router, time.time())
--- a/ebonyhold/money/_registration.py
+++ b/ebonyhold/money/_registration.py
@@ -30,16 +30,19 @@
 from ebonyhold.types import RouterId
 
 MAX_TRIES = 5
-"""Maximum tries of one write when its outcome is unknown."""
+"""Maximum tries of one write that conflicts or whose outcome is unknown."""
 
 DELETE_BATCH = 100
-"""Maximum number of grants' rows that one transaction deletes."""
+"""Maximum number of grant rows that one transaction deletes."""
 
 
 async def register(
     table: Table, router: RouterId, domain: str, address: str
 ) -> Seen[RouterRow]:
-    """Write an incarnation's row and return it; its later writes check the version.
+    """Write an incarnation's row and return it.
+
+    Later writes of the incarnation check the version of that row, so they fail once
+    another router has sealed it.
 
     Raises:
         PlatformError: The table could not be written.
@@ -64,6 +67,9 @@
 async def unregister(table: Table, journal: Journal) -> None:
     """Close an incarnation that has filed all bills and returned all tokens.
 
+    Its journal segments and empty grant rows are deleted, and no further entry can be
+    queued in its journal.
+
     Raises:
         PlatformError: The table could not be written.
     """
@@ -84,10 +90,10 @@
 
 
 async def _delete_empty_grants(table: Table, journal: Journal) -> None:
-    """Delete the rows of grants that hold no tokens.
+    """Delete the incarnation's grant rows that count no tokens.
 
-    A grant that still holds tokens gave them to a router that has not settled the
-    transfer. Its row is kept until the transfer has ended.
+    Tokens that a row still counts belong to a transfer that the receiver has not
+    settled, so this row is kept until the transfer has ended.
     """
     prefix = grant_prefix(journal.self_id)
     after = ""
--- a/ebonyhold/money/_retention.py
+++ b/ebonyhold/money/_retention.py
@@ -1,4 +1,4 @@
-"""Deletion of rows that are older than the retention period of the document."""
+"""Deletion of rows older than the retention period set in the document."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from ebonyhold.types import RouterId, Seconds, WorkspaceName
 
 BILL_BATCH = 50
-"""Maximum number of bills that one transaction deletes."""
+"""Maximum number of request rows checked and deleted in one transaction."""
 
 T = TypeVar("T")
 
@@ -51,7 +51,7 @@
 class Retention:
     """Deletes old bills, ended transfers and closed routers.
 
-    Several routers may run it at once: each deletion is conditional on the row being
+    Several routers may do so at once: each deletion is conditional on the row being
     unchanged since it was read.
 
     Attributes:
@@ -67,9 +67,9 @@
     async def sweep(self, now: float) -> RetentionReport:
         """Delete the rows that have expired.
 
-        A retry of a request whose row was deleted counts as a new request. A booking
-        therefore runs at most once only while its row is kept, and callers must not
-        repeat a key after that.
+        A retry of a request whose row was deleted counts as a new request. So a booking
+        may run again after the retention period, and callers must not repeat its key.
+        Rows whose deletion conflicts with another writer are left to the next sweep.
 
         Args:
             now: Seconds since the epoch.
@@ -119,10 +119,10 @@
     async def _transfers(
         self, routers: dict[RouterId, Seen[RouterRow]], report: RetentionReport
     ) -> None:
-        """Delete ended transfers of which both routers are closed.
+        """Delete ended transfers whose giver and receiver are both closed.
 
-        While one of them is open, its journal may name the transfer, and only the
-        transfer's row shows that it has been settled.
+        While one of these routers is open, its journal may list the transfer, and only
+        the transfer's row shows that the transfer has ended.
         """
         async for row in self._scan(TRANSFER_PREFIX, TransferRow):
             transfer = row.value
--- a/ebonyhold/money/_sealing.py
+++ b/ebonyhold/money/_sealing.py
@@ -31,7 +31,7 @@
 from ebonyhold.types import RouterId
 
 MAX_TRIES = 20
-"""Maximum tries to seal the router's row when it conflicts with other writers."""
+"""Maximum tries to seal a router's row when the write conflicts with others."""
 
 PAGE_SIZE = 500
 """Maximum number of keys listed by one call to the object store."""
@@ -67,8 +67,8 @@
         """Prevent further writes of the incarnation, in the table and the object store.
 
         Returns:
-            The incarnation's row. The object store is sealed only if the row is sealed:
-            not if it is closed or absent.
+            The incarnation's row. If the row is closed or absent, there is nothing to
+            seal, and the journal in the object store is left as it is.
 
         Raises:
             PlatformError: The table or the object store could not be reached.
@@ -89,8 +89,9 @@
     async def _seal_objects(self) -> None:
         """Write a seal at the first free number of the journal in the object store.
 
-        The incarnation numbers its segments without gaps. An append still in flight
-        therefore either was written before or uses the number that the seal takes.
+        The incarnation numbers its segments without gaps. So an append in flight either
+        takes that number first, and the seal takes the next one, or fails because of
+        the seal.
         """
         prefix = journal_prefix(self.router)
         keys = await self._object_keys()
@@ -117,9 +118,9 @@
                 return keys
 
     async def read(self) -> JournalReading:
-        """Read the segments in the table and the object store.
+        """Read all segments of the journal, in the table and the object store.
 
-        No segment can be added once both are sealed.
+        Call `seal` first: no segment can be added after that.
 
         Raises:
             UnavailableError: The table or the object store could not be reached.
@@ -136,8 +137,8 @@
     async def delete(self) -> None:
         """Delete the journal of a closed incarnation, except for the seal.
 
-        The seal is kept because a router that resumes after a long pause would
-        otherwise find its next number in the object store free, and append there.
+        The seal is kept because a router that resumes after a long pause could
+        otherwise write its next segment to the object store, and dispatch requests.
 
         Raises:
             PlatformError: The table or the object store could not be reached.
--- a/ebonyhold/money/_status.py
+++ b/ebonyhold/money/_status.py
@@ -1,4 +1,4 @@
-"""Status of a router's grants and journal, for operators."""
+"""Status of a router's grants, bills and journal, for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,18 @@
 
 @frozen
 class GrantStatus:
-    """Status of one grant."""
+    """Status of one grant, in tokens.
+
+    Attributes:
+        workspace: Name of the workspace.
+        available: Tokens that are free for new holds.
+        held: Tokens held by running requests.
+        unfiled: Charged tokens whose bills are not in the table yet.
+        given: Tokens given to other routers, not settled in the table yet.
+        received: Tokens received from other routers, not settled in the table yet.
+        budget: The budget as last read or written; None if unknown.
+        reachable: Whether the last call to the table succeeded.
+    """
 
     workspace: WorkspaceName
     available: Tokens
@@ -30,7 +41,7 @@
 
     Attributes:
         router: Identifier of the incarnation.
-        sealed: Whether another router has recovered it.
+        sealed: Whether another router has sealed the incarnation.
         target: Where the journal's last append was written.
         unfiled: Number of bills that are not in the table yet.
         running: Number of requests that have a hold.
--- a/ebonyhold/money/_transfer_book.py
+++ b/ebonyhold/money/_transfer_book.py
@@ -1,4 +1,4 @@
-"""Transfers of one workspace's tokens between routers, until they are settled."""
+"""Unsettled transfers of one workspace's tokens to and from one router."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 from ebonyhold.types import Tokens, WorkspaceName
 
 MAX_RECEIPTS = 32
-"""Maximum number of received transfers listed in a request for tokens."""
+"""Maximum number of received transfers remembered, to be listed in requests.
+
+From the list a giver sees which of its transfers were lost, and sends these again.
+"""
 
 MAX_TRIES = 8
 """Maximum tries of one settlement that conflicts with other writers."""
@@ -69,7 +72,8 @@
         received: Received transfers that are not settled, by name.
         receipts: Names of the last transfers received, settled or not.
         given: Given transfers that are not settled, by name.
-        announced: Whether the transfers given by this closing router are in the table.
+        checked_at: When the given transfers were last checked.
+        announced: Whether `announce` has written all given transfers to the table.
     """
 
     workspace: WorkspaceName
@@ -93,7 +97,7 @@
         return given
 
     def receive(self, transfer: str, amount: Tokens) -> None:
-        """Add tokens whose receipt is in the journal."""
+        """Add received tokens to the ledger; their receipt must be in the journal."""
         self.ledger.receive(amount)
         self.received[transfer] = ReceivedTransfer(transfer, amount)
         self.receipts.append(transfer)
@@ -101,8 +105,10 @@
     async def settle(self) -> None:
         """Settle received transfers, and check whether given ones have ended.
 
+        Given transfers are checked at most once per `resize_interval`.
+
         Raises:
-            PlatformError: The table could not be reached.
+            PlatformError: The table could not be reached or kept conflicting.
             SealedError: This incarnation was sealed.
         """
         for received in list(self.received.values()):
@@ -141,7 +147,11 @@
         raise UnavailableError(f"transfer {received.transfer} met other writers")
 
     async def _settle_all_given(self) -> None:
-        """Check which given transfers are settled or can never be settled."""
+        """Check all given transfers, unless they were checked a short time ago.
+
+        Transfers that the receiver has settled are dropped. Tokens that it can never
+        settle, because it is closed, become available again.
+        """
         now = anyio.current_time()
         if now < self.checked_at + self.options.resize_interval:
             return
@@ -150,10 +160,10 @@
             await self._settle_given(given)
 
     async def announce(self) -> None:
-        """Write unsettled given transfers to the table, where a later sweep finds them.
+        """Write unsettled given transfers to the table, where a later sweep ends them.
 
         Raises:
-            PlatformError: The table could not be reached.
+            PlatformError: The table could not be reached or kept conflicting.
         """
         for given in self.given.values():
             key = transfer_key(given.transfer)
--- a/ebonyhold/money/_treasury.py
+++ b/ebonyhold/money/_treasury.py
@@ -40,7 +40,7 @@
 
 @frozen
 class _Run:
-    """A request that has its hold and has not ended."""
+    """A run of a request that has its hold and has not ended."""
 
     intent: Intent
     hold: Tokens
@@ -53,8 +53,10 @@
     Attributes:
         me: Identifier of the incarnation.
         accounts: The grants of the workspaces in use; idle ones are discarded.
-        runs: Requests that have a hold and have not ended, by run.
+        runs: Runs of requests that have a hold and have not ended, by name.
         journal: The journal; None until `open` has registered the incarnation.
+        draining: Whether `drain` was called; new requests are refused.
+        serial: Number of runs started; numbers their names.
     """
 
     def __init__(
@@ -89,14 +91,14 @@
 
     @property
     def sealed(self) -> bool:
-        """Whether another router has recovered this incarnation."""
+        """Whether this incarnation was sealed by another router, or closed."""
         return self.journal is not None and self.journal.sealed.is_set()
 
     async def open(self) -> None:
         """Register the incarnation in the table.
 
-        No requests are served before, because other routers can recover an incarnation
-        only if its row is in the table.
+        Requests are refused before that, because other routers can recover an
+        incarnation only if its row is in the table.
 
         Raises:
             PlatformError: The table could not be written.
@@ -118,7 +120,10 @@
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run the tasks until the incarnation is sealed or closed."""
+        """Run the tasks of journal and grants until the journal is sealed or closed.
+
+        Requests that then still wait for a hold are refused.
+        """
         journal = self._journal()
         self._exchange().register_handlers()
         try:
@@ -131,8 +136,8 @@
                 await journal.sealed.wait()
                 tasks.cancel_scope.cancel()
         finally:
-            # Requests may still be settled while the daemon stops. Their grants must
-            # not start tasks in a task group that has ended.
+            # Requests may still be settled while the daemon stops. The grants that they
+            # open must not start tasks in a task group that has ended.
             self.tasks = None
         self._fail_all()
 
@@ -212,8 +217,8 @@
             if reading is not None and self.claims is not None:
                 reading = await self._write_claim(order, reading, permit)
         except BaseException:
-            # Nothing was dispatched, but the intent may be durable. Its outcome is
-            # queued behind it before the tokens can be held again.
+            # Nothing was dispatched, but the intent may be durable. The outcome is
+            # queued behind the intent before the tokens can be held again.
             self._end_not_run(permit)
             raise
         if reading is not None and reading.decision.kept is not None:
@@ -257,13 +262,16 @@
     async def finish(
         self, permit: Permit, outcome: Outcome, *, durable_within: float = 0.0
     ) -> None:
-        """Settle the request: release its hold and queue its bill.
+        """Settle the request: release its hold and queue its outcome and bill.
+
+        Nothing is done if the incarnation was sealed: the router that recovers it
+        settles the request.
 
         Args:
             permit: The last permit of the request.
             outcome: How the request ended.
             durable_within: Maximum time to wait until the outcome is in the journal, in
-                seconds. The outcome is queued in any case.
+                seconds. A timeout is no error, as the outcome stays queued.
         """
         append = self._end(permit, outcome)
         if append is None or durable_within <= 0:
@@ -278,9 +286,9 @@
             return None
         bill = make_bill(run.intent, outcome)
         urgent = run.intent.kind is RequestKind.BOOKING
-        # Recovery can look up a chat at its engine, so its outcome may wait. That a
-        # request did not run, and what a service answered, may be known to this router
-        # only, so these outcomes are written at once.
+        # Recovery can look up a chat at its engine, so a chat's outcome may wait. Other
+        # outcomes are written at once: only this router may know that a request did not
+        # run, or the answer of a service.
         chat = run.intent.kind is RequestKind.CHAT
         lazy = chat and outcome.state is not RequestState.NOT_RUN
         entry = evolve(outcome, charge=bill.charge)
@@ -317,8 +325,8 @@
     async def drain(self) -> None:
         """File all bills, return all unspent tokens and close the incarnation.
 
-        Call it after all requests have ended. If it fails or is cancelled, another
-        router recovers the rest.
+        Call this method after all requests have ended. If it fails or is cancelled,
+        another router recovers the rest. There is no time limit.
 
         Raises:
             PlatformError: The incarnation's row could not be closed in the table.
@@ -337,7 +345,11 @@
         await unregister(self.table, journal)
 
     def status(self) -> MoneyStatus:
-        """Return the status for operators."""
+        """Return the status for operators.
+
+        Raises:
+            UnavailableError: The incarnation is not registered yet.
+        """
         journal = self._journal()
         grants = tuple(grant_status(grant) for grant in self.accounts.values())
         return MoneyStatus(
--- a/ebonyhold/money/_upkeep.py
+++ b/ebonyhold/money/_upkeep.py
@@ -19,21 +19,22 @@
 logger = logging.getLogger(__name__)
 
 SWEEP_INTERVAL: Seconds = 300.0
-"""Mean time between sweeps of pending transfers."""
+"""Mean time between two sweeps, which end pending transfers that were lost."""
 
 DELETE_INTERVAL: Seconds = 6 * 3600.0
-"""Mean time between deletions of expired rows, each of which reads every bill."""
+"""Mean time between two deletions of expired rows, which each read every bill."""
 
 JOB = "upkeep of the money"
-"""Key for choosing the responsible router; all routers must use the same one."""
+"""Key by which the responsible router is chosen; all routers must use the same key."""
 
 
 @define
 class Upkeep:
-    """Sweeps transfers and deletes expired rows, on one responsible router.
+    """Returns the tokens of lost transfers and deletes expired rows.
 
-    If two routers both consider themselves responsible, the work is done twice without
-    harm, because every write is conditional on the rows that were read.
+    Only one responsible router does so. If two routers both consider themselves
+    responsible, the second finds the work done: every write is conditional on the rows
+    that were read.
 
     Attributes:
         table: The table.
@@ -58,7 +59,10 @@
     delete_at: Seconds = 0.0
 
     async def run(self) -> None:
-        """Sweep and delete at intervals until cancelled."""
+        """Call `run_once` at random intervals until cancelled, if responsible.
+
+        A failure is logged, and the next interval tries again.
+        """
         self.delete_at = anyio.current_time() + DELETE_INTERVAL * self.rng.random()
         while True:
             await anyio.sleep(SWEEP_INTERVAL * self.rng.uniform(0.5, 1.5))
@@ -73,7 +77,7 @@
                 )
 
     async def run_once(self) -> None:
-        """Sweep transfers, and delete expired rows if that is due.
+        """End lost transfers, and delete expired rows if `delete_at` has passed.
 
         Raises:
             PlatformError: The table or the object store could not be reached; `run`
--- a/ebonyhold/money/_verify.py
+++ b/ebonyhold/money/_verify.py
@@ -1,4 +1,4 @@
-"""Checks that bills, grants, top-ups, refunds and budgets add up."""
+"""Checks that budgets match the sums of bills, grants, top-ups and refunds."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @frozen
 class Discrepancy:
-    """A row that does not match the other rows.
+    """A row that does not match the other rows or cannot be read.
 
     Attributes:
         key: Key of the row.
@@ -75,8 +75,12 @@
 async def verify_bills(table: Table) -> list[Discrepancy]:
     """Check that every budget equals the sum of the rows that it summarises.
 
-    Run it while no router writes, or run it twice: rows are read page by page, so
-    changes in the meantime can appear as discrepancies.
+    Run the check while no router writes, or repeat it: rows are read page by page, so
+    changes in the meantime can appear as discrepancies, which a second check does not
+    find again.
+
+    Returns:
+        The discrepancies; none if all rows match.
 
     Raises:
         UnavailableError: The table could not be read.
@@ -134,7 +138,8 @@
     async for key, row in _rows(table, GRANT_PREFIX, GrantRow, found):
         _, owner, workspace = key.split("/", 2)
         sums[workspace].held += row.held
-        # An open router may have given away tokens whose receipt is not settled yet.
+        # The row of an open router may be below zero for a time: the router may have
+        # given away tokens whose receipt is not settled yet.
         if row.held < 0 and owner in closed:
             found.append(Discrepancy(key, "holds less than nothing", 0, row.held))
 
--- a/ebonyhold/money/_waiters.py
+++ b/ebonyhold/money/_waiters.py
@@ -20,7 +20,7 @@
         need: Tokens to hold.
         since: When the request began to wait.
         reads_before: Number of reads of the budget started before the request began to
-            wait. Only a later read may be the reason to refuse it.
+            wait. The request may be refused only because of a later read.
         done: Set when the hold is granted or refused.
         granted: Whether the hold was granted.
         error: Why the hold was refused.
@@ -36,7 +36,7 @@
 
 @define(eq=False)
 class WaitingRequests:
-    """The waiting requests, in order of arrival."""
+    """Queue of the waiting requests, in order of arrival."""
 
     queue: list[Waiter] = field(factory=list)
 
@@ -50,11 +50,11 @@
 
     @property
     def need(self) -> Tokens:
-        """The sum of the tokens that the waiting requests need."""
+        """Sum of the tokens that the waiting requests need."""
         return sum(waiter.need for waiter in self.queue)
 
     def add(self, waiter: Waiter) -> None:
-        """Add a request."""
+        """Append a request to the queue."""
         self.queue.append(waiter)
 
     def remove(self, waiter: Waiter) -> None:
@@ -63,7 +63,7 @@
             self.queue.remove(waiter)
 
     def grant_holds(self, ledger: GrantLedger) -> None:
-        """Grant a hold to each request whose need is available, in order of arrival."""
+        """Grant holds in order of arrival; skip requests that need too many tokens."""
         for waiter in self:
             if ledger.hold(waiter.need):
                 self.remove(waiter)
@@ -71,7 +71,7 @@
                 waiter.done.set()
 
     def refuse(self, waiter: Waiter, error: BudgetError | SealedError) -> None:
-        """Refuse a request."""
+        """Remove a request, and wake the waiting task with an error."""
         self.remove(waiter)
         waiter.error = error
         waiter.done.set()
--- a/ebonyhold/money/_workspace_grant.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -39,7 +39,7 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 MAX_SETTLEMENTS = 50
-"""Maximum settlements in a row before requests that cannot be served are refused."""
+"""Maximum settlements in a row before waiting requests are checked for a refusal."""
 
 MAX_SETTLE_TRIES = 8
 """Maximum tries of one settlement that conflicts with other writers."""
@@ -57,14 +57,14 @@
 class WorkspaceGrant:
     """The grant of one workspace at one router, kept while the workspace is in use.
 
-    Requests take holds from the ledger at once while it has enough tokens. Only the
-    task in `run` calls the table, one call at a time, so at most one settlement is in
-    doubt.
+    Requests take holds from the ledger at once while enough tokens are available. Only
+    the task in `run` calls the table, one call at a time, so at most one settlement is
+    in doubt.
 
     Attributes:
         workspace: Name of the workspace.
         ledger: Counters of the grant's tokens.
-        unfiled: Bills that are not in the table yet, by run.
+        unfiled: Bills that are not in the table yet, by run of a request.
         transfers: Transfers to and from other routers that are not settled in the
             table.
         waiters: Requests that wait for a hold.
@@ -104,12 +104,12 @@
 
     @property
     def budget(self) -> BudgetRow | None:
-        """The budget as last read or written."""
+        """The budget as last read or written; None if it has no row or was not read."""
         return self.writer.budget
 
     @property
     def self_id(self) -> RouterId:
-        """The incarnation that this grant belongs to."""
+        """Identifier of the incarnation that owns this grant."""
         return self.journal.self_id
 
     async def acquire(self, need: Tokens) -> None:
@@ -117,8 +117,8 @@
 
         Raises:
             BudgetExhaustedError: The budget in the table has too few tokens left.
-            BudgetUnreachableError: Too few tokens are available now, but the budget may
-                have more.
+            BudgetUnreachableError: Too few tokens became available in time, but the
+                budget may have more.
             SealedError: This incarnation was sealed.
         """
         now = anyio.current_time()
@@ -147,7 +147,7 @@
         raise BudgetUnreachableError(f"no tokens of {self.workspace} came in time")
 
     def release(self, hold: Tokens, charge: Tokens) -> None:
-        """End a hold; the tokens beyond the charge become available."""
+        """End a hold: the charge becomes unfiled, the rest available again."""
         self.used_at = anyio.current_time()
         self.ledger.settle(hold, charge)
         self._grant_holds()
@@ -155,23 +155,23 @@
     def file(
         self, run: str, bill: Bill, append: PendingAppend, *, urgent: bool
     ) -> None:
-        """Queue a bill to be filed in the table."""
+        """Queue a bill to be filed in the table, without delay if `urgent`."""
         self.unfiled[run] = UnfiledBill(bill, append)
         self.notify(urgent=urgent)
 
     def receive(self, transfer: str, amount: Tokens) -> None:
-        """Add tokens from another router, once their receipt is in the journal."""
+        """Add tokens from another router; call it once their receipt is journalled."""
         self.transfers.receive(transfer, amount)
         self._grant_holds()
         self.notify()
 
     def notify(self, *, urgent: bool = False) -> None:
-        """Wake the task; with `urgent`, end its waits at once."""
+        """Wake the task; with `urgent`, the task does not wait for further bills."""
         self.urgent = self.urgent or urgent
         self.wake.set()
 
     def view(self) -> GrantView:
-        """Return the state on which a grant policy decides."""
+        """Return the state from which a grant policy computes draws and returns."""
         now = anyio.current_time()
         policy = self.policy()
         return GrantView(
@@ -188,7 +188,10 @@
         )
 
     async def run(self) -> None:
-        """Write changes to the table until this grant can be discarded."""
+        """Settle this grant in the table until it can be discarded or is sealed.
+
+        Failures of the table are retried; waiting requests are refused in the meantime.
+        """
         while not self.journal.sealed.is_set():
             await self._wait_for_work()
             try:
@@ -208,17 +211,17 @@
                 await anyio.sleep(self.options.min_retry_delay)
 
     async def _wait_for_work(self) -> None:
-        # Waits for work, then lets bills accumulate for one transaction. Waiting
-        # requests and bookings' bills are urgent and end both waits.
+        # Waits for work, then collects bills for one transaction. Waiting requests and
+        # bills of bookings are urgent and end both waits.
         await self._wait(self.options.resize_interval, until_notified=True)
         await self._wait(self.options.filing_interval)
         self.wake = anyio.Event()
         self.urgent = False
 
     async def _wait(self, max_wait: Seconds, *, until_notified: bool = False) -> None:
-        """Wait for urgent work, at most `max_wait`.
+        """Wait until work is urgent or the grant closes, for at most `max_wait`.
 
-        With `until_notified`, any work ends the wait.
+        With `until_notified`, work that is not urgent ends the wait too.
         """
         with anyio.move_on_after(max_wait):
             while not (self.urgent or self.closing):
@@ -240,10 +243,13 @@
         return not self.transfers.given and self.ledger.empty
 
     async def settle(self) -> None:
-        """File bills, draw and return tokens until the table needs no further change.
+        """Settle transfers, then file bills, draw and return tokens as needed.
+
+        At most `MAX_SETTLEMENTS` settlements are made; the rest is left to the next
+        call. A closing grant also writes its unsettled given transfers to the table.
 
         Raises:
-            PlatformError: The table could not be reached.
+            PlatformError: The table could not be reached or kept conflicting.
             SealedError: This incarnation was sealed.
         """
         await self.transfers.settle()
@@ -256,7 +262,11 @@
         self.reachable = True
 
     async def _settle_once(self) -> bool:
-        """Make one settlement; return False if there is nothing to settle."""
+        """Make one settlement; return False if there is nothing to settle.
+
+        Raises:
+            UnavailableError: None of `MAX_SETTLE_TRIES` tries took effect.
+        """
         for _ in range(MAX_SETTLE_TRIES):
             bills = self._ready_bills()
             in_doubt = self.writer.in_doubt
@@ -319,11 +329,11 @@
                 self._unpin_run(run, unfiled.append, filed.verdict)
 
     def _unpin_run(self, run: str, append: PendingAppend, verdict: Verdict) -> None:
-        """Let the journal delete a run's segments, since its bill is decided.
+        """Let the journal delete a run's segments, since its bill is settled.
 
-        Recovery then needs only the request's row. If that row keeps another run's bill
-        (`Verdict.LEAVE`), the journalled outcome is the only record of how this run
-        ended, so it is not withdrawn.
+        The outcome is withdrawn if it is not written yet, because recovery needs only
+        the request's row. If that row keeps another run's bill (`Verdict.LEAVE`), the
+        journal has the only record of this run's outcome, which is then not withdrawn.
         """
         if verdict is not Verdict.LEAVE:
             self.journal.withdraw(append)
@@ -341,7 +351,12 @@
         return bool(size.draw or size.give_back)
 
     async def _refuse_unservable(self) -> None:
-        """Refuse the requests that the budget, as last read, cannot serve."""
+        """Refuse waiting requests that cannot be served.
+
+        A request is refused at once if the budget, as last read, is exhausted. For the
+        others tokens are requested from peers, and those that then still lack tokens
+        are refused after the maximum wait of the grant policy.
+        """
         self._grant_holds()
         for waiter in self.waiters.waiting_before(self.writer.last_read):
             if self._exhausted(waiter.need):
@@ -359,14 +374,17 @@
             await self._wait_for_returns()
 
     async def _wait_for_returns(self) -> None:
-        """Wait a short time for requests to end, here and at other routers."""
+        """Wait for `wake` or the recheck interval, then have the budget read again.
+
+        In the meantime requests may end, here or at other routers, and free tokens.
+        """
         with anyio.move_on_after(self.options.recheck_interval):
             await self.wake.wait()
         self.notify(urgent=True)
 
     def _exhausted(self, need: Tokens) -> bool:
-        # A new workspace has no row until its first top-up, which may come seconds
-        # later.
+        # A new workspace has no row until its first top-up, which may follow seconds
+        # later, so a missing row does not mean that the budget is exhausted.
         if self.budget is None:
             return False
         return self.budget.prepaid - self.budget.spent < need
