--- a/ebonyhold/prepaid/_account.py
+++ b/ebonyhold/prepaid/_account.py
@@ -189,7 +189,7 @@
 
     @property
     def usable(self) -> Tokens:
-        """Available tokens that may be used within the current limit."""
+        """Available tokens, as far as the current limit allows their use."""
         headroom = self.limit() - self.grant.used
         return max(0, min(self.grant.ledger.available, headroom))
 
--- a/ebonyhold/prepaid/_allowance.py
+++ b/ebonyhold/prepaid/_allowance.py
@@ -31,7 +31,7 @@
 
 
 HEADROOM_RENEWALS = 4.0
-"""Number of renewal delays whose expected demand a limit covers in advance."""
+"""Headroom while the store is slow: the demand during this many renewal delays."""
 
 MAX_HEADROOM = 2.0
 """Maximum headroom of a limit, in requests of the typical size."""
@@ -42,7 +42,8 @@
     """The values from which an allowance is computed.
 
     Attributes:
-        used: Tokens charged and held since the router started.
+        used: Tokens charged, held or given away since the router started, less those
+            received; at least 0.
         asked: Tokens for which requests are waiting.
         rate: Expected demand, in tokens per second.
         typical: Typical request size, in tokens.
--- a/ebonyhold/prepaid/_books.py
+++ b/ebonyhold/prepaid/_books.py
@@ -135,7 +135,7 @@
             )
 
     def is_outdated(self, rows: GrantRows, need: Tokens, holding: bool) -> bool:
-        """Return whether the budget must be read again before the next decision."""
+        """Return whether the cached budget is too old, given the tokens needed here."""
         if need > rows.budget.budget.remaining:
             return self.age() > REREAD_INTERVAL
         return holding and self.age() > MAX_AGE_PER_SHARER * max(
--- a/ebonyhold/prepaid/_demand.py
+++ b/ebonyhold/prepaid/_demand.py
@@ -45,7 +45,7 @@
         """Return the expected demand in tokens per second.
 
         The weight is divided by the time constant, or by less if the first request was
-        counted only a short time ago.  It is 0 before the first request.
+        counted only a short time ago.  The demand is 0 before the first request.
         """
         if self.started_at is None:
             return 0.0
--- a/ebonyhold/prepaid/_purse.py
+++ b/ebonyhold/prepaid/_purse.py
@@ -25,7 +25,7 @@
 
 
 class HoldOutcome(Enum):
-    """A holder's answer to a request for a hold."""
+    """Result of a request to a holder for a hold."""
 
     HELD = "held"
     EXHAUSTED = "exhausted"
@@ -56,7 +56,7 @@
     """Calls to the other routers that are holders."""
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Request a hold from a holder; `UNAVAILABLE` if it does not answer."""
+        """Request a hold from a holder; return `UNAVAILABLE` if no answer arrives."""
         ...
 
     def settle(self, peer: str, hold: HoldId, charge: Tokens) -> None:
--- a/ebonyhold/prepaid/_treasury.py
+++ b/ebonyhold/prepaid/_treasury.py
@@ -44,9 +44,9 @@
 RECLAIM_ATTEMPTS = 40
 """Maximum attempts to reclaim one grant.
 
-At one attempt per tick (0.5 s), they last longer than an outage of the store.
-An attempt with an unknown outcome can be repeated safely, because a reclaimed grant has
-no provably unused tokens left.
+At one attempt per tick (0.5 s), they last longer than an outage of the store.  An
+attempt with an unknown outcome can be repeated safely, because a reclaimed grant has no
+provably unused tokens left.
 """
 
 
@@ -140,7 +140,7 @@
         return self.table.holders(workspace).own
 
     def sharers(self, workspace: WorkspaceName) -> int:
-        """Return how many routers draw on a workspace's budget: its holders or all."""
+        """Return how many routers draw on a workspace's budget: all or its holders."""
         holders = self.table.holders(workspace)
         return self.routers() if holders.whole_fleet else len(holders.names)
 
