--- a/ebonyhold/money/_exchange.py
+++ b/ebonyhold/money/_exchange.py
@@ -102,8 +102,8 @@
         If an earlier transfer to that router was lost, it is sent again, in place of a
         new one. The answer is sent once the transfer is in the journal. The amount is 0
         if there are no tokens to give, this incarnation is sealed or draining, or the
-        journal took longer than `give_timeout`; the next request then gets the transfer
-        that was journalled late.
+        transfer is not in the journal within `give_timeout`. In the last case the
+        answer to the peer's next request contains that transfer.
         """
         assert isinstance(message, TransferRequest)
         grant = self.grants.get(message.workspace)
--- a/ebonyhold/money/_incarnations.py
+++ b/ebonyhold/money/_incarnations.py
@@ -17,7 +17,7 @@
 """Maximum time a request waits for the next incarnation to be registered."""
 
 OPEN_RETRY_DELAY: Seconds = 0.5
-"""Delay before registering a new incarnation is tried again."""
+"""Delay after which a failed registration of a new incarnation is repeated."""
 
 
 class Incarnations:
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -31,7 +31,10 @@
 from ebonyhold.types import RequestId, Tokens, WorkspaceName
 
 MAX_TRIES = 30
-"""Maximum tries of one change, which conflicts with routers that change the budget."""
+"""Maximum tries of one change.
+
+A change conflicts if a router changes the same budget between the read and the commit.
+"""
 
 
 Rows: TypeAlias = tuple[Row | None, ...]
--- a/ebonyhold/money/_transfer_book.py
+++ b/ebonyhold/money/_transfer_book.py
@@ -90,7 +90,7 @@
     def give(
         self, transfer: str, amount: Tokens, append: PendingAppend
     ) -> GivenTransfer:
-        """Move tokens from the ledger into a transfer to another router."""
+        """Record a transfer to another router and make its tokens unavailable here."""
         self.ledger.give(amount)
         given = GivenTransfer(transfer, amount, append)
         self.given[transfer] = given
--- a/ebonyhold/money/_workspace_grant.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -70,6 +70,10 @@
         waiters: Requests that wait for a hold.
         writer: Reads and writes the rows of the budget and the grant.
         reachable: Whether the last call to the table succeeded.
+        urgent: Whether the task must not wait for further bills.
+        closing: Whether all tokens are to be returned, because the router drains.
+        used_at: When a request last took or released a hold (monotonic clock).
+        drawn: Tokens drawn from the budget, less those returned.
     """
 
     workspace: WorkspaceName
