--- a/tests/money/chaos.py
+++ b/tests/money/chaos.py
@@ -39,7 +39,7 @@
         tables: Each router's own view of the table, for partitions.
         bookings: How often the booking service ran each booking, by request.
         stores: Each router's own view of the object store.
-        completed: Requests that a caller saw complete.
+        completed: Workspaces and names of the requests whose callers got the answer.
         stopped: Routers that were killed or stopped.
         started: Number of routers started.
         requests: Number of chats with a key of their own.
@@ -60,7 +60,7 @@
     refused: int = 0
 
     async def play(self, steps: int) -> None:
-        """Run random actions, then end all faults, settle, and check the result."""
+        """Start random actions, then end all faults, settle, and check the result."""
         for workspace in WORKSPACES:
             await self.fleet.top_up(workspace, 3000, "first")
         for _ in range(3):
@@ -108,14 +108,14 @@
             return
 
     def some_router(self) -> Treasury | None:
-        """Choose a router at random."""
+        """Return a random running router; None if no router runs."""
         if not self.fleet.routers:
             return None
         name = self.random.choice(sorted(self.fleet.routers))
         return self.fleet.routers[name].treasury
 
     async def start(self) -> None:
-        """Start a router with its own view of the table and the store."""
+        """Start a router with its own view of table and store, unless four run."""
         if len(self.fleet.routers) >= 4:
             return
         self.started += 1
@@ -151,7 +151,7 @@
         await self.send(wanted)
 
     async def send(self, wanted: Order) -> None:
-        """Send a request through a random router."""
+        """Send a request through a random router, and count it if it is refused."""
         manager = self.some_router()
         if manager is None:
             return
@@ -168,7 +168,10 @@
         await self.run(manager, permit)
 
     async def run(self, manager: Treasury, permit: Permit) -> None:
-        """Dispatch an attempt, sometimes after a long pause, and settle it."""
+        """Dispatch an attempt, sometimes after a long pause, and settle the request.
+
+        Nothing is settled if the router stops before the attempt ends.
+        """
         long = self.random.random() < 0.1
         await anyio.sleep(self.random.uniform(5, 60) if long else 0.01)
         alive = manager.me in self.fleet.routers
@@ -200,7 +203,7 @@
         self.completed.add((wanted.workspace, wanted.request))
 
     async def kill(self) -> None:
-        """Kill a router."""
+        """Kill a random router, unless it is the last one."""
         if len(self.fleet.routers) < 2:
             return
         name = self.random.choice(sorted(self.fleet.routers))
@@ -208,7 +211,7 @@
         self.stopped.append(name)
 
     async def recover_some_router(self) -> None:
-        """Recover a random router, running or not, sometimes twice at the same time."""
+        """Recover a random router, running or not, by one or two others at once."""
         names = sorted({*self.stopped, *self.fleet.routers})
         if not names:
             return
@@ -218,7 +221,7 @@
                 survivors.start_soon(self.recover, name, by)
 
     async def recover(self, name: str, by: str) -> None:
-        """Recover one router."""
+        """Recover a router by another one; give up on an error of the platform."""
         with suppress(PlatformError):
             await self.fleet.recover(name, by)
 
@@ -247,7 +250,7 @@
         self.stores[self.random.choice(sorted(self.stores))].faults.down = True
 
     async def cut_link(self) -> None:
-        """Drop the messages from one router to another."""
+        """Drop the messages from one random router to another."""
         names = sorted(self.fleet.routers)
         if len(names) >= 2:
             one, other = self.random.sample(names, 2)
@@ -263,12 +266,12 @@
         return tables + [store.faults for store in self.stores.values()]
 
     async def flush(self) -> None:
-        """Deliver the delayed calls."""
+        """Deliver the delayed calls of all routers."""
         for faults in self.faults():
             await faults.flush()
 
     async def restart_engine(self) -> None:
-        """Restart the backend server, which forgets all attempts."""
+        """Restart the backend server, which loses the state of all attempts."""
         self.fleet.engine.restart()
 
     async def heal(self) -> None:
@@ -284,14 +287,14 @@
                 setattr(faults, fault, 0)
 
     async def add_tokens(self) -> None:
-        """Top up a budget; each key is used twice."""
+        """Top up a random budget; each key is used for two calls."""
         self.topups += 1
         workspace = self.random.choice(WORKSPACES)
         key = f"t{self.topups // 2}"
         await top_up(self.fleet.table, workspace, key, 500)
 
     async def refund_some(self) -> None:
-        """Refund a part of a random bill."""
+        """Refund 3 tokens of a random chat in `w1`, if it has a bill."""
         key = f"u{self.random.randrange(1, self.requests + 2)}"
         try:
             await refund(self.fleet.table, "w1", key, "f", 3)
@@ -299,7 +302,7 @@
             return
 
     async def drain(self) -> None:
-        """Drain and stop a router that has no running requests."""
+        """Drain and kill an idle router, if at least two routers are idle."""
         idle = [
             name
             for name, router in sorted(self.fleet.routers.items())
@@ -316,7 +319,7 @@
             self.stopped.append(idle[0])
 
     async def settle(self) -> None:
-        """Deliver delayed calls, drain all routers and recover every router."""
+        """Deliver delayed calls, drain the running routers and recover all routers."""
         await anyio.sleep(60)
         await self.flush()
         for name in sorted(self.fleet.routers):
@@ -346,7 +349,7 @@
         self.check_runs()
 
     def check_runs(self) -> None:
-        """Check that no row says "not run" about a run that the engine started."""
+        """Check that no run that the engine started has a row in state `NOT_RUN`."""
         for row_key in self.fleet.table.matching("request/", "", 100_000):
             _, workspace, name = row_key.key.split("/")
             row = request(self.fleet, workspace, name)
@@ -366,7 +369,7 @@
 
 
 async def play(fleet: MemoryFleet, seed: int, steps: int) -> Chaos:
-    """Play one history."""
+    """Run one random history with its checks, and return it."""
     chaos = Chaos(fleet, random.Random(seed))
     await chaos.play(steps)
     return chaos
--- a/tests/money/scenarios.py
+++ b/tests/money/scenarios.py
@@ -26,7 +26,7 @@
 
 
 def run(scenario: Scenario, policy: Policy = POLICY) -> None:
-    """Run a scenario."""
+    """Run a scenario in a new in-memory fleet, under a clock that skips idle time."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
@@ -81,6 +81,6 @@
 
 
 async def spend(manager: Treasury, name: str, hold: int, charge: int) -> None:
-    """Run one request to its end."""
+    """Run one request of the workspace `w` with a hold and a charge, in tokens."""
     permit = await begin(manager, order("w", name, hold))
     await manager.finish(permit, ended(permit, charge))
--- a/tests/money/test_chaos.py
+++ b/tests/money/test_chaos.py
@@ -13,7 +13,7 @@
 
 
 def check(seed: int, steps: int) -> None:
-    """Play one history under the policy that its seed chooses."""
+    """Run one random history with its checks, under a policy chosen by the seed."""
     policy = evolve(CHAOS_POLICY, grants=POLICIES[seed % len(POLICIES)])
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -35,6 +35,6 @@
 @pytest.mark.soak
 @pytest.mark.parametrize("block", range(20))
 def test_many_random_interleavings(block: int) -> None:
-    """The same checks for a thousand longer histories."""
+    """The checks of `test_random_interleavings` for 1,000 longer histories."""
     for seed in range(1000 + 50 * block, 1050 + 50 * block):
         check(seed, 300)
--- a/tests/money/test_operators.py
+++ b/tests/money/test_operators.py
@@ -29,7 +29,10 @@
 
 @pytest.mark.parametrize("fault", ["", "lose_answers", "lose_requests", "duplicates"])
 def test_top_up_and_refund_count_once(fault: str) -> None:
-    """An operator's call is lost or doubled, and the operator repeats it."""
+    """Guards against a top-up or refund that counts twice or not at all.
+
+    The operator's call is lost or doubled, and the operator repeats it.
+    """
 
     async def scenario(fleet: MemoryFleet) -> None:
         if fault:
@@ -92,9 +95,9 @@
 
 
 def test_ruling_on_a_run_without_evidence() -> None:
-    """The policy waits for evidence about a run, but none will come.
+    """The engine has lost an attempt, and the policy is not to charge the hold.
 
-    The hold stays stranded and is listed until an operator settles the run.
+    The hold stays stranded, and the run is listed until an operator settles it.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/money/test_partitions.py
+++ b/tests/money/test_partitions.py
@@ -189,8 +189,8 @@
 def test_chat_retried_while_the_first_still_runs() -> None:
     """A caller repeats a running chat through another router.
 
-    Both runs complete. The first one filed makes the bill, and the hold of the other is
-    released.
+    Both runs complete. The run that is filed first is billed, and the hold of the other
+    one is released.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/money/test_platform_faults.py
+++ b/tests/money/test_platform_faults.py
@@ -277,7 +277,7 @@
     """A request is refused as exhausted only if the table shows that the budget is.
 
     While other requests hold the last tokens, or the table cannot be read, callers must
-    not be asked to buy more.
+    be allowed to retry, and not be made to buy more tokens.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/money/test_router_crashes.py
+++ b/tests/money/test_router_crashes.py
@@ -205,8 +205,8 @@
 
     The router crashes at the given step, and the caller retries with the same key
     through another router. The booking may run again only if the service proves that it
-    did not run; after a restart (`restarted`) the service cannot tell. Otherwise the
-    kept answer is replayed, or the retry is refused because the outcome is unknown.
+    did not run, which the service cannot do after a restart (`restarted`). Otherwise
+    the kept answer is replayed, or the retry is refused with an unknown outcome.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -244,9 +244,9 @@
 def test_recovery_of_a_running_router() -> None:
     """A router that still streams is recovered by another one after a partition.
 
-    The other router seals it and bills the tokens generated until then. The sealed
-    router learns this at its next append: its holds are void, and its late settlement
-    changes no row.
+    The other router seals its journal and bills the tokens generated until then. The
+    sealed router finds the seal at its next append: its holds are void, and its late
+    settlement changes no row.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/money/test_transfers.py
+++ b/tests/money/test_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of tokens between routers, some of which crash in the meantime."""
+"""Transfers of tokens between routers, with lost replies, outages and crashes."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 def test_transfer_while_the_table_is_down() -> None:
     """A router runs out of tokens while the table is down, and a peer has some left.
 
-    It requests tokens and receives some; both routers journal the transfer in the
-    object store. Once the table is back, the transfer is settled and no token is
+    The router requests tokens and receives some; both routers journal the transfer in
+    the object store. Once the table is back, the transfer is settled and no token is
     missing or left over.
     """
 
@@ -160,7 +160,10 @@
 
 
 def test_transfer_for_an_earlier_incarnation_is_refused() -> None:
-    """Tokens arrive after their receiver was replaced by a new incarnation."""
+    """Guards against counting tokens that were given to an earlier incarnation.
+
+    They arrive after the receiver was replaced by a new incarnation.
+    """
 
     async def scenario(fleet: MemoryFleet) -> None:
         giver, receiver = await start_giver_and_receiver(fleet)
@@ -178,7 +181,10 @@
 
 
 def test_transfer_that_arrives_twice() -> None:
-    """A transfer that is delivered three times, twice at once, must count once."""
+    """Guards against counting a transfer twice that is delivered three times.
+
+    Two of the deliveries arrive at the same time.
+    """
 
     async def scenario(fleet: MemoryFleet) -> None:
         giver, receiver = await start_giver_and_receiver(fleet)
--- a/tests/prepaid/kit.py
+++ b/tests/prepaid/kit.py
@@ -61,7 +61,7 @@
         )
 
     async def renew(self) -> None:
-        """Renew the limits once, as the renewal task does when requested."""
+        """Renew the limits once, and record whether the renewal succeeded."""
         try:
             await self.renewals.step()
             self.renewals.note_renewed()
@@ -76,7 +76,7 @@
     Attributes:
         vm: The VM of the router that sends the requests.
         routers: All routers by VM.
-        lose: Number of upcoming transfers whose answers are lost.
+        lose: Number of the next transfers whose answers are lost.
     """
 
     vm: str
@@ -119,7 +119,7 @@
 
 
 def router(history: RowHistory, prepaid: int = 100_000) -> Router:
-    """Return the first incarnation of one router."""
+    """Return the first incarnation of the router on `vm-1`."""
     return Router(history, "vm-1", "vm-1.a", [prepaid])
 
 
@@ -138,12 +138,15 @@
 
 
 def delay_effect(one: Router) -> None:
-    """Let the next transaction take effect only after its client has timed out."""
+    """Let the next transaction time out, and take effect only at a `flush`."""
     one.store.faults.late = 1
 
 
 async def successor_of_killed(history: RowHistory) -> Router:
-    """Return the successor of a router that was killed while it held 1,000 tokens."""
+    """Return the successor of a router that was killed with a hold of 1,000 tokens.
+
+    The successor has found its predecessor's limits, but reclaimed nothing.
+    """
     one = router(history, 1_000_000)
     await anyio.sleep(1.0)
     await one.renew()
--- a/tests/prepaid/test_account.py
+++ b/tests/prepaid/test_account.py
@@ -91,7 +91,7 @@
 
 
 async def test_unreachable_store_refuses_without_waiting() -> None:
-    """Waiting for a store known to be unreachable would only delay the caller."""
+    """Guards against delaying a caller while the store is known to be unreachable."""
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
@@ -109,8 +109,8 @@
 async def test_limit_grows_evenly_during_an_outage() -> None:
     """A router that cannot reach the store keeps serving from its grant.
 
-    Its limit grows with time at the usual demand, so that a successor can compute an
-    upper bound of the tokens used and reclaim the rest of the grant.
+    The limit grows with time at the usual demand.  From this growth a successor can
+    compute an upper bound of the tokens used, and reclaim the rest of the grant.
     """
     history = RowHistory()
     one = router(history, 1_000_000)
@@ -215,9 +215,10 @@
 
 
 async def test_older_configuration_does_not_restore_a_budget() -> None:
-    """One router has the newer configuration, another still the older one.
+    """Guards against restoring a lowered budget.
 
-    The second must not write its larger budget again.
+    One router has the newer configuration, another one still has the older one with the
+    larger budget, and must not write it.
     """
     history = RowHistory()
     one = router(history, 100_000)
@@ -263,10 +264,11 @@
 async def test_change_ended_by_an_unexpected_exception_is_in_doubt(
     arrived: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store client raises an unexpected exception for a return of tokens.
+    """Guards against losing returned tokens after an unexpected exception.
 
-    The returned tokens had left the ledger, and since the change was not recorded as
-    in doubt, they were never added back or counted as returned.
+    The store client raises it for a return of tokens, which have left the ledger.  If
+    the change were not recorded as in doubt, the tokens would neither be added back nor
+    counted as returned.
     """
     history = RowHistory()
     one = router(history)
--- a/tests/prepaid/test_allowance.py
+++ b/tests/prepaid/test_allowance.py
@@ -24,7 +24,7 @@
     # changed inputs, headroom, and the early and later rate in tokens per second
     ({}, 0, 8_000, 8_000),
     ({"asked": 30_000}, 30_000, 8_000, 8_000),
-    # With a slow store, requests that wait for a renewal would wait too long.
+    # While renewals are slow, the headroom covers the demand during a few of them.
     ({"delay": 0.1}, 3_200, 8_000, 8_000),
     ({"delay": 0.5}, 8_000, 8_000, 8_000),
     ({"delay": 0.5, "level": 0.35}, 4_000, 4_000, 8_000),
@@ -46,10 +46,10 @@
 
 
 def test_kill_loses_fewer_tokens_of_a_nearly_spent_budget() -> None:
-    """All VMs lose power late in a day, and lost tokens cause refusals later.
+    """Guards against refusals late in a day because a power cut of all VMs lost tokens.
 
-    In 1.5 s after a renewal, the limit may grow by at most 1.5 s of the demand with a
-    full budget, and by 0.15 s of the demand with a tenth of it left.
+    Within 1.5 s of a renewal the limit may grow by at most the demand of 1.5 s if the
+    budget is full, and by that of 0.15 s if a tenth of it is left.
     """
     lost = []
     for level in (1.0, 0.1):
--- a/tests/prepaid/test_histories.py
+++ b/tests/prepaid/test_histories.py
@@ -46,7 +46,7 @@
         history: The store.
         routers: The current incarnation of each VM's router.
         prepaid: The configured budgets, the latest last.
-        held: The requests that hold tokens, with their amounts.
+        held: The routers of running requests, with the tokens held.
         charged: Actual cost of the ended requests of each incarnation.
         started: Number of incarnations started.
         incarnations: All incarnations.
@@ -164,7 +164,11 @@
         faults.down = not faults.down
 
     async def inject_fault(self) -> None:
-        """Lose an answer or a request, delay a write, or apply a delayed one."""
+        """Inject a fault at one router.
+
+        Its next transfer or write loses the answer, its next write is lost or delayed,
+        or all its delayed writes take effect.
+        """
         one = self.pick()
         faults = one.store.faults
         if self.random.random() < 0.2:
@@ -178,7 +182,10 @@
         setattr(faults, switch, 1)
 
     async def kill(self) -> None:
-        """Kill and restart a router; its requests cost all the tokens they held."""
+        """Kill a router and start its successor; its requests cost their whole holds.
+
+        Delayed writes of the killed router take effect after the start.
+        """
         router = self.pick()
         for holder, amount in [item for item in self.held if item[0] is router]:
             self.held.remove((holder, amount))
@@ -195,7 +202,7 @@
 
 
 def assume_nothing_used(before: Predecessor) -> Predecessor:
-    """Make a successor assume that its predecessor used nothing."""
+    """Return a predecessor whose limits show that it used no tokens."""
     return evolve(before, limits={})
 
 
@@ -269,7 +276,7 @@
 
 
 def unchanged(router: Router) -> None:
-    """Leave the protocol unchanged."""
+    """Remove no safeguard from a router."""
 
 
 VARIANTS = [
--- a/tests/prepaid/test_holder_histories.py
+++ b/tests/prepaid/test_holder_histories.py
@@ -46,10 +46,10 @@
     """A random sequence in which routers hold tokens for each other's requests.
 
     Attributes:
-        make_holds: Creates the remote holds of each incarnation of a router.
+        make_holds: Creates the remote holds of a new incarnation of a router.
         remote: The remote holds of each incarnation.
-        running: Requests whose tokens another router holds.
-        settled: Settlements that may arrive once more.
+        running: Requests whose tokens a router holds as remote holds.
+        settled: Settlements, as holder, hold and charge, that may arrive once more.
         holds: Number of holds requested so far.
     """
 
@@ -79,7 +79,11 @@
             del self.held[len(self.held) - len(amounts) :]
 
     async def start_request(self) -> None:
-        """Start a request, which holds tokens at its own router or at another one."""
+        """Start a request with a local or a remote hold.
+
+        Some requests for a remote hold are given up, and settled with a charge of 0
+        after the request for the hold arrives, and sometimes also before.
+        """
         if self.random.random() < 0.4:
             await super().start_request()
             return
@@ -110,7 +114,7 @@
         self.settled.append((run.holder, run.hold, charge))
 
     async def maintain(self) -> None:
-        """Maintain grants, repeat old settlements, and let old holds expire."""
+        """Maintain grants, sometimes repeat a settlement, and let old holds expire."""
         await super().maintain()
         if self.settled and self.random.random() < 0.5:
             holder, hold, charge = self.random.choice(self.settled)
@@ -125,7 +129,7 @@
 
 
 def holds_of(router: Router) -> LentHolds:
-    """Return the remote holds of one incarnation of a router."""
+    """Return a new, empty object for the remote holds of an incarnation."""
     return LentHolds(lambda workspace: router.account, lambda: False)
 
 
@@ -135,7 +139,7 @@
 
 
 class FreeExpiryHolds(LentHolds):
-    """Remote holds that cost nothing if they are never settled."""
+    """Remote holds that are not charged if they expire."""
 
     __slots__ = ()
 
@@ -147,7 +151,7 @@
 
 
 class RepeatableHolds(LentHolds):
-    """Remote holds that each repeated settlement settles again."""
+    """Remote holds that are charged again by each repeated settlement."""
 
     __slots__ = ()
 
--- a/tests/prepaid/test_holders.py
+++ b/tests/prepaid/test_holders.py
@@ -23,7 +23,7 @@
 def test_each_domain_of_a_large_fleet_has_holders(
     size: int, domains: int, in_each: int
 ) -> None:
-    """A domain without a holder would have no tokens while it is cut off."""
+    """Guards against a domain that has no tokens while it is cut off."""
     routers = fleet(size, domains)
     for workspace in WORKSPACES:
         chosen = choose_holders(workspace, routers)
@@ -38,7 +38,7 @@
 
 
 def test_holders_are_spread_over_the_fleet() -> None:
-    """A router that holds many workspaces would be overloaded with hold requests."""
+    """Guards against a router that is overloaded as the holder of many workspaces."""
     routers = fleet(195, 6)
     held = Counter(
         name for space in WORKSPACES for name in choose_holders(space, routers)
@@ -47,7 +47,7 @@
 
 
 def test_leaving_router_changes_only_holders_of_its_workspaces() -> None:
-    """Otherwise each restart of a router would move grants of other workspaces."""
+    """Guards against moving the grants of other workspaces when a router restarts."""
     routers = fleet(84, 3)
     others = {name: domain for name, domain in routers.items() if name != "vm-7"}
     for workspace in WORKSPACES:
--- a/tests/prepaid/test_limits.py
+++ b/tests/prepaid/test_limits.py
@@ -10,7 +10,10 @@
 
 
 def in_doubt(age: float) -> LimitBook:
-    """Return limits with a renewal confirmed at 0 s and one sent at `age` in doubt."""
+    """Return limits with a confirmed renewal and one in doubt.
+
+    They were sent at 0 s and at `age` seconds.
+    """
     limits = LimitBook()
     limits.took_effect(limits.propose(WANTED, 0.0).number)
     limits.propose(WANTED, age)
@@ -18,7 +21,7 @@
 
 
 RATES = [
-    # age of the confirmed renewal, and growth of the limit within the next second
+    # age of the confirmed renewal in seconds, and growth in the next second in tokens
     (0.4, 10),
     (2.0, 10),
     (3.0, 100),
@@ -29,10 +32,11 @@
 def test_growth_after_a_renewal_in_doubt_depends_on_age(
     age: float, growth: int
 ) -> None:
-    """A renewal is in doubt, the next one is confirmed, and all VMs lose power.
+    """Guards against the wrong rate if a renewal is confirmed after one in doubt.
 
-    Growth at the later rate from the start lost a tenth of a budget.  In a long outage
-    that rate must stay, since each renewal in doubt would restart the early period.
+    At the later rate soon after a renewal, a power cut of all VMs would lose a tenth of
+    a budget.  In a long outage the later rate must stay, because each renewal would
+    otherwise restart the early period.
     """
     limits = in_doubt(age)
     renewal = limits.propose(WANTED, age)
--- a/tests/prepaid/test_purse.py
+++ b/tests/prepaid/test_purse.py
@@ -73,7 +73,7 @@
 async def test_holders_are_tried_in_turn_and_the_own_grant_last(
     outcomes: Sequence[HoldOutcome], asked: list[str], holder: str | None
 ) -> None:
-    """Otherwise callers would be refused while their workspace's holders restart."""
+    """Guards against refusals while the holders of a workspace restart."""
     names = [f"h{n}" for n in range(len(outcomes))]
     answers = Answers(dict(zip(names, outcomes, strict=True)))
     one = await started()
@@ -93,7 +93,10 @@
 async def test_refusal_of_a_holder_is_final(
     outcome: HoldOutcome, error: type[Exception]
 ) -> None:
-    """Otherwise each refused request would draw tokens to its own router."""
+    """Guards against trying further routers after a holder has refused the hold.
+
+    Each of these routers would draw tokens for a request that is refused anyway.
+    """
     one = await started()
     answers = Answers({"h0": outcome, "h1": HELD})
     hold = RequestPurse(WORKSPACE, lambda: one.account, ["h0", "h1"], answers, "1")
@@ -148,7 +151,10 @@
 
 
 async def test_hold_settled_before_it_arrives_holds_nothing() -> None:
-    """A hold request that came after its settlement held tokens for a minute."""
+    """Guards against a hold whose settlement arrives before the request for it.
+
+    Nothing would settle the hold any more, and its tokens would be charged after 60 s.
+    """
     one = await holder_router()
     one.remote.settle("vm-2.a/1", 0)
     assert await one.remote.hold(wanted()) is UNAVAILABLE
@@ -156,7 +162,7 @@
 
 
 async def test_expired_hold_is_charged_in_full() -> None:
-    """The request may have run, and its cost is unknown to the holder."""
+    """No settlement arrives; the request may have run, and its cost is unknown."""
     one = await holder_router()
     assert await one.remote.hold(wanted()) is HELD
     one.remote.expire(anyio.current_time() + 50.0)
@@ -168,7 +174,7 @@
 
 
 async def test_stopping_holder_is_unavailable() -> None:
-    """Tokens held during the stop would not be returned with the grant."""
+    """Guards against tokens held during a stop, which would not be returned."""
     one = await holder_router()
     one.stopping = True
     assert await one.remote.hold(wanted()) is UNAVAILABLE
@@ -179,7 +185,7 @@
 async def test_holder_reports_the_reason_of_a_refusal(
     spent: int, outcome: HoldOutcome
 ) -> None:
-    """A wrong EXHAUSTED would stop callers from retrying."""
+    """Guards against a wrong EXHAUSTED, after which callers do not retry."""
     one = await holder_router()
     if spent:
         assert await one.remote.hold(wanted("first", spent)) is HELD
@@ -192,7 +198,7 @@
 
 
 async def test_former_holder_returns_its_grant() -> None:
-    """Otherwise tokens would stay at each router that was a holder before."""
+    """Guards against tokens that stay unused at a router that is no holder any more."""
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
@@ -205,7 +211,7 @@
 
 
 async def test_router_that_is_no_holder_draws_only_the_amount() -> None:
-    """A router draws itself if no holder answers, and must not keep extra tokens."""
+    """A router that is no holder draws if no holder answers, but no extra tokens."""
     history = RowHistory()
     one = router(history)
     one.account.is_holder = lambda: False
--- a/tests/prepaid/test_reclaim.py
+++ b/tests/prepaid/test_reclaim.py
@@ -25,10 +25,11 @@
 
 
 async def test_reclaim_does_not_write_the_budget_row() -> None:
-    """All VMs lose power at once, and all successors reclaim grants of the same budget.
+    """Guards against conflicts of all routers at one budget row after a power cut.
 
-    When they returned the tokens to the budget row, 84 routers wrote it at once.  Each
-    conflict costs the store as much as a write, and some tokens came back after 5 s.
+    All VMs lose power at once, and all successors reclaim grants of the same budget.
+    If 84 routers write its row, each conflict costs the store as much as a write, and
+    some tokens are available again only after 5 s.
     """
     history = RowHistory()
     two = await successor_of_killed(history)
@@ -48,7 +49,10 @@
 
 @pytest.mark.parametrize("lose", [lose_answer, lose_request, delay_effect])
 async def test_reclaim_in_doubt_counts_once(lose: Fault) -> None:
-    """The outcome of a reclaim is unknown: it took effect, did not, or does so late."""
+    """Guards against a reclaim of unknown outcome that counts twice or not at all.
+
+    The reclaim took effect, did not, or does so late.
+    """
     history = RowHistory()
     two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
--- a/tests/prepaid/test_transfers.py
+++ b/tests/prepaid/test_transfers.py
@@ -70,10 +70,10 @@
 async def test_transfers_serve_an_empty_grant_in_an_outage(
     available: tuple[int, ...], wanted: int, served: bool
 ) -> None:
-    """A router with an empty grant gets idle tokens of others in an outage.
+    """Guards against refusals while other reachable routers have unused tokens.
 
-    A router had just restarted when all routers lost the store.  It refused requests
-    although the other routers were reachable and had unused tokens.
+    A router has an empty grant because it restarts just before all routers lose the
+    store.
     """
     fleet = Fleet()
     one, *others = await fleet.start(*available)
@@ -84,13 +84,13 @@
     else:
         with pytest.raises(BudgetUnreachableError):
             await one.account.hold(wanted, "r")
-        # Too few tokens for the request are not transferred; smaller requests at the
-        # other routers may need them.
+        # All offers together are too small, so nothing is transferred; the tokens may
+        # serve smaller requests at the other routers.
         assert [o.account.grant.ledger.available for o in others] == before
 
 
 async def test_disconnected_router_draws_through_another() -> None:
-    """One router loses the store; the others can draw on the full budget for it."""
+    """One router loses the store; another one draws on the full budget for it."""
     fleet = Fleet()
     one, _, _ = await fleet.start(0, 1_000, 0)
     one.store.faults.down = True
@@ -100,7 +100,7 @@
 
 
 async def test_transfers_are_filed_at_both_ends() -> None:
-    """Otherwise the grant rows would not add up to the outstanding tokens."""
+    """Guards against grant rows that do not add up to the outstanding tokens."""
     fleet = Fleet()
     one, two, three = await fleet.start(0, 6_000, 0)
     await disconnect_until_limits_grow(fleet)
@@ -120,7 +120,7 @@
 
 
 async def test_stopping_router_gives_no_tokens() -> None:
-    """Tokens given while the grant is returned would be counted twice."""
+    """Guards against tokens that are given away and also returned to the budget."""
     fleet = Fleet()
     _, two, _ = await fleet.start(0, 6_000, 0)
     await two.account.close()
--- a/tests/prepaid/test_treasury.py
+++ b/tests/prepaid/test_treasury.py
@@ -46,11 +46,10 @@
 
 
 async def test_stopping_router_retries_returns_until_its_timeout() -> None:
-    """A stopping router keeps retrying while the store throttles its writes.
+    """Guards against giving up long before the timeout while writes are throttled.
 
-    A router whose writes were slow, since others wrote the same budgets, gave up after
-    0.6 s of the 8 s it had.  494,000 tokens of four budgets were not returned, and its
-    successor did not reclaim them, since the row of its limits was removed.
+    The tokens would stay granted: after a stop no successor reclaims them, because the
+    stop removes the row of the router's limits.
     """
     history = RowHistory()
     one = router(history)
@@ -74,10 +73,10 @@
 
 
 async def test_stopping_router_draws_nothing_after_its_return() -> None:
-    """A stopping router must not draw again after it has returned its grants.
+    """Guards against periodic rounds that draw again after the return of a grant.
 
-    The periodic rounds continued until the process ended and drew the grants again.
-    With three planned stops in a day, a third of one budget was not returned.
+    The rounds continue until the process ends, so at each planned stop the tokens of a
+    whole grant would stay granted.
     """
     history = RowHistory()
     one = router(history)
@@ -96,11 +95,11 @@
 
 @pytest.mark.parametrize("late", ["stock", "request"])
 async def test_grant_opened_during_the_return_draws_nothing(late: str) -> None:
-    """A grant is opened and draws tokens while a stopping router returns its grants.
+    """Guards against draws of a grant that is opened while a router returns its grants.
 
-    Either a request opens it, or the task that opens grants ahead of requests.  The
-    return covers only grants that were open when it began, so after each planned stop
-    the tokens of one whole grant would be missing.
+    Either a request opens the grant, or the task that opens grants ahead of requests.
+    The return covers only grants that were open when it began, so the tokens of the
+    new grant would stay granted.
     """
     history = RowHistory()
     one = router(history)
@@ -124,10 +123,10 @@
 
 
 async def test_grant_opened_after_the_return_draws_nothing() -> None:
-    """A router that has returned its grants opens another one before it exits.
+    """Guards against draws of a grant that is opened after the return of all grants.
 
-    The tokens of the new grant were drawn after the list of grants to return was read.
-    The row of limits was then removed, so no successor reclaimed them either.
+    Nothing would return its tokens: the return is over, and the stop removes the row of
+    limits without which no successor can reclaim them.
     """
     history = RowHistory()
     one = router(history)
@@ -147,9 +146,10 @@
 
 
 async def test_stopping_router_reclaims_nothing() -> None:
-    """A router is stopped before it has reclaimed its predecessor's grant.
+    """Guards against a reclaim after a stopping router has returned its own grant.
 
-    Tokens reclaimed after the return of its own grant were never returned.
+    Nothing would return the reclaimed tokens.  The router is stopped before it has
+    reclaimed its predecessor's grant.
     """
     history = RowHistory()
     two = await successor_of_killed(history)
@@ -165,7 +165,7 @@
 
 
 async def test_stop_waits_for_a_running_reclaim() -> None:
-    """Tokens reclaimed just before the return must be returned with the rest."""
+    """Guards against a return that misses tokens reclaimed at the same time."""
     history = RowHistory()
     two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
@@ -184,10 +184,10 @@
 
 @pytest.mark.parametrize("value", DAMAGED)
 async def test_damaged_budget_row_affects_only_its_workspace(value: Json) -> None:
-    """Another client writes an invalid value to a budget row.
+    """Guards against an invalid budget row that ends the rounds for all budgets.
 
-    Routers that read it raised an error that was not handled as a store error, which
-    ended their rounds for all budgets.
+    Another client writes the row.  An error in decoding it must be handled like a store
+    error.
     """
     history = RowHistory()
     one = router(history)
@@ -208,10 +208,9 @@
 async def test_failing_grant_does_not_prevent_other_returns(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A router stops after an unexpected error in one grant, and returns the others.
+    """Guards against an unexpected error in one grant that ends the whole stop.
 
-    The error of the one grant ended the return of all grants and the stop.  Open
-    requests were cut, and the other grants were not returned.
+    The other grants would not be returned, and open requests would be aborted.
     """
     history = RowHistory()
     one = router(history)
