--- a/ebonyhold/gateway/__main__.py
+++ b/ebonyhold/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a gateway as ``python -m ebonyhold.gateway``."""
+"""Entry point of ``python -m ebonyhold.gateway``."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 import sys
 import time
 
-# The imports below take most of the start, so the time is read before them.
-# The previous incarnation cannot have run after this time.
+# The time is read before the imports, which take most of the startup.
+# The previous process on this VM had ended by then, so the time after it is not
+# counted as that process's running time.
 BEGAN_AT = time.monotonic()
 
 import anyio  # noqa: E402
@@ -25,7 +26,7 @@
 
 
 def main() -> None:
-    """Run one gateway until a signal stops it."""
+    """Run one gateway and exit with its status, or with 2 for invalid settings."""
     block_signals()
     try:
         peers = platform_peers()
--- a/ebonyhold/gateway/_explain.py
+++ b/ebonyhold/gateway/_explain.py
@@ -30,14 +30,14 @@
         "stopping",
     }
 )
-"""Messages that record a change of a router's state: configuration, grants, servers."""
+"""Messages about a router's state, such as its configuration, grants or servers."""
 
 MAX_CONTEXT_LINES = 12
-"""Maximum number of state lines that are shown with the request's own lines."""
+"""Maximum number of lines about a router's state, besides the request's own lines."""
 
 
 def is_context(line: LogLine, workspaces: set[str]) -> bool:
-    """Return whether a line records a state that can affect these workspaces."""
+    """Return whether a line is about a router's state and no other workspace."""
     if line.message not in CONTEXT_MESSAGES:
         return False
     workspace = line.fields.get("workspace")
@@ -52,8 +52,10 @@
         lines: The logs of all routers, as written.
 
     Returns:
-        The last state lines of the routers that handled the request, together with the
-        request's own lines.
+        The request's own lines, with the last `MAX_CONTEXT_LINES` lines, in the order
+        of `lines`, about the state of the routers that handled the request. Lines that
+        are later than the request's last one are left out. Empty if no line names the
+        request.
     """
     read = [found for found in map(read_line, lines) if found is not None]
     request_lines = [line for line, name in read if name == request]
--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -49,7 +49,8 @@
 """The port that Prometheus exporters commonly use."""
 
 FINAL_SETTLEMENT_TIMEOUT: Seconds = 0.05
-"""Time for reporting the cost of the last requests to their holders at the stop."""
+"""Timeout for sending the last settlements at the end of the stop. Those not sent by
+then are lost, and their holders charge the full amount of each hold."""
 
 EXPIRY_INTERVAL: Seconds = 0.25
 """Interval between two checks for servers whose grace period is over."""
@@ -57,7 +58,7 @@
 
 @define(eq=False)
 class Gateway:
-    """Forwards callers' requests by the configuration and server list in the store.
+    """Forwards callers' requests according to the configuration and server list.
 
     Attributes:
         platform: Settings, store and decoders of the platform.
@@ -170,7 +171,7 @@
         return supervisor.status
 
     def supervise(self, tasks: TaskGroup) -> Supervisor:
-        """Return the supervisor of this process's tasks."""
+        """Create the supervisor, which also runs each return of a grant at the stop."""
 
         def stop() -> None:
             supervisor.start("stop", self.stop, tasks)
@@ -180,7 +181,10 @@
         return supervisor
 
     def start_listeners(self, tasks: TaskGroup, supervisor: Supervisor) -> None:
-        """Listen for callers, readiness checks, metrics scrapes and other gateways."""
+        """Start the listeners, and the tasks for connections and overload.
+
+        Other gateways are served only if the settings contain a port for them.
+        """
         settings = self.platform.settings
         self.pool = ChannelPool(GuardedTasks(supervisor, "server connection"))
         forwarder = Forwarder(
@@ -218,7 +222,10 @@
             supervisor.start("lent holds", handler.expire)
 
     def ages(self) -> dict[str, Seconds]:
-        """Return the time since the rules and the servers were last read, rounded."""
+        """Return how long ago the store last answered for rules and for servers.
+
+        In seconds, rounded to 0.01 s; infinite before the first answer.
+        """
         now = anyio.current_time()
         return {
             "rules_age": round(self.rules_watcher.age(now), 2),
@@ -226,33 +233,37 @@
         }
 
     def current_rules(self) -> Ruleset | None:
-        """Return the rules in force; None until rules and servers have been read."""
+        """Return the current rules; None until both rules and servers were read."""
         return self.routing.rules if self.servers_watcher.first_read.is_set() else None
 
     @property
     def ready(self) -> bool:
-        """Whether the load balancer should send new callers to this router."""
+        """Whether the load balancer should send new callers to this router.
+
+        It should not before rules and servers were read, during the stop, and while the
+        router is overloaded.
+        """
         known = self.current_rules() is not None
         return known and not self.draining and not self.pressure.high
 
     async def answer_readiness(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer a readiness check with 200 or 503."""
+        """Answer a readiness check with 200 if this router is `ready`, else 503."""
         del head, body
         await connection.answer(200 if self.ready else 503, [], b"")
 
     async def answer_metrics(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer a scrape with the metrics."""
+        """Update the gauges, and answer a scrape with all metrics."""
         del head, body
         self.update_gauges()
         content = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
         await connection.answer(200, [content], self.metrics.render())
 
     def update_gauges(self) -> None:
-        """Set the gauges to their current values."""
+        """Set the gauges for the configuration, servers, grants and event loop."""
         rules = self.routing.rules
         self.metrics.rules_version.set(rules.version if rules else 0)
         now = anyio.current_time()
@@ -274,32 +285,36 @@
             self.metrics.connections.set(self.pool.opened)
 
     async def reclaim(self) -> None:
-        """Reclaim the grants that earlier incarnations left behind."""
+        """Reclaim the grants of earlier incarnations, once the VM's row is taken over.
+
+        If some grants of an incarnation cannot be reclaimed, the row goes on naming it,
+        so that the next incarnation tries again.
+        """
         await self.renewals.started.wait()
         for predecessor in self.renewals.unreclaimed:
             if await self.treasury.reclaim(predecessor):
                 self.renewals.reclaimed(predecessor.router)
 
     async def expire_servers(self) -> None:
-        """Drop servers that did not come back after an outage, until cancelled."""
+        """Remove servers whose entries did not return after an outage, repeatedly."""
         while True:
             await anyio.sleep(EXPIRY_INTERVAL)
             self.routing.backends.expire(anyio.current_time())
 
     async def handle_signals(self, stop: Callable[[], None]) -> None:
-        """Handle signals until cancelled; SIGTERM and SIGINT begin the stop."""
+        """Begin the stop on SIGTERM or SIGINT, and ignore SIGHUP, until cancelled."""
         with watched_signals() as signals:
             async for number in signals:
                 if number is signal.SIGHUP:
-                    # The listeners keep their addresses until the process ends.
-                    # All other configuration comes from the store.
+                    # There is nothing to reload: addresses cannot change while the
+                    # process runs, and the configuration is read from the store.
                     log.info("SIGHUP ignored; settings are read only at the start")
                     continue
                 log.info("stopping", extra={"signal": number.name})
                 stop()
 
     async def stop(self, tasks: TaskGroup) -> None:
-        """Stop without cutting a request, as far as the grace period allows."""
+        """Run the orderly stop, and then cancel all tasks; later calls do nothing."""
         if self.draining:
             return
         self.draining = True
@@ -310,6 +325,6 @@
         tasks.cancel_scope.cancel()
 
     async def leave(self) -> None:
-        """Remove this router's rows from the store."""
+        """Remove this router's presence row, and its limits row unless still needed."""
         await self.renewals.leave()
         await self.presence.leave()
--- a/ebonyhold/gateway/_holds.py
+++ b/ebonyhold/gateway/_holds.py
@@ -2,7 +2,8 @@
 
 A hold is requested by a POST to `HOLDS_TARGET` with a `WantedHold` as JSON and answered
 with a `HoldAnswer`. The cost of ended holds is sent to their holder by a POST to
-`SETTLEMENTS_TARGET`, which is repeated until the holder has confirmed it.
+`SETTLEMENTS_TARGET`, which is repeated until the holder confirms it or
+`SETTLEMENT_EXPIRY` has passed.
 """
 
 from __future__ import annotations
@@ -34,29 +35,29 @@
 SETTLEMENTS_TARGET = b"/settlements"
 
 HOLD_TIMEOUT: Seconds = 0.4
-"""Timeout of a hold request; the holder may have to call the store for it."""
+"""Timeout of a hold request; the holder may have to call the store first."""
 
 SETTLEMENT_TIMEOUT: Seconds = 0.4
 """Timeout of a settlement message."""
 
 BATCH_DELAY: Seconds = 0.1
-"""Time for which settlements are collected into one message.
+"""Delay before queued settlements are sent, so that several share a message.
 
-Until a settlement arrives, the holder keeps the request's maximum cost on hold.
+It is short, since the holder keeps each request's maximum cost on hold until then.
 """
 
 SETTLEMENT_EXPIRY: Seconds = 20.0
 """Time after which an unconfirmed settlement is dropped.
 
-A holder that was killed has lost its holds, and one that is cut off for longer charges
-them in full.
+A holder that was killed has lost its holds, and one that was only unreachable charges
+them in full when they expire.
 """
 
 RETRY_DELAY: Seconds = 0.5
 """Delay before unconfirmed settlements are sent again."""
 
 EXPIRY_INTERVAL: Seconds = 1.0
-"""Interval between two checks for remote holds that were never settled."""
+"""Interval between two checks for remote holds that expired without a settlement."""
 
 
 @frozen
@@ -68,7 +69,7 @@
 
 @frozen
 class Settlements:
-    """The cost of ended holds, by hold identifier."""
+    """A settlement message: the tokens to charge for each ended hold."""
 
     charges: dict[HoldId, Tokens] = field(factory=dict)
 
@@ -80,7 +81,7 @@
 
 @frozen
 class PendingSettlement:
-    """The charge of an ended hold that its holder has not confirmed."""
+    """The charge of an ended hold, unconfirmed by its holder, and its queueing time."""
 
     charge: Tokens
     since: Seconds
@@ -93,7 +94,7 @@
     Attributes:
         peers: Sends messages to the other gateways.
         count: Called with the outcome of each hold request.
-        pending: Unconfirmed settlements, by holder.
+        pending: Unconfirmed settlements, by holder and hold identifier.
         due: Set when there are settlements to send.
     """
 
@@ -103,13 +104,16 @@
     due: anyio.Event = field(factory=anyio.Event)
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Request a hold; the outcome is UNAVAILABLE if the holder does not answer."""
+        """Request a hold, and count the outcome; UNAVAILABLE without an answer."""
         outcome = await self.request_hold(peer, wanted)
         self.count(outcome)
         return outcome
 
     async def request_hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
-        """Request a hold from a holder unless it recently failed to answer."""
+        """Request a hold; return UNAVAILABLE without a valid answer.
+
+        A holder that is being avoided is sent no request.
+        """
         if not self.peers.is_available(peer, anyio.current_time()):
             return HoldOutcome.UNAVAILABLE
         answered = False
@@ -120,18 +124,19 @@
             answered = answer is not None
         finally:
             if not answered:
-                # The request may still arrive; this settlement releases its hold.
+                # The holder may have made the hold or may still do so.
+                # This settlement releases it.
                 self.settle(peer, wanted.hold, 0)
         return answer.outcome if answer is not None else HoldOutcome.UNAVAILABLE
 
     def settle(self, peer: str, hold: HoldId, charge: Tokens) -> None:
-        """Queue a settlement, which is sent until the holder has confirmed it."""
+        """Queue a settlement, which is sent until it is confirmed or expires."""
         pending = self.pending.setdefault(peer, {})
         pending[hold] = PendingSettlement(charge, anyio.current_time())
         self.due.set()
 
     async def run(self) -> None:
-        """Send settlements to their holders until cancelled."""
+        """Send queued settlements, and repeat unconfirmed ones, until cancelled."""
         while True:
             await self.due.wait()
             await anyio.sleep(BATCH_DELAY)
@@ -142,13 +147,17 @@
                 await anyio.sleep(RETRY_DELAY)
 
     async def send_all(self) -> None:
-        """Send each holder its unconfirmed settlements once."""
+        """Send all holders their unconfirmed settlements once, concurrently."""
         async with anyio.create_task_group() as tasks:
             for peer in list(self.pending):
                 tasks.start_soon(self.send_pending, peer)
 
     async def send_pending(self, peer: str) -> None:
-        """Send one holder its unconfirmed settlements unless it is being avoided."""
+        """Send one holder its unconfirmed settlements, without the expired ones.
+
+        Nothing is sent while the holder is being avoided. Without a confirmation, the
+        settlements stay queued.
+        """
         now = anyio.current_time()
         sent = self.drop_expired(peer, now)
         if not sent or not self.peers.is_available(peer, now):
@@ -167,7 +176,7 @@
 
     def drop_expired(self, peer: str, now: Seconds) -> dict[HoldId, PendingSettlement]:
         """Drop the expired settlements of a holder; return the others."""
-        # A concurrent call may have sent all settlements of this holder already.
+        # There are none if a concurrent call has already sent all of this holder.
         pending = self.pending.get(peer, {})
         kept = {
             hold: one
@@ -199,7 +208,7 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Serve one message, by its request target."""
+        """Answer one message according to its target; a malformed one gets 400."""
         answer: HoldAnswer | Settled
         try:
             if head.target == HOLDS_TARGET:
@@ -217,17 +226,17 @@
         await connection.answer(200, ANSWER_HEADERS, content)
 
     async def hold(self, body: bytes) -> HoldAnswer:
-        """Hold tokens for a request of another gateway."""
+        """Hold tokens for a request of another gateway, and return the outcome."""
         return HoldAnswer(await self.remote_holds.hold(read_message(body, WantedHold)))
 
     def settle(self, body: bytes) -> Settled:
-        """Settle holds at the charges in a message."""
+        """End the holds that a settlement message names, with the charges in it."""
         for hold, charge in read_message(body, Settlements).charges.items():
             self.remote_holds.settle(hold, charge)
         return Settled()
 
     async def expire(self) -> None:
-        """Charge holds that were never settled in time, until cancelled."""
+        """Charge expired holds in full, at regular intervals, until cancelled."""
         while True:
             await anyio.sleep(EXPIRY_INTERVAL)
             self.remote_holds.expire(anyio.current_time())
--- a/ebonyhold/gateway/_listening.py
+++ b/ebonyhold/gateway/_listening.py
@@ -1,4 +1,4 @@
-"""Listens at an address, and can do so again after a failure."""
+"""Runs a listener at an address, again if an earlier run failed."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EACCES, errno.EPERM}
 )
 """Errors that mean that the address cannot be used. Others, such as too many open
-files, can come from accepting a connection and are transient."""
+files, can occur while connections are accepted, and are transient."""
 
 
 class ListenError(EbonyholdError):
-    """An address cannot be listened at: its port is taken or it is not local."""
+    """An address cannot be listened at: taken, not local, forbidden or unknown."""
 
     code = "address_unusable"
 
@@ -29,13 +29,16 @@
 ) -> None:
     """Accept connections until the listener's `accepting` scope is cancelled.
 
+    If it was cancelled before the call, return at once.
+
     Args:
-        listener: Serves the connections; an earlier call may have failed.
+        listener: Serves the connections; it can be used again after a failed call.
         address: The host and port.
         tasks: The task group that serves the connections.
 
     Raises:
         ListenError: The address cannot be used.
+        OSError: Accepting connections failed for another reason.
     """
     if listener.accepting.cancel_called:
         return
--- a/ebonyhold/gateway/_loglines.py
+++ b/ebonyhold/gateway/_loglines.py
@@ -35,9 +35,13 @@
 
 
 def read_line(text: str) -> tuple[LogLine, str] | None:
-    """Parse a log line and its request identifier; return None for other lines.
+    """Return a router's log line and the request identifier in it.
 
-    Text before the JSON, such as a timestamp that another program added, is ignored.
+    The identifier is empty if the line has none. Text before the JSON object, such as
+    a timestamp that another program added, is ignored.
+
+    Returns:
+        None if the text contains no log line of a router.
     """
     start = text.find("{")
     if start < 0:
--- a/ebonyhold/gateway/_losses.py
+++ b/ebonyhold/gateway/_losses.py
@@ -15,13 +15,13 @@
 from ebonyhold.types import RequestId, RouterId, Tokens, WorkspaceName
 
 WINDOW_SECONDS = 2
-"""Time that one row of the table by time covers, in seconds."""
+"""Time that one row of the table "Lost, by time" covers, in seconds."""
 
 REFUSALS = frozenset(refusal.code for refusal in Refusal)
 
 
 class TokenCause(Enum):
-    """Why a request got no tokens; if several causes apply, the first one."""
+    """Why a request got no tokens; if several members apply, the first of them."""
 
     ABOVE_LIMIT = "tokens here, above the limit"
     STORE_UNREACHABLE = "tokens in the budget, store away"
@@ -32,14 +32,14 @@
 
 @define
 class BudgetTokens:
-    """One workspace's tokens, as far as the lines read so far show.
+    """One workspace's tokens, according to the lines read so far.
 
     Attributes:
         prepaid: Last logged prepaid tokens.
         spent: Last logged tokens that were filed as spent.
         remaining: Last logged tokens in the budget's row.
-        available: Available tokens by router, for current incarnations only.
-        stranded: Tokens of dead incarnations that were neither filed nor returned.
+        available: Last logged available tokens of each router's current incarnation.
+        stranded: Tokens of ended incarnations that were neither filed nor returned.
     """
 
     prepaid: Tokens = 0
@@ -49,7 +49,7 @@
     stranded: Tokens = 0
 
     def cause(self, line: LogLine) -> TokenCause:
-        """Return why a request got no tokens."""
+        """Return why the request of a "tokens refused" line got none."""
         fields = line.fields
         amount = fields["amount"]
         elsewhere = sum(self.available.values()) - self.available.get(line.router, 0)
@@ -88,7 +88,7 @@
     began: datetime | None = None
 
     def read(self, line: LogLine, request: RequestId) -> None:
-        """Process one line; lines must come in order of time."""
+        """Process one line; lines must be passed in order of time."""
         if self.began is None:
             self.began = datetime.fromisoformat(line.time)
         reader = READERS.get(line.message)
@@ -96,11 +96,11 @@
             reader(self, line, request)
 
     def budget(self, line: LogLine) -> BudgetTokens:
-        """Return the tokens of the workspace that a line names."""
+        """Return the entry of the workspace that a line names, created if new."""
         return self.budgets.setdefault(line.fields["workspace"], BudgetTokens())
 
     def count(self, line: LogLine, cause: str) -> None:
-        """Count one lost request."""
+        """Count one lost request by cause, by route and by time."""
         assert self.began is not None
         seconds = (datetime.fromisoformat(line.time) - self.began).total_seconds()
         self.causes[cause] += 1
@@ -111,7 +111,7 @@
 Reader: TypeAlias = Callable[[Losses, LogLine, RequestId], None]
 
 READERS: dict[str, Reader] = {}
-"""The function that processes a line, by its message."""
+"""The function that processes a line, by the line's message; others are ignored."""
 
 
 def reads(*messages: str) -> Callable[[Reader], Reader]:
@@ -126,7 +126,10 @@
 
 @reads("starting")
 def read_start(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Forget the previous incarnation's tokens; its reclaim is logged separately."""
+    """Drop the available tokens of the router's previous incarnation.
+
+    A later line about their reclaim shows how many of them are stranded.
+    """
     del request
     for tokens in losses.budgets.values():
         tokens.available.pop(line.router, None)
@@ -134,7 +137,7 @@
 
 @reads("grant changed")
 def read_grant(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Store the tokens of a router and of the budget's row."""
+    """Store the available tokens of a router, and the contents of the budget's row."""
     del request
     tokens = losses.budget(line)
     tokens.spent = line.fields["spent"]
@@ -144,7 +147,7 @@
 
 @reads("grant reclaimed", "grant not reclaimed")
 def read_reclaim(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Add the tokens of a dead incarnation that were neither returned nor filed."""
+    """Count an ended incarnation's tokens as stranded if not returned or filed."""
     del request
     fields = line.fields
     left = fields["granted"] - fields["returned"] - fields["filed"]
@@ -153,7 +156,7 @@
 
 @reads("tokens refused")
 def read_token_refusal(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Store why a request got no tokens."""
+    """Store why a request got no tokens, for its "refused" line, which follows."""
     tokens = losses.budget(line)
     tokens.prepaid = line.fields["prepaid"] or tokens.prepaid
     cause = tokens.cause(line).value
@@ -163,13 +166,13 @@
 
 @reads("refused")
 def read_refusal(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count a request that a router refused."""
+    """Count a refused request by its stored lack of tokens, or else by its code."""
     losses.count(line, losses.token_causes.pop(request, line.fields["code"]))
 
 
 @reads("request ended")
 def read_end(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count a request that failed; a refused request has its own "refused" line."""
+    """Count a request that failed; refused ones are counted at "refused" lines."""
     del request
     outcome = line.fields["outcome"]
     if outcome != DELIVERED and outcome not in REFUSALS:
@@ -177,7 +180,7 @@
 
 
 def find_losses(lines: Iterable[str]) -> Losses:
-    """Return the requests that were not served, by cause.
+    """Count the requests that were not served, in the ways that `Losses` lists.
 
     Args:
         lines: The logs of all routers, as written, in any order.
@@ -192,7 +195,7 @@
 def table(
     title: str, headers: Sequence[str], rows: Iterable[Sequence[Any]]
 ) -> list[str]:
-    """Return the lines of a table with aligned columns."""
+    """Return a table's title, indented rows with aligned columns, and an empty line."""
     cells = [[str(cell) for cell in row] for row in (headers, *rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     lines = [
@@ -203,7 +206,11 @@
 
 
 def report(losses: Losses) -> list[str]:
-    """Return the lines of a report on lost requests."""
+    """Return the lines of the report's tables.
+
+    They show lost requests by cause, by route and by time, refusals for lack of tokens
+    by workspace, and the last logged tokens of each workspace.
+    """
     routes = [(cause, route, n) for (cause, route), n in losses.routes.most_common()]
     workspaces = [
         (cause, name, n) for (cause, name), n in losses.workspaces.most_common()
--- a/ebonyhold/gateway/_messages.py
+++ b/ebonyhold/gateway/_messages.py
@@ -1,4 +1,4 @@
-"""JSON messages between gateways."""
+"""Parses JSON messages from other gateways."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read_message(body: bytes, as_type: type[T]) -> T:
-    """Parse a message of another gateway.
+    """Return the object of type `as_type` in the body of another gateway's message.
 
     Raises:
         MalformedMessageError: It is not JSON or does not have the expected type.
--- a/ebonyhold/gateway/_meters.py
+++ b/ebonyhold/gateway/_meters.py
@@ -14,10 +14,10 @@
 from ebonyhold.types import Seconds
 
 ANSWER_BUCKETS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 2.0, 5.0)
-"""Bounds in seconds, chosen around the usual target latencies."""
+"""Upper bounds of the histogram's buckets in seconds, around usual latency targets."""
 
 MAX_ROUTES = 60
-"""Maximum number of routes with their own label; all others share one."""
+"""Maximum number of routes with their own label; all others count as "other"."""
 
 
 class GatewayMeters:
@@ -98,15 +98,15 @@
         self.holds.labels(outcome.value).inc()
 
     def count_late(self, taken: bool) -> None:
-        """Count a request that arrived while the process was stopping."""
+        """Count a request that arrived during the stop, as accepted or refused."""
         self.late_requests.labels("taken" if taken else "refused").inc()
 
     def count_task_failure(self, task: str, then: str) -> None:
-        """Count a failure of one of the gateway's tasks."""
+        """Count a failure of a task, by task and by the name of the applied policy."""
         self.failures.labels(task, then).inc()
 
     def count_request(self, route: str, outcome: str, length: Seconds) -> None:
-        """Count a request that ended, and record its duration."""
+        """Count an ended request by its outcome, and record its duration."""
         if route not in self.routes and len(self.routes) >= MAX_ROUTES:
             route = "other"
         self.routes.add(route)
--- a/ebonyhold/gateway/_output.py
+++ b/ebonyhold/gateway/_output.py
@@ -15,10 +15,10 @@
 log = logging.getLogger(__name__)
 
 MAX_BUFFERED_BYTES = 262_144
-"""Maximum number of buffered bytes; further lines are dropped."""
+"""Lines are dropped while more bytes than this are buffered."""
 
 MAX_LINES_PER_SECOND = 100
-"""Maximum number of lines of one kind per second; further ones are counted.
+"""Maximum number of lines of one kind per second; further ones are dropped.
 
 A router usually handles about 15 requests per second.
 """
@@ -30,13 +30,14 @@
 class BoundedOutput:
     """A stream that writes to a non-blocking descriptor and never waits for it.
 
-    With blocking writes, a log reader that stops reading would stop the process at its
-    next log line, and all requests with it.
+    With blocking writes, a log reader that stops reading would block the process, and
+    with it all requests, as soon as the pipe is full.
 
     Attributes:
         descriptor: Where to write; it is made non-blocking.
         buffer: Bytes that have not been written yet.
-        dropped: Number of times that output was lost: dropped lines and failed writes.
+        dropped: Number of dropped lines, plus one for each failed write, which discards
+            the buffer.
     """
 
     descriptor: int
@@ -47,7 +48,7 @@
         os.set_blocking(self.descriptor, False)
 
     def write(self, text: str) -> None:
-        """Buffer a line, or drop it if the buffer is full."""
+        """Buffer a line; drop it if the buffer is full and cannot be written."""
         if len(self.buffer) > MAX_BUFFERED_BYTES:
             self.push()
         if len(self.buffer) > MAX_BUFFERED_BYTES:
@@ -60,7 +61,10 @@
         self.push()
 
     def push(self) -> None:
-        """Write until the buffer is empty or the descriptor is full."""
+        """Write until the buffer is empty or the descriptor would block.
+
+        The buffer is discarded if writing fails for another reason.
+        """
         try:
             while self.buffer:
                 written = os.write(self.descriptor, self.buffer)
@@ -68,24 +72,24 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader has closed its end, so the buffered lines cannot be delivered.
+            # The reader has closed its end, for example.
             self.dropped += 1
             self.buffer.clear()
 
 
 @define(eq=False)
 class RateLimit(logging.Filter):
-    """Limits the lines of each kind per second, and counts those left out.
+    """Limits the lines of each kind per second, and counts the suppressed ones.
 
-    The kind of a line is its message without fields. The first line that passes after
-    some were left out has their number in the field `left_out`.
+    The kind of a line is its message without fields. After some lines of a kind were
+    suppressed, the next one that passes has their number in the field `left_out`.
 
     Attributes:
         max_lines: Maximum number of lines of one kind per second.
         clock: Returns the time in seconds.
-        second: The second that `passed` counts.
-        passed: Lines that passed in it, by kind.
-        suppressed: Lines left out since the last one that passed, by kind.
+        second: The clock's current second, as a whole number.
+        passed: Number of lines that passed during `second`, by kind.
+        suppressed: Number of lines suppressed since the last that passed, by kind.
     """
 
     max_lines: int = MAX_LINES_PER_SECOND
@@ -95,7 +99,7 @@
     suppressed: dict[str, int] = field(factory=dict)
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a line is written."""
+        """Return whether a line passes; set its `left_out` if lines were suppressed."""
         now = int(self.clock())
         if now != self.second:
             self.second = now
@@ -123,12 +127,15 @@
 
 
 def configure_output(level: str, router: str, descriptor: int) -> logging.Handler:
-    """Send all logs to a descriptor as JSON lines.
+    """Send all logs and uncaught exceptions to a descriptor as JSON lines.
 
     Args:
         level: The minimum severity that is written.
         router: The router's name, which each line contains.
-        descriptor: Where to write.
+        descriptor: Where to write; it is made non-blocking.
+
+    Returns:
+        The installed handler, which replaces all others of the root logger.
     """
     handler = logging.StreamHandler(BoundedOutput(descriptor))
     handler.addFilter(RateLimit())
--- a/ebonyhold/gateway/_pace.py
+++ b/ebonyhold/gateway/_pace.py
@@ -1,8 +1,8 @@
 """Scales the intervals of periodic store calls with the number of routers.
 
-The store's limits apply to all routers together. The number of periodic calls grows
-with the number of routers, and the rows that they read of all other routers with its
-square.
+The store's limits apply to all routers together. At fixed intervals, the number of
+calls would grow with the number of routers, and the number of rows read with its square
+where each router reads a row of every other one.
 """
 
 from __future__ import annotations
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -1,4 +1,4 @@
-"""Announces this router to the other routers, and counts them."""
+"""Stores this router's presence row, and counts the routers by theirs."""
 
 from __future__ import annotations
 
@@ -25,41 +25,45 @@
 log = logging.getLogger(__name__)
 
 TABLE = "routers"
-"""The table of the presence rows by which routers count each other, in one part."""
+"""The table with one presence row per VM, all in the part with the empty name."""
 
 COUNT_INTERVAL: Seconds = 4.0
-"""Interval between two counts of the routers, before scaling to a large fleet."""
+"""Interval between two counts of the routers; it is scaled in a large fleet."""
 
 FIRST_COUNT_INTERVAL: Seconds = 1.5
-"""Interval between the first two counts.
+"""Interval between counts until `SETTLED_COUNTS` of them have succeeded.
 
-Routers that start at the same time find few of the others at first.
+It is short, since routers that start together find few of the others at first.
 """
 
 SETTLED_COUNTS = 2
-"""Number of counts after which the fleet is known well enough to draw tokens ahead."""
+"""Number of successful counts after which tokens may be drawn before they are needed.
+
+Earlier, the number of routers, which decides this router's share, is not reliable.
+"""
 
 GONE_AFTER_READINGS = 4
-"""A router is no holder after this many readings in a row that found its row unchanged.
+"""Number of readings with an unchanged row after which a router is no holder.
 
-They are counted in readings, not seconds: during an outage of the store no row changes
-and none is read.
+It is a number of readings, not a time, so that an outage of the store, in which no row
+changes and none is read, removes no holder.
 """
 
 MAX_MISSED_COUNTS = 3.5
-"""A router is not counted if its row has not changed for this many count intervals."""
+"""Number of count intervals without a change of its row until a router is not counted.
+"""
 
 ASSUMED_ROUTERS = 8
 """The number of routers that is assumed before the first reading.
 
-If it is too high, a router spends too little of shared budgets for a moment; if it is
-too low, too much.
+Until then, too high a number makes this router's share of each budget too small, and
+too low a number makes it too large.
 """
 
 FORGET_AFTER: Seconds = 60.0
-"""A router is sent no requests if its row has not changed for this long.
+"""Time without a change of its row after which a router is sent no messages.
 
-It is longer than usual outages of the store, during which no row changes.
+Usual outages of the store, during which no row changes, are shorter.
 """
 
 MIN_COUNT_SHARE = 0.5
@@ -74,9 +78,10 @@
     """A router's stored row, at ``routers//{vm}``.
 
     Attributes:
-        router: The incarnation that wrote it.
-        address: Where other routers reach it, as "host:port"; empty if they cannot.
-        domain: Its failure domain.
+        router: The incarnation that wrote the row.
+        address: Where other routers reach this one, as "host:port"; empty if they
+            cannot.
+        domain: The router's failure domain.
     """
 
     router: RouterId = ""
@@ -90,7 +95,7 @@
 
     Attributes:
         version: The version of the row.
-        at: When this version was first read.
+        at: When this version was first read, by this process's clock.
         row: The content of the row.
         unchanged: Number of later readings with the same version.
     """
@@ -102,7 +107,7 @@
 
 
 def read_presence(row: Row) -> PresenceRow:
-    """Return the content of a presence row; an empty one if the row is damaged."""
+    """Return the content of a row; if it is damaged, log that and return defaults."""
     try:
         return read_row(row, PresenceRow)
     except DamagedRowError as error:
@@ -125,14 +130,15 @@
         store: The store.
         name: This VM's name.
         incarnation: This router's incarnation.
-        address: Where other routers reach this one, as "host:port".
-        domain: Its failure domain.
-        on_count: Called after each count with the routers' failure domains.
+        address: Where other routers reach this one, as "host:port"; empty if they
+            cannot.
+        domain: This router's failure domain.
+        on_count: Called after each count with the result of `fleet`.
         observed: The last observed change of each router's row, by key.
         max_counted: The highest count so far.
-        counts: The number of counts so far.
-        interval: Time between two counts.
-        leaving: Whether the process is about to end.
+        counts: The number of successful counts so far.
+        interval: Time between two counts, scaled to the number of routers.
+        leaving: Whether `leave` was called, after which no row is written.
     """
 
     store: GatewayStore
@@ -153,7 +159,11 @@
         return f"{TABLE}//{self.name}"
 
     def count(self) -> int:
-        """Return the number of routers, including this one."""
+        """Return the number of routers, including this one.
+
+        It is `ASSUMED_ROUTERS` before the first reading, and later at least
+        `MIN_COUNT_SHARE` of the highest count so far.
+        """
         if not self.observed:
             return ASSUMED_ROUTERS
         now = anyio.current_time()
@@ -163,7 +173,7 @@
         return max(1, alive, int(self.max_counted * MIN_COUNT_SHARE))
 
     async def run(self) -> None:
-        """Write this router's row and count the others, until cancelled."""
+        """Count the routers until cancelled; failures are logged and tried again."""
         while True:
             try:
                 await self.count_routers()
@@ -176,7 +186,8 @@
     async def count_routers(self) -> None:
         """Write this router's row and read those of all routers."""
         if self.leaving:
-            # Others would go on counting this router if its row were written again.
+            # If the removed row were written again, the others would go on counting
+            # this router.
             return
         own = PresenceRow(self.incarnation, self.address, self.domain)
         put = Put(self.key, to_json(own))
@@ -185,11 +196,11 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the fleet is known well enough to draw tokens in advance."""
+        """Whether enough counts succeeded to draw tokens before they are needed."""
         return self.counts >= SETTLED_COUNTS
 
     def observe(self, rows: list[Row]) -> None:
-        """Record which rows have changed, and report the fleet."""
+        """Record which rows have changed since the last reading; call `on_count`."""
         now = anyio.current_time()
         self.counts += 1
         for row in rows:
@@ -203,11 +214,14 @@
         self.on_count(self.fleet({row.key for row in rows}))
 
     def fleet(self, listed: Container[str]) -> Fleet:
-        """Return the failure domains of the routers that are alive and have an address.
+        """Return the failure domain of each router that can be a holder, by VM name.
+
+        Routers without an address or with a row that was unchanged in the last
+        `GONE_AFTER_READINGS` readings are left out.
 
         Args:
-            listed: The keys of the rows in the last reading; a router that stops
-                removes its row.
+            listed: The keys of the rows in the last reading. A router that stopped has
+                removed its row and is left out too.
         """
         return {
             vm_of(key): observation.row.domain
@@ -218,7 +232,10 @@
         }
 
     def peer_addresses(self) -> dict[str, str]:
-        """Return the addresses of the other routers, by VM name."""
+        """Return the addresses of the other routers, by VM name.
+
+        Those with a row that has not changed for `FORGET_AFTER` are left out.
+        """
         now = anyio.current_time()
         return {
             vm_of(key): observation.row.address
@@ -229,7 +246,7 @@
         }
 
     async def leave(self) -> None:
-        """Remove this router's row when the process ends."""
+        """Remove this router's row and do not write it again; log a failure."""
         self.leaving = True
         try:
             await self.store.commit(Transaction((), (Delete(self.key),)))
--- a/ebonyhold/gateway/_pressure.py
+++ b/ebonyhold/gateway/_pressure.py
@@ -1,6 +1,6 @@
 """Detects that a router has more callers than it can serve, and sheds some of them.
 
-The load balancer spreads callers by a hash, and so unevenly: with 82 VMs, one got a
+The load balancer spreads callers by a hash, and so unevenly: one of 82 VMs can get a
 hundred requests per second, twenty times the mean. Its processor or its network link is
 then saturated, while other routers are idle. An overloaded router therefore fails its
 readiness checks for a while and closes callers' connections after their next answers,
@@ -24,12 +24,14 @@
 """Interval between two measurements of the event loop's delay."""
 
 SMOOTHING = 0.15
-"""The weight of a new measurement, which gives a mean over about 0.3 s. A single large
-configuration, which takes about 0.1 s to decode, then does not count as pressure."""
+"""The weight of a new measurement in the mean delay, which then covers about 0.3 s. A
+single large configuration, which takes about 0.1 s to decode, is thus not taken for an
+overload."""
 
 HIGH_DELAY: Seconds = 0.1
-"""The mean delay above which callers are shed. It is a third of the usual target for
-the first event, and one request is delayed several times."""
+"""The mean delay of the event loop above which callers are shed. It is a third of the
+usual target for the time to an answer's first event, and it delays each request several
+times."""
 
 LOW_DELAY: Seconds = 0.02
 """The mean delay below which callers are accepted again."""
@@ -40,22 +42,23 @@
 Callers whose connections were closed earlier would be sent back here."""
 
 MIN_OUT_OF_ROTATION: Seconds = 5.0
-"""The minimum time out of rotation, after which the hash sends the same callers
-again."""
+"""The minimum time out of rotation. It is not shorter since afterwards the load
+balancer's hash sends the same callers here again."""
 
 
 CONNECT_WINDOW: Seconds = 2.0
-"""Time for which a connection attempt to a server counts as evidence about the link."""
+"""Time for which a connection attempt to a server counts in the link's state."""
 
 MIN_CONNECTS = 8
-"""With fewer connection attempts in the window, the link does not count as blocked."""
+"""Minimum number of attempts in `CONNECT_WINDOW` for the link to count as blocked."""
 
 MIN_FAILED_SERVERS = 3
-"""Minimum number of servers with failed attempts; fewer may be down themselves."""
+"""Minimum number of servers with failed attempts for the link to count as blocked. With
+fewer, the servers may be down."""
 
 MAX_FAILED_SHARE = 0.5
-"""The link counts as saturated or cut if more than this share of the attempts failed. A
-connection takes about 5 ms, and its timeout is 0.25 s."""
+"""The link counts as blocked, so as saturated or cut, if more than this share of the
+attempts failed. An attempt usually takes about 5 ms and fails after 0.25 s."""
 
 
 @define
@@ -63,7 +66,7 @@
     """Decides from connection attempts to servers whether the network link works.
 
     Attributes:
-        connects: Time, server and success of each attempt.
+        connects: Time, server and success of the recent attempts, oldest first.
     """
 
     connects: deque[tuple[Seconds, BackendName, bool]] = field(factory=deque)
@@ -73,7 +76,7 @@
         self.connects.append((now, server, made))
 
     def is_blocked(self, now: Seconds) -> bool:
-        """Return whether most servers cannot be reached from this router."""
+        """Return whether most of the recent attempts failed, at several servers."""
         while self.connects and self.connects[0][0] < now - CONNECT_WINDOW:
             self.connects.popleft()
         failed = [server for _, server, made in self.connects if not made]
@@ -100,11 +103,11 @@
 
     @property
     def high(self) -> bool:
-        """Whether new callers should go to other routers."""
+        """Whether the router is out of rotation."""
         return self.high_since is not None
 
     def record(self, delay: Seconds, now: Seconds) -> None:
-        """Record a measurement of the event loop's delay."""
+        """Record a measurement, and leave or rejoin the rotation if that is due."""
         self.mean_delay += (delay - self.mean_delay) * SMOOTHING
         blocked = self.link.is_blocked(now)
         if self.high_since is None:
@@ -118,9 +121,10 @@
             self.high_since = None
 
     def should_shed(self, now: Seconds) -> bool:
-        """Return whether callers' connections should be closed.
+        """Return whether callers' connections close after their next answers.
 
-        This begins when the load balancer sends no new callers any more.
+        They do so while the router is out of rotation, but only once the load balancer
+        sends no new callers any more.
         """
         return self.high_since is not None and now - self.high_since > LEAVE_ROTATION
 
@@ -131,7 +135,7 @@
 
     Attributes:
         shed: Called with whether connections should close after their next answers.
-        detector: Decides when to leave the rotation.
+        detector: Decides when to leave the rotation and when to return.
     """
 
     shed: Callable[[bool], None]
@@ -139,7 +143,7 @@
 
     @property
     def high(self) -> bool:
-        """Whether new callers should go to other routers."""
+        """Whether readiness checks fail, so that no new callers are sent here."""
         return self.detector.high
 
     def record_connect(self, server: BackendName, made: bool) -> None:
@@ -147,7 +151,7 @@
         self.detector.link.record(server, made, anyio.current_time())
 
     async def run(self) -> None:
-        """Measure until cancelled."""
+        """Measure the event loop's delay at regular intervals until cancelled."""
         while True:
             before = anyio.current_time()
             await anyio.sleep(MEASURE_INTERVAL)
@@ -155,7 +159,7 @@
             self.step(now - before - MEASURE_INTERVAL, now)
 
     def step(self, delay: Seconds, now: Seconds) -> None:
-        """Record a measurement, and log and act on a change."""
+        """Record a measurement, log a change of rotation, and start or end shedding."""
         was_high = self.detector.high
         self.detector.record(delay, now)
         if self.detector.high is not was_high:
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -33,64 +33,67 @@
 log = logging.getLogger(__name__)
 
 TABLE = "limits"
-"""The table of the routers' spending limits, with one part per router.
+"""The table of the routers' spending limits, with one part per VM.
 
-A single part could not take the renewals of a large fleet.
+A single part could not handle the renewals of a large fleet.
 """
 
 RENEWAL_INTERVAL: Seconds = 0.4
 """Interval between two renewals.
 
-The tokens that a killed router may have used grow until its successor starts, so a
-longer interval costs tokens. A shorter one costs store calls, whose number is limited
-for the whole fleet.
+The limit of a killed router grows from its last renewal until its successor starts, and
+tokens below the limit cannot be reclaimed. So a longer interval loses more tokens, and
+a shorter one needs more of the fleet's limited number of store calls.
 """
 
 UNUSED_RENEWAL_INTERVAL: Seconds = 2.0
-"""Interval between two renewals of a router without a grant. These only check whether
-the store is reachable."""
+"""Interval between two renewals of a router without limits to renew. They only check
+whether the store is reachable."""
 
 MIN_RENEWAL_TIMEOUT: Seconds = 0.1
-"""The minimum timeout of a renewal; its answer usually takes 12 ms.
+"""The minimum timeout of a renewal; an answer usually takes 12 ms.
 
 Requests above their limit wait 0.25 s for a renewal. A lost answer must be detected
 early enough for a second renewal within that time.
 """
 
 MAX_RENEWAL_TIMEOUT: Seconds = 0.6
-"""The maximum timeout of a renewal; a store that is sixty times slower takes 0.5 s."""
+"""The maximum timeout of a renewal. A store that is sixty times slower than usual still
+answers within 0.5 s."""
 
 TIMEOUT_FACTOR = 8.0
-"""The timeout as a multiple of the usual answer time; each timeout doubles it."""
+"""The timeout as a multiple of the smoothed answer time. After a renewal that timed
+out, the next timeout is doubled instead."""
 
 LATENCY_WEIGHT = 0.2
 """The weight of the last answer's time in the smoothed answer time."""
 
 MAX_MISSES = 2
-"""Unanswered renewals in a row after which the store counts as unreachable.
+"""Number of unanswered renewals in a row after which the store counts as unreachable.
 
-A single one may be a lost answer, which the next renewal detects.
+With a single one, only its answer may have been lost, which the next renewal detects.
 """
 
 UNKNOWN_ELAPSED: Seconds = 1e6
-"""The assumed elapsed time of a predecessor until the real one is known. With it, none
-of the predecessor's tokens count as unspent."""
+"""How long a predecessor is assumed to have run after its last renewal until the real
+time is known. It is so long that all the predecessor's tokens count as spent."""
 
 MAX_UNRECLAIMED = 4
-"""Maximum number of predecessors that the row of limits names. Four kills before a
-reclaim are rare, and a row is limited to 64 KB."""
+"""Maximum number of predecessors that the row of limits names; older ones are dropped.
+Four kills before a reclaim are rare, and a row is limited to 64 KB."""
 
 
 @frozen
 class LimitsRow:
-    """What an incarnation of a VM's router may have used, at ``limits/{vm}/row``.
+    """A router's stored row with its spending limits, at ``limits/{vm}/row``.
 
     Attributes:
-        router: The incarnation.
+        router: The incarnation that wrote the row.
         address: The VM's address; another VM may get the same name later.
-        renewed_at: The store's clock when the row was sent, or earlier.
+        renewed_at: A reading of the store's clock that is not later than the sending
+            of the row; 0 if the router had none yet.
         number: The number of this renewal, within the incarnation.
-        limits: How much of its grants the router may have used.
+        limits: The limits on the router's use of its grants, by workspace.
         unreclaimed: Earlier incarnations whose grants were not returned yet.
     """
 
@@ -106,14 +109,18 @@
 class StoreClock:
     """An estimate of the store's monotonic clock that is never ahead of it.
 
-    While a VM is frozen its clock stands still, so the estimate falls behind.
+    While the VM is suspended, its clock stops, so the estimate falls behind.
+
+    Attributes:
+        reading: The store's clock in its last answer; 0 before the first.
+        at: When that answer arrived, by this process's clock.
     """
 
     reading: Seconds = 0.0
     at: Seconds = 0.0
 
     def update(self, reading: Seconds) -> None:
-        """Set the clock from an answer that has just arrived."""
+        """Set the estimate from the reading in an answer that has just arrived."""
         self.reading = reading
         self.at = anyio.current_time()
 
@@ -126,23 +133,24 @@
 
 @define(eq=False)
 class Renewals:
-    """Renews the row that states how much of its grants this router may have used.
+    """Renews the row that limits how much of its grants this router may have used.
 
     Attributes:
         store: The store.
         name: This VM's name.
         address: This VM's address.
         incarnation: This router's incarnation.
-        wanted: Returns the limits that the next renewal should state.
+        wanted: Returns the limits for the next renewal.
         began_at: When this process began, as early as it could be measured.
-        limits: The renewals whose limits apply.
-        previous_row: The row of the previous incarnation; None if there was none.
+        limits: The renewals that the store may contain, whose lowest limit applies.
+        previous_row: The row of the VM's previous incarnation; None if there was none.
         unreclaimed: Earlier incarnations whose grants are not returned yet.
         started: Set when this incarnation has written the VM's row.
         version: The version of this router's row.
-        misses: The number of failed renewals in a row; a certain failure counts as
-            `MAX_MISSES`.
+        misses: The number of unanswered renewals in a row; a renewal that certainly
+            failed adds `MAX_MISSES`.
         timeout: The timeout of the next renewal.
+        clock: The estimate of the store's clock.
         requested: Set to send a renewal at once.
         renewal_ended: Set when the next renewal to be sent has succeeded or failed.
     """
@@ -171,21 +179,24 @@
 
     @property
     def interval(self) -> Seconds:
-        """The time until the next renewal unless one is requested."""
+        """The time until the next renewal, unless one is requested earlier."""
         confirmed = self.limits.confirmed
         unused = confirmed is not None and not confirmed.limits and not self.misses
         return UNUSED_RENEWAL_INTERVAL if unused else RENEWAL_INTERVAL
 
     def in_touch(self) -> bool:
-        """Return whether the store is reachable, tolerating a single lost answer."""
+        """Return whether the VM's row is taken over and the store seems reachable.
+
+        One unanswered renewal is tolerated.
+        """
         return self.started.is_set() and self.misses < MAX_MISSES
 
     async def run(self) -> None:
         """Renew until cancelled.
 
-        The first renewal is sent at once: no token may be used until it is
-        acknowledged, and after a power cut of all VMs no other router can serve
-        meanwhile.
+        The first renewal is sent without a delay: until the store acknowledges it, this
+        router may use no token, and after a power cut of all VMs no other router can
+        serve the requests.
         """
         while True:
             self.requested = anyio.Event()
@@ -201,10 +212,10 @@
                 await self.requested.wait()
 
     async def renew_now(self) -> None:
-        """Send a renewal at once, and return when it has ended.
+        """Request a renewal, and return when it has succeeded or failed.
 
-        A renewal that is already being sent does not contain this caller's limit, so
-        this waits for the next one. Concurrent callers share it.
+        A renewal that is already being sent may not contain the limit that the caller
+        needs, so the next one is awaited. Concurrent callers share one renewal.
         """
         renewal_ended = self.renewal_ended
         self.requested.set()
@@ -217,7 +228,11 @@
         self.misses = 0
 
     def note_missed(self, error: PlatformError) -> None:
-        """Count a failed renewal, and log the first of several."""
+        """Count a failed renewal, and log the first failure in a row.
+
+        After a renewal with a known outcome, such as a conflict, the store counts as
+        unreachable at once; after unknown outcomes, only with the `MAX_MISSES`th.
+        """
         if not self.misses:
             fields = {"error": error.code, "detail": str(error)}
             log.warning("limits not renewed", extra=fields)
@@ -225,7 +240,11 @@
         self.misses += MAX_MISSES if refused else 1
 
     async def step(self) -> None:
-        """Take over the VM's row, or renew it."""
+        """Take over the VM's row if that is still due, else renew it.
+
+        After a failure or with a renewal in doubt, the row is read first, since its
+        version may have changed.
+        """
         if not self.started.is_set():
             await self.start()
         else:
@@ -234,7 +253,7 @@
             await self.write(AtVersion(self.key, self.version))
 
     async def start(self) -> None:
-        """Take over the VM's row, and record the previous incarnation in it."""
+        """Take over the VM's row, so that it names its previous incarnation too."""
         rows = await self.store.scan(self.key)
         found = next((row for row in rows if row.key == self.key), None)
         check: Check = Absent(self.key)
@@ -246,10 +265,10 @@
         self.started.set()
 
     def take_over_from(self, row: Row) -> None:
-        """Take over a row that was found at this VM's key.
+        """Record the earlier incarnations of a row that was found at this VM's key.
 
-        Nothing is known about the grants of a damaged row. It is overwritten, since
-        this router could never start otherwise.
+        A damaged row is logged and records none, so the grants that it named are not
+        reclaimed. It is still overwritten, or this router could never start.
         """
         try:
             self.take_over(read_row(row, LimitsRow))
@@ -257,9 +276,12 @@
             log.error("limits row damaged", extra={"detail": str(error)})
 
     def take_over(self, previous: LimitsRow) -> None:
-        """Record the earlier incarnations whose grants have to be returned."""
+        """Record the earlier incarnations whose grants have to be returned.
+
+        There are none if another VM that had the same name wrote the row.
+        """
         if previous.router == self.incarnation:
-            # The row is this incarnation's first write, whose answer was lost.
+            # This incarnation wrote the row itself, and the answer was lost.
             self.limits.took_effect(previous.number)
             return
         if previous.address != self.address:
@@ -269,12 +291,12 @@
         self.unreclaimed = (*previous.unreclaimed, predecessor)[-MAX_UNRECLAIMED:]
 
     def compute_elapsed(self) -> None:
-        """Compute how long the predecessor may have run after its last renewal."""
+        """Store how long the predecessor may have run after its last renewal."""
         previous = self.previous_row
         if previous is None or not previous.renewed_at:
             return
-        # The previous process had ended when this one began.
-        # The time since then, such as an outage at the start, does not count.
+        # The previous process had ended when this one began, so the time from then to
+        # the store's answer, which may contain an outage, is subtracted.
         since = self.clock.reading - previous.renewed_at
         elapsed = since - (self.clock.at - self.began_at)
         fields = {"predecessor": previous.router, "elapsed": round(elapsed, 2)}
@@ -283,11 +305,13 @@
         self.unreclaimed = (*self.unreclaimed[:-1], predecessor)
 
     def reclaimed(self, router: RouterId) -> None:
-        """Drop a predecessor whose grants were returned; the next renewal omits it."""
+        """Drop a predecessor whose grants are returned; the next renewal omits it."""
         self.unreclaimed = tuple(p for p in self.unreclaimed if p.router != router)
 
     async def write(self, check: Check) -> None:
-        """Write this router's row, and record whether the write may have taken effect.
+        """Write this router's row, with the limits of a new renewal.
+
+        The renewal is confirmed, withdrawn or, after an unknown outcome, left in doubt.
 
         Raises:
             PlatformError: The write failed, or its outcome is unknown.
@@ -313,10 +337,11 @@
         self.limits.took_effect(renewal.number)
 
     async def commit_in_time(self, transaction: Transaction) -> Committed:
-        """Commit a transaction, with a timeout that follows recent answer times.
+        """Commit a transaction within `timeout`, and adapt it to the answer time.
 
         Raises:
-            PlatformError: The commit failed, or no answer came within the timeout.
+            UnknownOutcomeError: No answer came within the timeout.
+            PlatformError: The commit failed, or its outcome is unknown.
         """
         began = anyio.current_time()
         with anyio.move_on_after(self.timeout):
@@ -333,10 +358,13 @@
         raise UnknownOutcomeError(f"no answer to a renewal in {waited:.2f} s")
 
     async def read_own_row(self) -> None:
-        """Read this router's row after a renewal with an unknown outcome.
+        """Store the version of this router's row, and confirm the renewal in it.
+
+        A row that does not exist changes nothing.
 
         Raises:
             ConflictError: The row is damaged or belongs to another router.
+            PlatformError: The row could not be read.
         """
         for row in await self.store.scan(self.key):
             if row.key != self.key:
@@ -353,15 +381,16 @@
             self.limits.took_effect(found.number)
 
     async def leave(self) -> None:
-        """Remove this router's row when the process ends, unless it is still needed.
+        """Remove the VM's row when the process ends, unless a successor needs it.
 
-        Before this incarnation has taken over the VM's row, the row is its
-        predecessor's. While a predecessor's grants are not returned, only this row
-        names them, and without it their tokens would be lost.
+        The row is kept if this incarnation has not taken it over, since it then belongs
+        to the predecessor. It is also kept while a predecessor's grants are not
+        returned: no other row names them, so their tokens would be lost. A failure to
+        remove the row is logged.
         """
         if not self.started.is_set() or self.unreclaimed:
-            lives = [predecessor.router for predecessor in self.unreclaimed]
-            log.info("limits row kept for a successor", extra={"lives": lives})
+            names = [predecessor.router for predecessor in self.unreclaimed]
+            log.info("limits row kept for a successor", extra={"lives": names})
             return
         try:
             await self.store.commit(Transaction((), (Delete(self.key),)))
--- a/ebonyhold/gateway/_routing_state.py
+++ b/ebonyhold/gateway/_routing_state.py
@@ -1,4 +1,4 @@
-"""The configuration and the backend servers that a gateway routes by."""
+"""The configuration and the backend servers by which a gateway routes requests."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
     Attributes:
         platform: Decodes the rows.
-        rules: The rules in force; None before the first ones.
-        backends: The backend servers.
+        rules: The current configuration; None before the first.
+        backends: The listed backend servers.
     """
 
     platform: Peers
@@ -31,7 +31,11 @@
     backends: BackendTable = field(factory=BackendTable)
 
     def apply_rules(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
-        """Put the configuration into force if its version is newer."""
+        """Use the configuration in these rows if it is newer than the current one.
+
+        An invalid configuration is logged and not used. If the row is deleted, the
+        current configuration stays.
+        """
         del after_outage
         for row in rows:
             if row.key != self.platform.rules_key or row.deleted:
@@ -48,7 +52,7 @@
             log.info("configuration in force", extra=fields)
 
     def replace_servers(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
-        """Replace the list of servers by the rows of a snapshot."""
+        """Replace the list of servers by the valid rows of a snapshot."""
         listed: dict[BackendName, Backend] = {}
         for row in rows:
             backend = self.read_entry(row)
@@ -59,8 +63,8 @@
     def update_servers(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
         """Apply changes to the list of servers.
 
-        A malformed entry counts as a removed server. It was written just now, so it did
-        not lapse in an outage.
+        A malformed entry removes its server at once. Only deleted entries may have
+        lapsed in an outage, after which their servers are kept for a grace period.
         """
         now = anyio.current_time()
         for row in rows:
@@ -72,7 +76,7 @@
                 self.backends.remove(row.key, now, lapsed)
 
     def read_entry(self, row: RawRow) -> Backend | None:
-        """Decode a server's entry; return None if it is malformed."""
+        """Decode a server's entry; log a malformed one and return None."""
         try:
             return self.platform.read_backend(row.key, row.value)
         except MalformedEntryError as error:
@@ -81,16 +85,20 @@
             return None
 
     def limits(self) -> CallerLimits:
-        """Return the limits on callers' requests and connections."""
+        """Return the limits on callers; defaults before the first configuration."""
         return self.rules.limits if self.rules else CallerLimits()
 
     def prepaid(self, workspace: WorkspaceName) -> tuple[int, Tokens | None]:
-        """Return the configuration version and a workspace's prepaid tokens."""
+        """Return the configuration version and a workspace's prepaid tokens.
+
+        The version is 0 before the first configuration. The tokens are None for a
+        workspace that is unknown or has no limit.
+        """
         if self.rules is None:
             return 0, None
         known = self.rules.workspaces.get(workspace)
         return self.rules.version, known.prepaid if known else None
 
     def workspaces(self) -> Iterable[WorkspaceName]:
-        """Return the names of all workspaces."""
+        """Return the names of all configured workspaces."""
         return list(self.rules.workspaces) if self.rules else ()
--- a/ebonyhold/gateway/_signals.py
+++ b/ebonyhold/gateway/_signals.py
@@ -14,26 +14,28 @@
 def block_signals() -> None:
     """Block signals until `watched_signals` receives them.
 
-    Otherwise a signal between the process's first line and the event loop's handlers
-    would end it with an error status, where an orderly stop is due. Threads that are
-    started earlier would receive such signals; there are none.
+    Otherwise a signal that arrives before the event loop has its handlers would end the
+    process with an error status instead of an orderly stop. No thread may be started
+    earlier, since it would still receive such signals.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, WATCHED)
 
 
 @contextmanager
 def watched_signals() -> Iterator[AsyncIterator[signal.Signals]]:
-    """Receive signals; ignore those that arrive after this has ended.
+    """Receive the watched signals; once cancelled, ignore them.
 
-    Between the end of the event loop and that of the interpreter its handlers are gone.
-    A second signal of an operator would then end an orderly stop with an error status.
+    The task is cancelled when the process ends. The event loop's handlers are gone
+    before the interpreter exits, and another signal in between would end an orderly
+    stop with an error status.
     """
     try:
         with anyio.open_signal_receiver(*WATCHED) as signals:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, WATCHED)
             yield signals
     except Exception:
-        # The caller starts to watch again; until then a signal has its default effect.
+        # The supervisor starts the signal task again.
+        # Until then, a signal ends the process.
         raise
     except BaseException:
         ignore_signals()
--- a/ebonyhold/gateway/_stop.py
+++ b/ebonyhold/gateway/_stop.py
@@ -16,28 +16,28 @@
 log = logging.getLogger(__name__)
 
 LEAVE_ROTATION: Seconds = 2.6
-"""Time until the load balancer sends no new callers, unless it needs every VM of the
-failure domain: two readiness checks a second apart, and some time for the second result
-to take effect."""
+"""Time until the load balancer sends no new callers: two failed readiness checks a
+second apart, and some time for the second result to take effect. It goes on sending
+them while fewer than half of the failure domain's VMs are in rotation."""
 
 END_MARGIN: Seconds = 0.9
-"""Time from the last answer to the kill. It covers returning the last requests' tokens,
-which takes 12 ms while the store answers, and `LEAVE_TIMEOUT`, `LAST_REQUEST_TIMEOUT`
-and `EXIT_TIME`."""
+"""Time from the deadline for the last answer to the kill. It covers returning the last
+requests' tokens, which takes 12 ms while the store answers, and `LEAVE_TIMEOUT`,
+`LAST_REQUEST_TIMEOUT` and `EXIT_TIME`."""
 
 RETURN_LEAD: Seconds = 0.6
-"""Grants are returned this long before the last answer, although requests are still
-open. This is as long as the slowest answers of the store take."""
+"""Time before the deadline for the last answer at which grants are returned even if
+requests are still open. The slowest answers of the store take this long."""
 
 LEAVE_TIMEOUT: Seconds = 0.2
-"""Timeout for removing this router's rows."""
+"""Timeout for removing this router's rows from the store."""
 
 LAST_REQUEST_TIMEOUT: Seconds = 0.05
 """Time for callers that have just connected to send their request: about ten times the
 network delay of the farthest caller."""
 
 LAST_ANSWERS_TIMEOUT: Seconds = 0.1
-"""Timeout for writing the last answers, all of which are short."""
+"""Timeout for writing the last answers, which are short refusals and errors."""
 
 EXIT_TIME: Seconds = 0.2
 """Time that the interpreter needs to exit before the kill."""
@@ -47,16 +47,23 @@
     """The grants of a router, as far as its stop uses them."""
 
     async def close(self, timeout: Seconds) -> bool:
-        """Give free tokens back to the budgets; return whether this is complete."""
+        """Return available tokens to their budgets.
+
+        Args:
+            timeout: Time limit, in seconds.
+
+        Returns:
+            Whether all grants were returned within the time limit.
+        """
         ...
 
 
 @frozen
 class StopTimes:
-    """The times of the steps of a stop.
+    """The times of the steps of a stop, by the event loop's clock.
 
     Attributes:
-        signalled_at: When the signal arrived.
+        signalled_at: When the stop began, which is when the signal arrived.
         grace: Time from the signal to the kill.
     """
 
@@ -70,17 +77,17 @@
 
     @property
     def last_answer_at(self) -> Seconds:
-        """When the last answer must have been sent."""
+        """The deadline for the last answer of an accepted request."""
         return self.kill_at - END_MARGIN
 
     @property
     def early_return_at(self) -> Seconds:
-        """When grants are returned although requests are still open."""
+        """When available tokens are returned even if requests are still open."""
         return self.last_answer_at - RETURN_LEAD
 
     @property
     def return_deadline(self) -> Seconds:
-        """When returning grants is given up."""
+        """The deadline for returning grants; the time after it is for later steps."""
         return (
             self.kill_at
             - LEAVE_TIMEOUT
@@ -94,17 +101,17 @@
 class GatewayStop:
     """Runs the orderly stop of a gateway.
 
-    The listener stays open until the process ends. A refused connection would cost its
-    caller an attempt, and the load balancer goes on sending callers here while several
-    routers stop at once. A request that is read and then cut would get no answer at
-    all. So each request is either accepted, because it can finish in time, or refused
-    at once, and the process waits for all of them before its last step.
+    The listener is closed only as the last step: a refused connection would cost its
+    caller an attempt, and the load balancer goes on sending callers here while many
+    routers of a failure domain stop at once. Each request is either accepted, because
+    it will probably end before `last_answer_at`, or refused at once, so that none is
+    read and then left without an answer.
 
     Attributes:
         listener: Serves the callers' connections.
         departure: Decides which late requests are accepted.
         grants: The grants, which are returned before the exit.
-        leave: Removes this router's rows.
+        leave: Removes this router's rows from the store.
     """
 
     listener: CallerListener
@@ -113,7 +120,11 @@
     leave: Callable[[], Awaitable[None]]
 
     async def run(self, grace: Seconds) -> None:
-        """Stop within the grace period, in seconds."""
+        """Run all steps of the stop.
+
+        Args:
+            grace: Time from now to the kill, in seconds.
+        """
         times = StopTimes(anyio.current_time(), grace)
         self.departure.begin(times.last_answer_at)
         self.listener.start_draining()
@@ -127,12 +138,16 @@
         await self.close_listener()
 
     async def return_early(self, times: StopTimes) -> None:
-        """Return the tokens that no open request can need."""
+        """Refuse requests that need tokens from now on, and return available tokens."""
         self.departure.stage = Stage.RETURNING
         await self.grants.close(times.last_answer_at - anyio.current_time())
 
     async def end_requests(self, times: StopTimes) -> None:
-        """Wait for accepted requests, and refuse all others from then on."""
+        """Wait for accepted requests until `last_answer_at`, then refuse all requests.
+
+        Requests that are still open are cancelled at that time; their error answers
+        have `LAST_ANSWERS_TIMEOUT`.
+        """
         with anyio.CancelScope(deadline=times.last_answer_at):
             await self.listener.until_idle()
         self.departure.stage = Stage.OVER
@@ -148,8 +163,8 @@
     async def return_grants(self, times: StopTimes) -> None:
         """Return the tokens of the last requests, and remove this router's rows.
 
-        While the rows exist, a successor can reclaim the grants that they name. They
-        are kept while a request is open, since its tokens have not been returned.
+        The rows are kept if a grant was not returned or a request is still open, since
+        a successor can reclaim only grants that the rows name.
         """
         returned = await self.grants.close(times.return_deadline - anyio.current_time())
         if returned and not self.listener.begun:
@@ -157,10 +172,15 @@
                 await self.leave()
 
     async def close_listener(self) -> None:
-        """Stop accepting, and answer the callers that connected just before."""
+        """Close the listener, and answer the callers that connected just before.
+
+        Their complete requests are refused like all others in this stage. Connections
+        that are idle after `LAST_REQUEST_TIMEOUT` are closed, and requests that are
+        incomplete by then are refused.
+        """
         self.listener.stop_accepting()
         with anyio.move_on_after(LAST_REQUEST_TIMEOUT):
-            # An accepted connection may not be counted until the listener is closed.
+            # Queued connections are accepted and counted while the listener closes.
             await self.listener.until_closed()
             await self.listener.until_empty()
         self.listener.close_idle()
--- a/ebonyhold/gateway/_supervision.py
+++ b/ebonyhold/gateway/_supervision.py
@@ -1,7 +1,8 @@
 """Supervision of the gateway's tasks: what happens when one of them fails.
 
-All tasks share one process with every request, stream and hold. An error in one task
-must not end the process by itself, and each failure is logged and counted.
+All tasks run in one process, together with all requests and holds. An error in one task
+must not end the process unless its rule requires that, and each failure is logged and
+counted.
 """
 
 from __future__ import annotations
@@ -35,31 +36,41 @@
 each further one."""
 
 MAX_RESTART_DELAY: Seconds = 2.0
-"""The maximum delay; changes must be in force within two seconds."""
+"""The maximum restart delay. Changes of the configuration and of the server list must
+be in force within two seconds."""
 
 RARE_RETRY_DELAY: Seconds = 30.0
-"""Delay before a task is restarted that no request needs; metrics are scraped about
-every 15 s."""
+"""Delay before the restart of a task that no request depends on, such as the metrics
+listener; metrics are scraped about every 15 s."""
 
 STABLE_AFTER: Seconds = 10.0
-"""A task that ran this long before it failed starts again with the first delay."""
+"""If a task ran at least this long before it failed, the failure counts as its first,
+so the restart has the first delay."""
 
 MAX_DOUBLINGS = 8
-"""Maximum number of doublings of a delay; the maximum delay is reached earlier."""
+"""Maximum number of doublings of a delay, which keeps the computed number small; the
+maximum delay is reached earlier."""
 
 EXIT_OK = 0
-"""The exit status of a process that was told to stop."""
+"""The exit status after a stop that a signal requested."""
 
 EXIT_PORT = 3
 """The exit status of a process that could not listen at its port for callers or for
 readiness checks; 2 means unusable settings."""
 
 EXIT_FAULT = 4
-"""The exit status after an orderly stop that a fault of the process caused."""
+"""The exit status after a failed task has ended the process, in order or at once."""
 
 
 class Action(Enum):
-    """The action that follows a task's failure."""
+    """The action that follows a task's failure.
+
+    Attributes:
+        RESTART: Run the task again after a delay.
+        LEAVE: Do not run the task again; all others continue.
+        STOP: Begin the orderly stop of the process.
+        EXIT: Cancel all tasks, which ends the process at once.
+    """
 
     RESTART = "restart"
     LEAVE = "leave"
@@ -74,9 +85,9 @@
     Attributes:
         name: The policy's name in logs and metrics.
         action: The action.
-        first: The delay before the first restart.
-        next: The delay before the second one, which doubles with each further one.
-        max_delay: The longest delay.
+        first: The delay before the first restart; unused by other actions.
+        next: The delay before the second restart, which doubles with each further one.
+        max_delay: The maximum delay.
     """
 
     name: str
@@ -86,7 +97,7 @@
     max_delay: Seconds = MAX_RESTART_DELAY
 
     def delay(self, failures: int) -> Seconds:
-        """Return the delay after this many failures in a row.
+        """Return the restart delay after this many failures in a row.
 
         >>> [AT_ONCE.delay(failures) for failures in (1, 2, 3, 4, 20)]
         [0.0, 0.05, 0.1, 0.2, 2.0]
@@ -123,12 +134,12 @@
     """How one task's failures are handled.
 
     Attributes:
-        task: The task's name.
-        failure: The effect of its failure.
+        task: The task's name, also in logs and metrics.
+        failure: The effect of the task's failure.
         policy: The policy that is applied.
-        reason: Why this policy.
-        port_policy: The policy if the task cannot listen at its address; None for the
-            same.
+        reason: Why this policy is right.
+        port_policy: The policy if the task cannot listen at its address; None if
+            `policy` applies to this too.
     """
 
     task: str
@@ -138,7 +149,7 @@
     port_policy: Policy | None = None
 
     def policy_for(self, error: Exception) -> Policy:
-        """Return the policy for an error."""
+        """Return the policy for an error: `port_policy`, if set, for `ListenError`."""
         if self.port_policy is not None and isinstance(error, ListenError):
             return self.port_policy
         return self.policy
@@ -280,14 +291,15 @@
         ),
     )
 }
-"""The tasks of a gateway; docs/design-platform.md shows the same table."""
+"""The rules of a gateway's tasks, by task; docs/design-platform.md has the same table.
+"""
 
 
 async def run_caught(run: Run) -> Exception | None:
     """Run a task; return the error that ended it, or None if it ended normally.
 
-    Only here is every exception caught, so that the supervisor can log and count it.
-    Cancellation is not an error and is passed on.
+    All exceptions are caught, so that the supervisor can log and count them. A
+    cancellation is no error and is passed on.
     """
     found: list[Exception] = []
     try:
@@ -298,14 +310,14 @@
 
 
 def unwrap_group(error: Exception) -> Exception:
-    """Return the only error of a group, or the group if it has several."""
+    """Return the only error in nested groups, or a group of several as it is."""
     while isinstance(error, ExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
     return error
 
 
 def error_fields(error: Exception) -> dict[str, object]:
-    """Return the log fields that describe an error."""
+    """Return an error's code or type, its text and its traceback as log fields."""
     known = isinstance(error, EbonyholdError)
     return {
         "error": error.code if known else type(error).__name__,  # type: ignore[attr-defined]
@@ -319,10 +331,10 @@
     """Runs the tasks of a gateway, and applies their rules when they fail.
 
     Attributes:
-        tasks: The task group that runs them.
-        count: Called with the task and the policy's name for each failure.
+        tasks: The task group that runs the tasks.
+        count: Called for each failure with the names of the task and of the policy.
         stop: Begins the orderly stop.
-        status: The exit status that the process would have if it ended now.
+        status: The exit status of the process, set by the first failure that ends it.
     """
 
     tasks: TaskGroup
@@ -333,11 +345,14 @@
     def start(
         self, task: str, run: Callable[..., Awaitable[None]], *args: object
     ) -> None:
-        """Start a task that has a rule."""
+        """Start a task under the rule in `TASK_RULES` with its name."""
         self.tasks.start_soon(self.run_task, TASK_RULES[task], partial(run, *args))
 
     async def run_task(self, rule: TaskRule, run: Run) -> None:
-        """Run a task until it ends normally or its policy does not restart it."""
+        """Run a task, and restart it after failures as its rule requires.
+
+        Return when the task ended normally, or after a failure without a restart.
+        """
         failures = 0
         while True:
             began = anyio.current_time()
@@ -354,7 +369,11 @@
             await anyio.sleep(policy.delay(failures))
 
     def apply(self, policy: Policy, error: Exception) -> None:
-        """Apply a policy that does not restart the task."""
+        """Apply a policy that does not restart the task.
+
+        STOP begins the orderly stop, and EXIT cancels all tasks; both set the exit
+        status. LEAVE does nothing.
+        """
         if policy.action is Action.LEAVE:
             return
         if self.status == EXIT_OK:
@@ -367,13 +386,17 @@
     def report(
         self, rule: TaskRule, policy: Policy, error: Exception, failures: int
     ) -> None:
-        """Log and count a failure."""
+        """Log a failure with its traceback, and count it."""
         fields = {"task": rule.task, "then": policy.name, "failures": failures}
         log.error("task failed", extra={**fields, **error_fields(error)})
         self.count(rule.task, policy.name)
 
     async def guard(self, task: str, run: Run) -> bool:
-        """Run one of many similar tasks; return whether it ended without an error."""
+        """Run one of many similar tasks once; return whether it ended without an error.
+
+        A failure is logged and counted, and its policy, which never is a restart, is
+        applied.
+        """
         rule = TASK_RULES[task]
         error = await run_caught(run)
         if error is None:
@@ -389,7 +412,7 @@
 
     Attributes:
         supervisor: Runs the tasks and handles their failures.
-        task: The name of their rule.
+        task: The name of the rule for all these tasks.
     """
 
     supervisor: Supervisor
@@ -401,7 +424,7 @@
         *args: *Args,
         name: object = None,
     ) -> None:
-        """Start a task."""
+        """Start a task; its failure does not cancel the others."""
         run = partial(func, *args)
         self.supervisor.tasks.start_soon(
             self.supervisor.guard, self.task, run, name=name
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -42,8 +42,8 @@
 KEEP_ALIVE_SECONDS = 40
 """Time for which an idle connection between two gateways is kept.
 
-In a large fleet two gateways exchange messages only once in many seconds, and a new
-connection takes as much processor time as a request.
+In a large fleet, many seconds can pass between two messages to the same gateway, and a
+new connection takes as much processor time as a request.
 """
 
 PEER_LIMITS = CallerLimits(idle_timeout=KEEP_ALIVE_SECONDS)
@@ -58,35 +58,36 @@
 TRANSFER_TIMEOUT: Seconds = 0.4
 """Timeout of a transfer, for which the giver may have to call the store.
 
-Tokens in a later answer are lost, so this is longer than the giver waits for the store.
+Tokens in a later answer are lost, so the timeout is longer than the giver's own timeout
+for the store.
 """
 
 CONNECT_TIMEOUT: Seconds = 0.1
-"""Timeout of a connection to a gateway. The farthest one answers within about 5 ms, and
-one without power never does."""
+"""Timeout for connecting to another gateway. The farthest one accepts within about
+5 ms, and one without power never does."""
 
 MIN_AVOIDANCE: Seconds = 1.0
-"""Time for which a gateway that did not answer is not sent requests.
+"""Time for which a gateway is sent no messages after it first did not answer.
 
 Otherwise a gateway without power would delay each request that lacks tokens.
 """
 
 MAX_AVOIDANCE: Seconds = 4.0
-"""The maximum time for which such a gateway is not sent requests. A VM that restarts is
-back sooner, and each attempt costs a request the wait for an answer."""
+"""The maximum time for which a gateway that did not answer is sent no messages. A VM
+usually restarts in less, and each further attempt delays a request by a timeout."""
 
 MAX_PEERS_ASKED = 8
-"""Maximum number of gateways that are asked at once.
+"""Maximum number of gateways that are asked for offers at once.
 
-In a shortage each gateway asks others whenever tokens are missing. In a large fleet,
-gateways that asked all others would spend their time on answers.
+In a shortage, each gateway asks others whenever tokens are missing. If each one in a
+large fleet asked all others, all would spend their time on answers.
 """
 
 OFFER_CACHE_TIME: Seconds = 0.1
 """Time for which offers are reused.
 
-Otherwise, in a shortage, each request would cause a message to each of the other
-gateways.
+Otherwise, in a shortage, each request would cause a message to each gateway that is
+asked.
 """
 
 
@@ -105,11 +106,11 @@
 
 @frozen
 class TransferAnswer:
-    """The tokens that a gateway transfers, and those that it has left.
+    """The tokens that a gateway transfers, and its offer of further ones.
 
     Attributes:
         given: Tokens that belong to the requesting gateway from now on.
-        left: Tokens that can be requested next.
+        left: Tokens that the giver still offers to other gateways.
     """
 
     given: Tokens = field(default=0, validator=ge(0))
@@ -118,7 +119,12 @@
 
 @frozen
 class Avoidance:
-    """Until when a gateway that did not answer is avoided, and for how long."""
+    """A period in which a gateway that did not answer is sent no messages.
+
+    Attributes:
+        until: The end of the period.
+        pause: The length of the period, which doubles with the next missing answer.
+    """
 
     until: Seconds
     pause: Seconds
@@ -140,8 +146,8 @@
         addresses: Returns the addresses of the others, by VM name.
         tasks: Starts the tasks that read from connections; None before the start.
         holders: Returns the VMs that hold tokens of a workspace; None if all may.
-        calls: The connections, by address.
-        avoidances: The VMs that did not answer their last request.
+        calls: The HTTP clients of the other gateways, by address.
+        avoidances: The last avoidance of each VM that has not answered since.
         cached: The last offers for each workspace.
     """
 
@@ -153,7 +159,10 @@
     cached: dict[WorkspaceName, CachedOffers] = field(factory=dict)
 
     async def offers(self, workspace: WorkspaceName) -> Sequence[Offer]:
-        """Request offers from other gateways; no answer counts as an offer of 0."""
+        """Return offers from other gateways, which may be `OFFER_CACHE_TIME` old.
+
+        A gateway that is asked and does not answer counts as offering 0 tokens.
+        """
         now = anyio.current_time()
         cached = self.cached.get(workspace)
         if cached is not None and now < cached.at + OFFER_CACHE_TIME:
@@ -166,7 +175,7 @@
         return found
 
     def candidates(self, workspace: WorkspaceName) -> Collection[str]:
-        """Return the VMs that may have tokens of a workspace."""
+        """Return the VMs with a known address that may have tokens of a workspace."""
         known = self.addresses()
         if self.holders is None:
             return known
@@ -175,20 +184,23 @@
     def sample(
         self, now: Seconds, candidates: Collection[str] | None = None
     ) -> list[str]:
-        """Return the VMs to ask: a random sample if there are many."""
+        """Return at most `MAX_PEERS_ASKED` random VMs that are not being avoided.
+
+        They are chosen from the candidates, or from all known VMs if these are None.
+        """
         peers = self.addresses() if candidates is None else candidates
         able = [peer for peer in peers if self.is_available(peer, now)]
         return random.sample(able, min(len(able), MAX_PEERS_ASKED))
 
     def is_available(self, peer: str, now: Seconds) -> bool:
-        """Return whether a VM may be sent requests, judging by its last answers."""
+        """Return whether a VM may be sent messages; False while it is avoided."""
         avoidance = self.avoidances.get(peer)
         return avoidance is None or now >= avoidance.until
 
     async def add_offer(
         self, peer: str, workspace: WorkspaceName, found: list[Offer]
     ) -> None:
-        """Request the offer of one other gateway, and add it to `found`."""
+        """Request the offer of one other gateway, and append it to `found`."""
         answer = await self.request_tokens(
             peer, TransferRequest(workspace), OFFER_TIMEOUT
         )
@@ -197,7 +209,10 @@
     async def transfer(
         self, peer: str, workspace: WorkspaceName, amount: Tokens
     ) -> Tokens:
-        """Request a transfer from another gateway; return the tokens received, or 0."""
+        """Request a transfer from another gateway, and return the tokens received.
+
+        They can be fewer than `amount`; without a valid answer, they are 0.
+        """
         # The transfer makes the cached offers invalid.
         self.cached.pop(workspace, None)
         request = TransferRequest(workspace, amount)
@@ -209,7 +224,7 @@
     async def request_tokens(
         self, peer: str, request: TransferRequest, timeout: Seconds
     ) -> TransferAnswer:
-        """Send a request for tokens; without an answer, return one of 0 tokens."""
+        """Send a request for tokens; without a valid answer, return one of 0 tokens."""
         answer = await self.post(
             peer, TRANSFERS_TARGET, request, TransferAnswer, timeout
         )
@@ -223,7 +238,13 @@
         answer_type: type[T],
         timeout: Seconds,
     ) -> T | None:
-        """Send a message to another gateway; return its answer, or None without one."""
+        """Send a message to another gateway, and return its answer.
+
+        Returns:
+            None if the gateway's address is unknown, if the message could not be sent
+            or answered within the timeout, after which the gateway is avoided, or if
+            the answer is malformed.
+        """
         address = self.addresses().get(peer)
         if address is None or self.tasks is None:
             return None
@@ -246,7 +267,7 @@
         return None
 
     def avoid(self, peer: str, now: Seconds) -> None:
-        """Stop sending requests to a VM that did not answer, for longer each time."""
+        """Avoid a VM that did not answer, each time twice as long, up to a maximum."""
         before = self.avoidances.get(peer)
         if before is not None and now < before.until:
             # Concurrent requests that failed count once.
@@ -256,7 +277,7 @@
         self.avoidances[peer] = Avoidance(now + pause, pause)
 
     def calls_to(self, address: str, tasks: TaskStarter) -> HttpCalls:
-        """Return the connections to an address, opened on first use."""
+        """Return the client for an address, created and started on first use."""
         calls = self.calls.get(address)
         if calls is None:
             host, _, port = address.rpartition(":")
@@ -280,7 +301,7 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Serve one request."""
+        """Answer one request for tokens or an offer; a malformed one gets 400."""
         del head
         try:
             request = read_message(body, TransferRequest)
@@ -294,7 +315,10 @@
         )
 
     async def answer(self, request: TransferRequest) -> TransferAnswer:
-        """Transfer the requested tokens as far as they are available here."""
+        """Give the requested tokens, as far as possible, and return them with an offer.
+
+        Both are 0 for a workspace without a grant here.
+        """
         account = self.account(request.workspace)
         if account is None:
             return TransferAnswer()
--- a/ebonyhold/gateway/_types.py
+++ b/ebonyhold/gateway/_types.py
@@ -1,4 +1,4 @@
-"""The settings, store interface and platform parts that a gateway uses."""
+"""The settings, the store interface and the platform's adapter that a gateway uses."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     Attributes:
         name: The VM's name.
         domain: The VM's failure domain.
-        callers: The address for callers.
-        readiness: The address for readiness checks.
-        host: The host of its other listeners.
-        store: The address of the store.
-        peers_port: The port for other gateways at `host`, the same at all of them; 0
-            for none.
+        callers: The host and port of the listener for callers.
+        readiness: The host and port of the listener for readiness checks.
+        host: The host of the listeners for metrics scrapes and other gateways.
+        store: The host and port of the store.
+        peers_port: The port for other gateways at `host`, the same at all gateways; 0
+            for no such listener.
         grace: Time from the stop signal to the kill.
         retry_ratio: Retries per request that all routers together may make.
-        retry_extra: Retries that they may make in addition.
-        retry_window: The time over which both are counted.
+        retry_extra: Retries that all routers together may make in addition.
+        retry_window: The time over which requests and retries are counted.
         log_level: The minimum severity that is logged.
     """
 
@@ -56,9 +56,9 @@
     """One row with its undecoded value.
 
     Attributes:
-        key: Its key within its table.
-        version: The version of its last write.
-        value: Its bytes; empty if it was deleted.
+        key: The row's key within its table.
+        version: The store's version of the row's last write.
+        value: The undecoded value; empty if the row was deleted.
         deleted: Whether the row was deleted.
     """
 
@@ -70,7 +70,12 @@
 
 @frozen
 class Snapshot:
-    """All rows of a table at one moment, and the version from which changes follow."""
+    """All rows of one part of a table.
+
+    Attributes:
+        rows: The rows. Some may be newer than `version` if they changed meanwhile.
+        version: The version after which `GatewayStore.changes` continues.
+    """
 
     rows: tuple[RawRow, ...]
     version: int
@@ -78,7 +83,12 @@
 
 @frozen
 class Changes:
-    """Changes of a table in order, and the version from which the next ones follow."""
+    """Changes of a table.
+
+    Attributes:
+        rows: The changed rows, in order; empty if none changed before the wait ended.
+        version: The version after which the next call for changes continues.
+    """
 
     rows: tuple[RawRow, ...]
     version: int
@@ -88,19 +98,29 @@
     """The store interface that a gateway uses."""
 
     def start(self, tasks: TaskStarter) -> None:
-        """Set what starts the tasks that read from connections."""
+        """Use `tasks` to start the tasks that read from connections."""
         ...
 
     async def snapshot(self, table: str, part: str = "") -> Snapshot:
         """Read all rows of one part of a table.
 
+        Args:
+            table: The table.
+            part: The part's name, which its keys contain after the table; most tables
+                have a single part with the empty name.
+
         Raises:
             UnavailableError: The store cannot be reached.
         """
         ...
 
     async def changes(self, table: str, after: int, wait: Seconds) -> Changes:
-        """Wait for the changes of a table after a version.
+        """Wait for changes of a table.
+
+        Args:
+            table: The table.
+            after: Only changes with a greater version are returned.
+            wait: Time until the store answers without a change.
 
         Raises:
             HistoryLostError: The store no longer has them; take a new snapshot.
@@ -111,13 +131,13 @@
 
 @frozen
 class Peers:
-    """The parts of a platform that a gateway uses.
+    """The adapter to a platform: everything in which a gateway depends on it.
 
     Attributes:
         settings: The settings of this process.
-        dialect: The headers of callers and servers.
-        store: The store.
-        rules_table: The table that holds the operator's configuration.
+        dialect: Converts the headers of callers and servers.
+        store: The client of the platform's store.
+        rules_table: The table that contains the operator's configuration.
         rules_key: The key of the configuration's row.
         servers_table: The table in which servers register.
         read_rules: Decodes the configuration.
--- a/ebonyhold/gateway/_watcher.py
+++ b/ebonyhold/gateway/_watcher.py
@@ -16,24 +16,24 @@
 log = logging.getLogger(__name__)
 
 LONG_POLL_WAIT: Seconds = 0.6
-"""Time for which the store may hold a call for changes open.
+"""Time after which the store answers a call for changes even if there are none.
 
-A dead connection is detected when a call is not answered after this time and a margin,
-and changes must nevertheless be in force within two seconds.
+A broken connection is detected only after this time and a margin, and even then changes
+must be in force within two seconds.
 """
 
 POLL_PAUSE: Seconds = 0.35
 """Pause between two calls for changes, so that many small changes share one call."""
 
 MAX_POLL_PAUSE: Seconds = 1.2
-"""The longest pause in a large fleet; changes must be in force within two seconds."""
+"""The maximum pause in a large fleet; changes must be in force within two seconds."""
 
 RETRY_DELAY: Seconds = 0.15
 """Delay before the next attempt after a failed call."""
 
 OUTAGE_AFTER: Seconds = 1.5
-"""Time without an answer after which entries may have lapsed because the store was
-down."""
+"""Time without an answer after which the next one counts as following an outage.
+Entries may then have lapsed only because they could not be renewed."""
 
 
 @define(eq=False)
@@ -43,10 +43,10 @@
     Attributes:
         store: The store.
         table: The table to follow.
-        on_snapshot: Called with all rows, and whether they follow an outage.
-        on_changes: Called with the changed rows, and whether they follow an outage.
+        on_snapshot: Called with all rows, and whether the store was down before.
+        on_changes: Called with the changed rows, and whether the store was down before.
         count_routers: Returns the number of routers that follow the table.
-        version: The version of the last read; None if a snapshot is needed.
+        version: The version after which changes are read; None if a snapshot is needed.
         answered_at: When the store last answered.
         reachable: Whether the last call was answered.
         first_read: Set after the first snapshot.
@@ -63,7 +63,7 @@
     first_read: anyio.Event = field(factory=anyio.Event)
 
     async def run(self) -> None:
-        """Follow the table until cancelled."""
+        """Follow the table until cancelled; failed calls are logged and repeated."""
         while True:
             try:
                 await self.step()
@@ -78,7 +78,7 @@
                 await anyio.sleep(RETRY_DELAY)
 
     async def step(self) -> None:
-        """Read a snapshot, or wait for changes once."""
+        """Read a snapshot if one is needed, else wait once for changes."""
         if self.version is None:
             snapshot = await self.store.snapshot(self.table)
             self.on_snapshot(snapshot.rows, self.record_answer())
@@ -92,7 +92,10 @@
         self.version = changes.version
 
     def record_answer(self) -> bool:
-        """Record an answer; return whether it follows an outage."""
+        """Record an answer; return whether it follows an outage of the store.
+
+        The first answer does not.
+        """
         now = anyio.current_time()
         before = self.answered_at
         self.answered_at = now
@@ -102,12 +105,12 @@
         return before is not None and now - before > OUTAGE_AFTER
 
     def record_failure(self, error: PlatformError) -> None:
-        """Record a failed call, and log the first of several."""
+        """Record a failed call, and log the first failure in a row."""
         if self.reachable:
             fields = {"table": self.table, "error": error.code, "detail": str(error)}
             log.warning("store lost", extra=fields)
         self.reachable = False
 
     def age(self, now: Seconds) -> Seconds:
-        """Return the time since the store's last answer for this table."""
+        """Return the time since the last answer; infinite before the first."""
         return now - self.answered_at if self.answered_at is not None else float("inf")
