--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -1,8 +1,8 @@
 """Runs a whole gateway on a virtual clock and lets tasks switch at every wait.
 
 The scheduler runs ready tasks in a random order, and each call of a connection or of
-the store yields to other tasks a random number of times. So what a task read before a
-wait may have changed after it. Everything follows from one seed.
+the store yields to other tasks a random number of times. So other tasks can change
+during a wait what a task read before it. One seed determines every random decision.
 """
 
 from __future__ import annotations
@@ -50,10 +50,11 @@
 
 Signals: TypeAlias = AsyncIterator[signal.Signals]
 MAX_STOP_TIME = 2 * GRACE
+"""Seconds after which the simulation ends even if the gateway has not stopped."""
 
 CALLERS = 8
 BURST_SHARE = 0.4
-"""The share of requests that wait for the moment of the next sweep."""
+"""The share of requests that are sent at the time of a sweep."""
 
 SERVERS = ("i-1", "i-2", "i-3")
 PREPAID = {"acme": 400_000, "blue": 30_000}
@@ -98,10 +99,11 @@
 
     Attributes:
         rng: Decides how often each call yields.
-        inbound: Bytes that the other end sent.
+        inbound: Bytes that the other end sent and this end has not received.
         other: The other end.
         finished: Whether this end has sent its end of file.
         closed: Whether this end is closed.
+        changed: Set when bytes arrive or an end closes, and then replaced.
     """
 
     rng: random.Random
@@ -119,7 +121,7 @@
         return one, two
 
     async def yield_to_tasks(self) -> None:
-        """Let other tasks run."""
+        """Let other tasks run, a random number of times."""
         await yield_to_tasks(self.rng)
 
     def notify(self) -> None:
@@ -128,7 +130,7 @@
         self.changed = anyio.Event()
 
     async def receive(self, max_bytes: int = 65_536) -> bytes:
-        """Return the bytes that have arrived, waiting for at least one."""
+        """Return the bytes that have arrived; wait if there are none."""
         await self.yield_to_tasks()
         while not self.inbound:
             if self.closed:
@@ -173,7 +175,7 @@
 
 @define
 class YieldingRows(MemoryRows):
-    """A store that yields before and after each call takes effect."""
+    """A store that yields to other tasks before, and mostly after, a call's effect."""
 
     rng: random.Random = field(kw_only=True)
 
@@ -210,15 +212,16 @@
 
     Attributes:
         rng: The source of all random decisions.
-        patch: Replaces sockets and signals by stand-ins.
+        patch: Replaces sockets and signals by test doubles.
         listeners: The listeners, by the port at which they would listen.
         open: The servers' ends of the open connections to them.
-        ends: The status of each ended request, or 0 without an answer.
-        runs: How often servers ran each request.
-        stop_signal: Set to send the gateway its signal.
+        ends: The HTTP status of each ended request, or 0 without an answer.
+        runs: How often servers received each request.
+        stop_signal: Set to send the gateway a SIGTERM.
+        status: The gateway's exit status; None before its end.
         ended: Set when the gateway has ended.
-        overlapping: Data that arrived on a connection before its last request was
-            answered.
+        overlapping: Request heads on server connections that carried data before the
+            previous request was answered.
     """
 
     rng: random.Random
@@ -255,7 +258,7 @@
 
     @contextmanager
     def signals(self, *watched: signal.Signals) -> Iterator[Signals]:
-        """Stand in for the process's signals: a single SIGTERM."""
+        """Deliver one SIGTERM when `stop_signal` is set, instead of real signals."""
         del watched
 
         async def deliver() -> Signals:
@@ -268,7 +271,7 @@
     async def listen(
         self, listener: CallerListener, address: tuple[str, int], tasks: TaskGroup
     ) -> None:
-        """Stand in for listening at an address."""
+        """Register a listener by its port, instead of listening at an address."""
         del tasks
         with listener.accepting:
             self.listeners[address[1]] = listener
@@ -282,7 +285,7 @@
         starter: TaskStarter,
         timeout: float = _channel.CONNECT_TIMEOUT,
     ) -> _channel.Channel:
-        """Stand in for connecting to a server; some attempts fail."""
+        """Connect to a simulated server in memory; 2 % of the attempts fail."""
         del timeout
         await yield_to_tasks(self.rng)
         if self.rng.random() < 0.02:
@@ -294,7 +297,7 @@
         return channel
 
     async def serve(self, stream: Pipe) -> None:
-        """Serve one connection as a server."""
+        """Answer the requests on one connection, as a server does, until it ends."""
         self.open.add(stream)
         rest = b""
         try:
@@ -311,7 +314,7 @@
             self.open.discard(stream)
 
     async def answer(self, stream: Pipe, head: str) -> None:
-        """Answer one request; sometimes close the connection first."""
+        """Answer one request; close the connection before 2 % of the answers."""
         name = value(head, "x-ebonyhold-request-id")
         self.runs[name] = self.runs.get(name, 0) + 1
         await anyio.sleep(self.rng.choice((0, 0.001, 0.02)))
@@ -323,13 +326,16 @@
             for number in range(1, 4):
                 await stream.send(chunk(event(number)))
             last = chunk(b"")
-        # The next request may arrive only after the last byte was sent.
+        # The gateway may send the next request only after the last byte of the answer.
         if stream.inbound:
             self.overlapping.append(head)
         await stream.send(last)
 
     async def send_requests(self, tasks: TaskGroup) -> None:
-        """Send requests one after the other, on one connection while it lasts."""
+        """Send requests until the listener for callers closes, as one caller.
+
+        A connection is used again until the gateway closes it.
+        """
         stream: Pipe | None = None
         while 1 in self.listeners:
             if stream is None:
@@ -345,8 +351,8 @@
     async def pause(self) -> None:
         """Wait before a caller's next request.
 
-        A share of the callers wait for the moment of the next sweep, so that their
-        requests coincide with it.
+        With the probability `BURST_SHARE` the wait ends at the next sweep, so that the
+        request coincides with it.
         """
         now = anyio.current_time() - self.gateway.began_at
         if self.rng.random() < BURST_SHARE:
@@ -372,7 +378,7 @@
         return b"connection: close" not in received.lower()
 
     async def end_connections(self) -> None:
-        """Let servers close all their connections at once, repeatedly."""
+        """Close all server connections from the servers' side, repeatedly."""
         while True:
             await anyio.sleep(self.rng.uniform(0.02, 0.2))
             for stream in list(self.open):
@@ -381,7 +387,7 @@
                 stream.other.notify()
 
     async def change_servers(self) -> None:
-        """Let servers deregister, drain, restart and register again, repeatedly."""
+        """Deregister a server or register it in another state, repeatedly."""
         while True:
             await anyio.sleep(self.rng.uniform(0.05, 0.8))
             name = self.rng.choice(SERVERS[1:])
@@ -393,7 +399,10 @@
             self.list_server(name, state=state, born=born)
 
     async def disturb_store(self) -> None:
-        """Let the store fail for short times: refused or lost calls, slow answers."""
+        """Let the store refuse, lose or delay some calls, repeatedly.
+
+        With a probability of 10 % each time, it also drops its history of changes.
+        """
         faults = self.store.faults
         while True:
             await anyio.sleep(self.rng.uniform(0.2, 1.0))
@@ -404,17 +413,17 @@
                 self.history.compact()
 
     def write(self, change: Put | Delete) -> None:
-        """Write a row without any fault."""
+        """Write a row directly, without the faults of the simulated store."""
         self.history.apply(Transaction((), (change,)))
 
     def list_server(self, name: str, **more: Any) -> None:
-        """Register a server."""
+        """Register a server; `more` replaces fields of its entry."""
         port = 100 + SERVERS.index(name) * 10 + more.get("born", 1)
         row = {**ENTRY, "address": f"10.0.0.1:{port}", **more}
         self.write(Put(f"servers//{name}", row))
 
     async def run_gateway(self) -> None:
-        """Run the gateway until it ends."""
+        """Run the gateway until it ends, and store its exit status."""
         self.status = await self.gateway.run()
         self.ended.set()
 
@@ -438,7 +447,7 @@
                     disturbances.cancel_scope.cancel()
                 self.store.faults.answer_delay = 0.0
                 self.stop_signal.set()
-                # The simulation must end even if a fault keeps the gateway running.
+                # The simulation must end even if the gateway does not stop.
                 callers.cancel_scope.deadline = anyio.current_time() + MAX_STOP_TIME
             with anyio.move_on_after(MAX_STOP_TIME):
                 await self.ended.wait()
@@ -446,7 +455,7 @@
         return self.find_violations()
 
     def find_violations(self) -> list[str]:
-        """Return the violations of the whole run."""
+        """Return a description of each requirement that was violated."""
         violations = []
         for metric in self.gateway.metrics.failures.collect():
             totals = (s for s in metric.samples if s.name.endswith("_total"))
@@ -454,7 +463,8 @@
         if self.status != 0:
             violations.append(f"it ended with status {self.status}")
         failed = [end for end in self.ends if end in (0, 500)]
-        # A server connection that breaks during a stream cuts the caller's too.
+        # A missing answer is no violation, since a caller's connection is closed when
+        # the server's connection breaks during a stream.
         cut = sum(1 for end in failed if end == 0)
         violations += (
             [f"{len(failed) - cut} requests got 500"] if len(failed) > cut else []
@@ -469,7 +479,11 @@
         return violations
 
     def check_budget(self, name: str, prepaid: int) -> list[str]:
-        """Return the violations of a budget after the end."""
+        """Return the violations of a budget after the gateway has ended.
+
+        All tokens must be returned, and those spent must equal those charged and not
+        exceed the prepaid ones.
+        """
         row = self.history.rows.get(budget_row_key(name))
         if row is None:
             return []
@@ -496,17 +510,17 @@
 
 
 def no_weakening(patch: pytest.MonkeyPatch) -> None:
-    """Weaken nothing."""
+    """Change nothing: the gateway runs without an injected fault."""
 
 
 def run_seed(
     seed: int, weaken: Callable[[pytest.MonkeyPatch], None] = no_weakening
 ) -> list[str]:
-    """Run one seed, and return the violations.
+    """Run the simulation with one seed, and return the violations.
 
     Args:
         seed: Determines every random decision.
-        weaken: Removes one guard from the code.
+        weaken: Injects a fault into the code.
     """
     core = trio._core._run
     clock = trio.testing.MockClock(autojump_threshold=0)
@@ -515,12 +529,13 @@
         simulation = Simulation(random.Random(seed), patch)
         patch.setattr(_gateway, "listen", simulation.listen)
         patch.setattr(anyio, "open_signal_receiver", simulation.signals)
-        # The real handlers of the test process must stay unchanged.
+        # The signal handlers of the test process itself must stay unchanged.
         patch.setattr(_signals, "ignore_signals", lambda: None)
         return await simulation.run_scenario()
 
     with pytest.MonkeyPatch.context() as patch:
-        # With this setting trio's scheduler orders ready tasks by its seeded generator.
+        # With this setting, only trio's own generator, which is seeded here, decides
+        # the order of ready tasks.
         patch.setattr(core, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
         core._r.seed(seed)
         random.seed(seed)
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -1,4 +1,4 @@
-"""Explaining a request from the lines that routers really log."""
+"""Explaining a request from log lines of real code, not from made-up ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def lines() -> Iterator[list[str]]:
-    """Return the log lines; iterating reads those written so far."""
+    """Return the log lines; each iteration includes those written before it."""
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     root = logging.getLogger()
--- a/tests/gateway/test_holds.py
+++ b/tests/gateway/test_holds.py
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class FakeAccount:
-    """A grant of 500 tokens that refuses with the given error."""
+    """A grant of 500 tokens that raises the given error when it has too few."""
 
     ledger: GrantLedger = field(factory=lambda: GrantLedger(available=500))
     error: type[Exception] = BudgetUnreachableError
@@ -50,7 +50,7 @@
 
 @asynccontextmanager
 async def serving_holder(account: FakeAccount) -> AsyncIterator[GatewayHolders]:
-    """Serve holds of "acme" from an account, and yield a client for them."""
+    """Serve holds of "acme" from a grant, and yield a client for them."""
     port = free_port()
 
     def find(name: str) -> FakeAccount | None:
@@ -97,7 +97,7 @@
 
 
 async def test_hold_requests_share_a_connection() -> None:
-    """A connection costs as much as a request, so one per request doubles the cost."""
+    """With a new connection for each request, the processor time would double."""
     async with serving_holder(FakeAccount()) as holders:
         for number in range(3):
             wanted = WantedHold(f"vm-1.a/{number}", "acme", 10, "r")
@@ -166,7 +166,11 @@
 
 @pytest.mark.parametrize("conduct", [no_answer, malformed_answer, unknown_outcome])
 async def test_unanswered_hold_is_released(conduct: Conduct) -> None:
-    """Without a settlement, the holder would keep the hold's tokens for a minute."""
+    """The holder may have made the hold although its answer is missing or malformed.
+
+    Without a settlement, it would keep the tokens on hold for a minute and then charge
+    them.
+    """
     listener = await anyio.create_tcp_listener(local_host=HOST)
     port = listener.extra(SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as tasks:
@@ -181,7 +185,10 @@
 
 
 async def test_settlement_is_repeated_until_confirmed() -> None:
-    """If a settlement were sent only once, a frozen holder would charge the maximum."""
+    """The holder cannot be reached when the settlement is first sent.
+
+    If it were not sent again, the holder would charge the request's maximum cost.
+    """
     account = FakeAccount()
     async with serving_holder(account) as holders:
         wanted = WantedHold("vm-1.a/1", "acme", 300, "r")
@@ -196,10 +203,9 @@
 
 
 async def test_concurrent_settlements_to_one_holder() -> None:
-    """Several tasks send the settlements of one holder.
+    """Several tasks send the settlements of one holder, and the later ones find none.
 
-    The slower ones find none left. An error there would make the stop of the gateway
-    fail.
+    An error in such a task would make the gateway's stop fail.
     """
     account = FakeAccount()
     async with serving_holder(account) as holders:
--- a/tests/gateway/test_interleavings.py
+++ b/tests/gateway/test_interleavings.py
@@ -1,4 +1,4 @@
-"""Random orders of a gateway's tasks, as far as seeds reach them."""
+"""A simulated gateway works correctly with random orders of its tasks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 
 def remove_while_closing(patch: pytest.MonkeyPatch) -> None:
-    """Let the sweep wait for a close while it removes connections from a list."""
+    """Inject a fault: the sweep waits for a close while it iterates over connections.
+
+    A request can take a connection meanwhile, and the sweep fails when it removes that
+    connection next.
+    """
 
     async def sweep(self: ChannelPool) -> None:
         while True:
@@ -35,7 +39,7 @@
 
 
 def forget_changes_in_doubt(patch: pytest.MonkeyPatch) -> None:
-    """Ignore changes of a grant whose answer was lost."""
+    """Inject a fault: a change of a grant is forgotten if its answer is lost."""
 
     async def send(self: Grant, change: Change) -> None:
         committed = await self.store.commit(change.transaction)
@@ -46,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", FEW)
 def test_random_task_orders_keep_gateway_correct(seed: int) -> None:
-    """Callers, servers, the server list and the store change at every wait.
+    """Requests, server failures and store faults coincide in random orders.
 
     No task may fail, each request must end, no connection may carry two requests at
     once, and the grants must match what was charged.
@@ -64,12 +68,11 @@
 def test_weakened_gateway_is_detected(
     weaken: Callable[[pytest.MonkeyPatch], None], shown: str
 ) -> None:
-    """Each of two faults is found by some seed.
+    """The simulation detects each of two injected faults with some seed.
 
-    In the first, the sweep waits for a close and then removes a connection that a
-    request has taken; the error ends the router's process when servers close their
-    connections together. In the second, a change of a grant whose answer was lost is
-    never looked up.
+    With the first, the sweep removes a connection that a request has taken while the
+    sweep waited, and fails. With the second, a change of a grant whose answer was lost
+    is never looked up, so its tokens are not returned.
     """
     for seed in range(1, 21):
         violations = run_seed(seed, weaken)
@@ -82,5 +85,5 @@
 @pytest.mark.soak
 @pytest.mark.parametrize("seed", MANY)
 def test_many_random_task_orders(seed: int) -> None:
-    """The same with more seeds, for some minutes."""
+    """The test with a few seeds is repeated with more, for some minutes."""
     assert run_seed(seed) == []
--- a/tests/gateway/test_listeners.py
+++ b/tests/gateway/test_listeners.py
@@ -50,9 +50,9 @@
     """A running readiness or metrics listener.
 
     Attributes:
-        gateway_double: The gateway.
+        gateway_double: Stands for the gateway that answers.
         port: The listener's port.
-        tasks: Cancelled at the end of the gateway's stop.
+        tasks: The task group of the listener, which a test cancels to end it.
     """
 
     gateway_double: FakeGateway
@@ -61,7 +61,7 @@
 
     @asynccontextmanager
     async def caller(self) -> AsyncIterator[Caller]:
-        """Connect when the listener is open."""
+        """Connect as soon as the listener is open."""
         with anyio.fail_after(PATIENCE):
             while True:
                 try:
@@ -95,7 +95,7 @@
 
 @frozen
 class Case:
-    """What is sent before and during the stop, and the number of answers to each."""
+    """Bytes sent before and during the stop, and the numbers of answers to them."""
 
     before: bytes
     after: bytes
@@ -118,7 +118,7 @@
 ) -> None:
     """A stopping gateway answers readiness checks with 503 and still serves metrics.
 
-    Both listeners work until the process ends, whichever way the request arrives.
+    This applies to new and kept connections and to partial and pipelined requests.
     """
     async with running_listener(name) as here, here.caller() as caller:
         await caller.send(kind.before)
@@ -134,10 +134,10 @@
 
 @pytest.mark.parametrize("name", ["readiness", "metrics"])
 async def test_exit_leaves_no_request_open(name: str) -> None:
-    """A partial request does not delay the end of the process.
+    """A partial request does not delay the end of the process, which cancels tasks.
 
-    The end cancels the listener: the connection is closed, and a new one is refused
-    instead of staying unanswered.
+    Its connection is closed without an answer, and new connections are refused instead
+    of staying unanswered.
     """
     async with running_listener(name) as here, here.caller() as caller:
         await caller.send(REQUEST[:9])
--- a/tests/gateway/test_losses.py
+++ b/tests/gateway/test_losses.py
@@ -1,4 +1,4 @@
-"""The report on lost requests, from lines as routers write them."""
+"""The report on lost requests, from log lines in the format of routers."""
 
 from __future__ import annotations
 
@@ -67,12 +67,16 @@
 
 @pytest.mark.parametrize("outcome", ["delivered", "servers_full"])
 def test_delivered_or_refused_end_is_not_counted(outcome: str) -> None:
-    """Delivered requests are no losses, and refusals have their own line."""
+    """Delivered requests are not lost, and refused ones are counted at "refused"."""
     assert not find_losses([line("request ended", outcome=outcome)]).causes
 
 
 def test_lines_are_sorted_by_time() -> None:
-    """Each router has its own log, and the logs are read one after another."""
+    """Each router has its own log, and the logs are read one after another.
+
+    Without sorting, tokens that another router got only after the refusal would seem
+    available.
+    """
     late = [grant("vm-2", 800, second=7), *refusal(False)]
     assert find_losses(late).causes == {"tokens spent or held": 1}
 
--- a/tests/gateway/test_output.py
+++ b/tests/gateway/test_output.py
@@ -13,7 +13,7 @@
 def test_full_pipe_does_not_block() -> None:
     """The log reader has stopped reading, and the pipe is full.
 
-    A blocking write would stop the process with all its requests.
+    A blocking write would block the process and all its requests.
     """
     reader, writer = os.pipe()
     output = BoundedOutput(writer)
--- a/tests/gateway/test_presence.py
+++ b/tests/gateway/test_presence.py
@@ -1,4 +1,4 @@
-"""Counting routers and choosing holders by presence rows."""
+"""Presence rows show the number of routers and which ones can be holders."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     reported: dict[str, dict[str, str]] = field(factory=dict)
 
     def presence(self, name: str, address: str = "10.0.0.1:1") -> Presence:
-        """Return one router's presence, whose reports of the fleet are recorded."""
+        """Return one router's presence; `reported` gets the fleet that it reports."""
         return Presence(
             MemoryRows(self.history),
             name,
@@ -36,7 +36,10 @@
 
 
 async def test_fleet_contains_routers_with_an_address() -> None:
-    """Requests for tokens to a router without an address would fail."""
+    """A router without an address is counted but cannot be a holder.
+
+    No other router could request tokens from it.
+    """
     fleet = FleetRig()
     one, two = fleet.presence("vm-1"), fleet.presence("vm-2")
     unreachable = fleet.presence("vm-3", address="")
@@ -57,7 +60,11 @@
 async def test_router_with_unchanged_row_leaves_fleet(
     readings: int, listed: bool
 ) -> None:
-    """Otherwise each request for its workspaces would first wait for this router."""
+    """A router was killed, so its row does not change any more.
+
+    While it counts as a holder, each request for tokens of its workspaces first waits
+    for an answer from it.
+    """
     fleet = FleetRig()
     one, two = fleet.presence("vm-1"), fleet.presence("vm-2")
     await two.count_routers()
@@ -69,7 +76,10 @@
 
 
 async def test_store_outage_keeps_routers_in_fleet() -> None:
-    """If an outage removed routers, all grants would move to other routers."""
+    """During an outage of the store, no row changes although all routers are alive.
+
+    If the outage removed them from the fleet, other routers would become holders.
+    """
     fleet = FleetRig()
     one, two = fleet.presence("vm-1"), fleet.presence("vm-2")
     for _ in range(2):
@@ -99,7 +109,7 @@
 
 
 async def test_large_fleet_is_counted_less_often() -> None:
-    """The number of rows that all routers read grows with the square of the fleet."""
+    """With a fixed interval, the rows read by all routers would grow quadratically."""
     fleet = FleetRig()
     one = fleet.presence("vm-1")
     for number in range(195):
--- a/tests/gateway/test_pressure.py
+++ b/tests/gateway/test_pressure.py
@@ -15,7 +15,7 @@
 )
 
 DELAYS = [
-    # case, event loop delays in seconds, whether the router leaves the rotation
+    # case, event loop delays in seconds, whether the router is then out of rotation
     ("calm", [0.002] * 100, False),
     ("one large configuration", [0.002] * 20 + [0.15] + [0.002] * 20, False),
     ("a pause of the machine", [0.002] * 20 + [0.6] + [0.002] * 20, False),
@@ -41,7 +41,7 @@
 
 
 LINKS = [
-    # case, servers of successful and of failed connections, whether the link is blocked
+    # case, servers of successful and of failed attempts, whether the link is blocked
     ("calm", "abcdefgh", "", False),
     ("one server is dark", "abc", "dddddddd", False),
     ("a few tries only", "", "abcdefg", False),
@@ -56,9 +56,9 @@
 ) -> None:
     """A small VM with twenty times the usual callers saturates its network link.
 
-    Its connections time out to servers that other routers reach, and so do its calls to
-    the store. Without this check it would refuse requests for lack of tokens that other
-    routers could serve.
+    Its connections to servers that other routers reach time out, and so do its calls to
+    the store. If it stayed in rotation, it would refuse requests for lack of tokens
+    although other routers could serve them.
     """
     monitor = LinkMonitor()
     for number, server in enumerate(made + failed):
@@ -68,10 +68,10 @@
 
 
 def test_overloaded_router_sheds_callers_and_returns() -> None:
-    """A hash sends one of 82 routers twenty times the callers of the others.
+    """The load balancer's hash sends one of 82 routers twenty times the mean.
 
-    Its answers are late by the delay of its event loop. It leaves the rotation before
-    it closes connections, so that the callers do not reconnect to it.
+    This router's event loop delays its answers. It leaves the rotation before it closes
+    connections, so that the callers do not reconnect to it.
     """
     calls: list[tuple[float, bool]] = []
     now = 0.0
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -90,7 +90,7 @@
 async def test_used_port_ends_process_with_code(
     which: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A port that is in use is logged with a code, not as thirty lines of traceback."""
+    """A port that is in use ends the process; the log line has a code for the cause."""
     tested = gateway()
     with port_in_use(getattr(tested.platform.settings, which)):
         assert await tested.run() == EXIT_PORT
@@ -100,7 +100,10 @@
 async def test_used_metrics_port_ends_nothing(
     caplog: pytest.LogCaptureFixture, metrics_port: int
 ) -> None:
-    """Two processes of one host may use the same metrics port."""
+    """Two processes on one host may use the same metrics port.
+
+    The second one serves callers and readiness checks without metrics.
+    """
     tested = gateway()
     ended: list[int] = []
 
@@ -125,7 +128,11 @@
 async def test_failed_grants_task_stops_process_in_order(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The grants task fails with an error that does not come from the store."""
+    """The grants task fails with an error that does not come from the store.
+
+    Its state may be inconsistent then, so the process must stop, but without cutting
+    requests.
+    """
 
     def broken(self: Treasury) -> None:
         raise KeyError("acme")
@@ -141,9 +148,9 @@
 async def test_failing_return_of_grants_cuts_no_request(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A grant's task fails permanently, also when the grant is returned.
+    """A grant's update always fails, also when the grant is returned at the stop.
 
-    An error during the return must not end the stop, which would cut all open requests.
+    If the error ended the stop, all open requests would be cut.
     """
 
     async def broken(self: Account) -> None:
--- a/tests/gateway/test_renewals.py
+++ b/tests/gateway/test_renewals.py
@@ -1,4 +1,4 @@
-"""A router's limits in the store, with lost answers, outages and successors."""
+"""Renewals of a router's limits, with lost answers, outages and successors."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 
 
 async def test_third_incarnation_knows_unreturned_grants() -> None:
-    """A router is killed, and its successor is killed before it reclaimed the grants.
+    """A router is killed, and its successor is killed before reclaiming the grants.
 
-    The second incarnation overwrites the VM's only row. It must keep the record of the
-    first one, whose tokens would be lost otherwise.
+    The successor overwrites the VM's only row. If the new row did not name the first
+    incarnation, the third one could not reclaim the first one's tokens.
     """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
@@ -69,7 +69,10 @@
 
 @pytest.mark.parametrize("fault", ["lose_answers", "lose_requests", "late"])
 async def test_own_first_row_is_no_predecessor(fault: str) -> None:
-    """The answer to an incarnation's first write is lost, and it finds its own row."""
+    """The answer to an incarnation's first write is lost, so it finds its own row.
+
+    It must not take itself for a predecessor whose grants have to be reclaimed.
+    """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
     setattr(store.faults, fault, 1)
@@ -83,9 +86,9 @@
 async def test_renewal_in_doubt_lowers_no_limit() -> None:
     """The store does not answer, and each renewal may still take effect later.
 
-    The limits of the renewal in doubt apply too, since a successor may find it. Later
-    renewals must not restart the growth of the limits, or an outage would release no
-    tokens.
+    The limits of a renewal in doubt apply too, since a successor may find it. If later
+    renewals restarted the growth of the limits, the router could use no further tokens
+    during an outage.
     """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
@@ -107,7 +110,10 @@
 
 
 async def test_late_renewal_is_recognised() -> None:
-    """A renewal that timed out takes effect later, and the next one conflicts."""
+    """A renewal that timed out takes effect later, so the row has a new version.
+
+    The next renewal must read the row first, or it would conflict with the late one.
+    """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
     await first.step()
@@ -123,7 +129,8 @@
 async def test_a_router_may_use_tokens_as_soon_as_the_store_answers() -> None:
     """The first renewal is sent without waiting for an interval.
 
-    After a power cut of all VMs, each second without service counts.
+    Until it is acknowledged the router serves no priced request, and after a power cut
+    of all VMs no other router can serve them.
     """
     first = renewals(MemoryRows(), "vm-1.a", {"acme": LIMIT})
     async with anyio.create_task_group() as tasks:
@@ -135,7 +142,7 @@
 
 
 async def test_concurrent_requests_share_a_renewal() -> None:
-    """Many requests are above their limits at once; one renewal serves them all."""
+    """Many requests need a higher limit at once; a single renewal serves them all."""
     store = MemoryRows()
     store.faults.answer_delay = 0.02
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
@@ -154,8 +161,8 @@
 async def test_lost_answer_is_detected_before_requests_time_out() -> None:
     """The store loses a third of its answers while requests wait for a renewal.
 
-    With a renewal timeout of 0.6 s, requests, which wait 0.25 s, were refused at a rate
-    of a hundred per second although tokens were available.
+    Requests wait 0.25 s. With a renewal timeout of 0.6 s, a lost answer would be
+    detected too late, and they would be refused although tokens are available.
     """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
@@ -176,7 +183,10 @@
 
 
 async def test_timeout_adapts_to_slow_store() -> None:
-    """With a fixed timeout, each renewal fails when the store is sixty times slower."""
+    """The store is sixty times slower than usual.
+
+    With a fixed timeout, every renewal would fail.
+    """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
     async with anyio.create_task_group() as tasks:
@@ -193,7 +203,7 @@
 ) -> None:
     """A line for each failed renewal of an outage would hide other lines.
 
-    Without any line, an operator could not see why grants opened their reserve.
+    Without any line, an operator could not see why grants use their reserve.
     """
     caplog.set_level("INFO")
     store = MemoryRows()
@@ -225,7 +235,10 @@
 
 
 async def test_row_with_unreturned_grants_is_kept() -> None:
-    """A router is stopped before it has reclaimed its predecessor's grants."""
+    """A router is stopped before it has reclaimed its predecessor's grants.
+
+    Without the row, the next incarnation would not know of them.
+    """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
     await first.step()
@@ -245,7 +258,8 @@
 async def test_damaged_row_is_overwritten_at_start(value: Json) -> None:
     """The content of a VM's row of limits cannot be decoded.
 
-    This must not keep the router from starting.
+    The router must start nevertheless, but a row that becomes damaged later is a
+    conflict.
     """
     store = MemoryRows()
     first = renewals(store, "vm-1.a", {"acme": LIMIT})
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -1,4 +1,4 @@
-"""A gateway's stop over sockets: each caller that connects gets an answer."""
+"""During a gateway's stop, each caller that connects gets an answer."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 pytestmark = pytest.mark.anyio
 
 GRACE = 4.0
-"""Seconds. A stop then leaves the rotation after two, returns grants from 2.5 s on, and
-sends the last answer at 3.1 s."""
+"""Seconds from the signal to the kill. A stop then counts as out of rotation after 2 s,
+returns grants at 2.5 s at the latest, and has its last answer at 3.1 s."""
 
 HALF_HEAD = b"GET /safe/x HTTP/1.1\r\nHost: h.exa"
 HALF_BODY = b"POST /safe/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 9\r\n\r\nabc"
@@ -44,7 +44,7 @@
 
 
 def long_limits() -> CallerLimits:
-    """Return limits that do not refuse a slow request before the stop ends."""
+    """Return limits with a timeout for request heads that is longer than the stop."""
     return CallerLimits(head_timeout=30.0)
 
 
@@ -53,9 +53,9 @@
     """Grants that take some time to be returned.
 
     Attributes:
-        takes: Seconds for each return.
+        takes: Duration of each return, in seconds.
         closed: The number of returns so far.
-        returned: Set after the last return.
+        returned: Set after the second return, which is a stop's last.
     """
 
     takes: float = 0.0
@@ -96,7 +96,7 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer after the time that the request takes."""
+        """Answer after `work` seconds; refuse with 503 in the stop's last stage."""
         del body
         if self.departure.stage is Stage.OVER:
             await connection.answer(503, [], b"")
@@ -106,7 +106,7 @@
         await connection.answer(200, [], b"whole")
 
     async def leave(self) -> None:
-        """Remove the rows."""
+        """Record that the rows would be removed."""
         self.left = True
 
     async def connect(self) -> SocketStream:
@@ -123,7 +123,7 @@
 
 @asynccontextmanager
 async def stopping(work: float = 0.0) -> AsyncIterator[StopRig]:
-    """Run a listener."""
+    """Run a listener, and yield it with its stop when it accepts connections."""
     rig = StopRig(work)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(rig.listener.run, (LOOPBACK, rig.port), tasks)
@@ -146,10 +146,10 @@
 async def test_requests_are_served_while_grants_are_returned(
     takes: float, waits: tuple[float, ...]
 ) -> None:
-    """Requests that arrive while grants are returned get their answers.
+    """Requests that arrive while grants are returned get their answers before the exit.
 
-    Otherwise the exit would cut them. Closing the listener earlier would not help:
-    callers that the load balancer still sends here would be refused their connections.
+    Without the listener, the connections of callers that the load balancer still sends
+    here would be refused.
     """
     async with stopping(work=0.3) as rig:
         rig.grants.takes = takes
@@ -173,9 +173,9 @@
 
 @pytest.mark.parametrize("sent", [HALF_HEAD, HALF_BODY], ids=["head", "body"])
 async def test_partial_request_is_refused_at_the_end(sent: bytes) -> None:
-    """A caller sends its request so slowly that the router stops before it is complete.
+    """The router stops before a caller has sent its request completely.
 
-    Without an answer, the caller could not know whether the request had run.
+    Without an answer, the caller could not know whether the request was executed.
     """
     async with stopping() as rig, await rig.connect() as stream:
         await stream.send(sent)
@@ -187,7 +187,11 @@
 
 
 async def test_new_connection_is_answered_at_the_end() -> None:
-    """A caller connects before the listener closes, and its request arrives later."""
+    """A caller connects before the listener closes, and its request arrives later.
+
+    The router must wait for the request and refuse it instead of closing the connection
+    without an answer.
+    """
     async with (
         stopping() as rig,
         await rig.connect() as stream,
@@ -203,12 +207,14 @@
 
 
 CLOSE_COUNT = 60
-"""The number of closings that are tried; a fault of this kind showed in one of eight.
-"""
+"""The number of closings that are tried; a fault of this kind shows in one of eight."""
 
 
 def request_at(port: int, moment: float, answers: list[bytes | None]) -> None:
-    """Connect and send a request at a moment; append the answer, or None if refused."""
+    """Send a request on a new connection at a given time, and append the answer.
+
+    Append None if the connection is refused, reset or silent for a second.
+    """
     time.sleep(max(0.0, moment - time.monotonic()))
     try:
         with socket.create_connection((LOOPBACK, port), 1.0) as caller:
@@ -252,7 +258,7 @@
 async def test_rows_are_kept_while_a_request_is_open() -> None:
     """A request that lasts longer than the stop still holds tokens of a grant.
 
-    A successor needs the rows to reclaim these tokens.
+    Without the rows, a successor could not reclaim these tokens.
     """
     async with stopping(work=30.0) as rig, await rig.connect() as stream:
         await stream.send(request("/safe/x", close=False))
--- a/tests/gateway/test_supervision.py
+++ b/tests/gateway/test_supervision.py
@@ -60,7 +60,10 @@
         self.stops += 1
 
     def failing(self, *errors: Exception, after: float = 0.0) -> Run:
-        """Return a task that fails with these errors, one per run, and then runs on."""
+        """Return a task that raises these errors, one per start, and then never ends.
+
+        Each error is raised `after` seconds after the start.
+        """
         left = list(errors)
 
         async def run() -> None:
@@ -74,7 +77,7 @@
 
 
 async def supervise(spy: Spy, task: str, run: Run) -> int:
-    """Supervise this task and another for a minute; return the exit status."""
+    """Supervise this task for a minute beside another one; return the exit status."""
     async with anyio.create_task_group() as tasks:
         supervisor = Supervisor(tasks, spy.count, spy.stop)
         supervisor.start("pressure", anyio.sleep_forever)
@@ -88,7 +91,11 @@
     "task", [n for n, r in TASK_RULES.items() if r.policy.action is Action.RESTART]
 )
 async def test_restartable_task_is_restarted(task: str) -> None:
-    """An unexpected error in such a task must not end the process with all requests."""
+    """An unexpected error in such a task must not end the process.
+
+    The task runs again, and no stop begins. The metrics task is restarted so late that
+    its third error may not occur within the minute.
+    """
     spy = Spy()
     run = spy.failing(*[ValueError("x not in list")] * 3)
     assert await supervise(spy, task, run) == EXIT_OK
@@ -114,7 +121,7 @@
     ],
 )
 async def test_used_port(task: str, status: int, stops: int) -> None:
-    """Only the ports for callers and readiness checks are required, not for metrics."""
+    """A used port stops the process, except for that of the metrics."""
     spy = Spy()
     assert await supervise(spy, task, spy.failing(PORT_TAKEN)) == status
     assert spy.stops == stops
@@ -128,7 +135,10 @@
 
 
 async def test_restart_delays_grow() -> None:
-    """The delays grow to two seconds, so that the task uses little processor time."""
+    """A task that fails at each start is restarted at most every two seconds.
+
+    Restarts without a delay would use all processor time.
+    """
     spy = Spy()
     await supervise(spy, "expiry", spy.failing(*[ValueError("again")] * 1000))
     pauses = [b - a for a, b in zip(spy.ran_at, spy.ran_at[1:], strict=False)]
@@ -157,7 +167,7 @@
 
 
 async def test_guarded_task_fails_alone() -> None:
-    """One connection's reading task fails, and the others continue."""
+    """The task that reads from one connection fails, and the others continue."""
     spy = Spy()
     async with anyio.create_task_group() as tasks:
         guarded = GuardedTasks(
@@ -190,7 +200,11 @@
 
 
 async def test_listener_can_run_again() -> None:
-    """The cancel scope that ends the accepting can be entered only once."""
+    """A listener fails, and its task is restarted.
+
+    A cancel scope can be entered only once, so a second run with the same scope would
+    fail at once.
+    """
 
     class Failing(CallerListener):
         async def run(self, address, tasks):  # type: ignore[no-untyped-def]
@@ -210,7 +224,10 @@
 
 
 async def test_failure_is_one_json_line(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A plain traceback is about thirty lines, which log readers cannot parse."""
+    """A failure must not be logged as a plain traceback.
+
+    Log readers cannot parse the traceback's thirty lines.
+    """
     out = io.StringIO()
     root = logging.getLogger()
     monkeypatch.setattr(root, "handlers", root.handlers[:])
--- a/tests/gateway/test_transfers.py
+++ b/tests/gateway/test_transfers.py
@@ -50,7 +50,7 @@
 
 @asynccontextmanager
 async def serving_gateway(account: FakeAccount | None) -> AsyncIterator[GatewayPeers]:
-    """Serve transfers of "acme" from an account, and yield a client for them."""
+    """Serve transfers of "acme" from a grant, and yield a client for them."""
     port = free_port()
 
     def find(name: str) -> FakeAccount | None:
@@ -118,7 +118,7 @@
     "conduct", [no_answer, malformed_answer, truncated_answer, negative_amount]
 )
 async def test_faulty_peer_transfers_nothing(conduct: Conduct) -> None:
-    """Only tokens in the body of a complete answer count as received."""
+    """Only tokens in a complete and valid answer count as received."""
     listener = await anyio.create_tcp_listener(local_host=HOST)
     port = listener.extra(SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as tasks:
@@ -129,7 +129,10 @@
 
 
 async def test_silent_peer_delays_one_request_only() -> None:
-    """Only the first request that lacks tokens waits for a VM without power."""
+    """A VM without power answers nothing, so only one request may wait for it.
+
+    Afterwards it is not asked for a while.
+    """
     listener = await anyio.create_tcp_listener(local_host=HOST)
     port = listener.extra(SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as tasks:
@@ -156,7 +159,7 @@
 
 @pytest.mark.parametrize(("others", "asked"), [(0, 0), (5, 5), (8, 8), (82, 8)])
 def test_sample_of_large_fleet_is_bounded(others: int, asked: int) -> None:
-    """Without a bound, eighty gateways in a shortage would each ask eighty others."""
+    """Without a limit, each of eighty gateways would ask all others in a shortage."""
     addresses = {f"vm-{n}": f"{HOST}:{n + 1}" for n in range(others)}
     chosen = GatewayPeers(lambda: addresses).sample(now=0.0)
     assert len(set(chosen)) == asked
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -37,12 +37,12 @@
 
 
 def put(history: RowHistory, key: str, value: Any) -> None:
-    """Write a row without any fault."""
+    """Write a row directly, without the faults of the simulated store."""
     history.apply(Transaction((), (Put(key, value),)))
 
 
 def drop(history: RowHistory, key: str) -> None:
-    """Remove a row without any fault."""
+    """Remove a row directly, without the faults of the simulated store."""
     history.apply(Transaction((), (Delete(key),)))
 
 
@@ -66,7 +66,10 @@
 
 
 async def test_lost_history_leads_to_new_snapshot() -> None:
-    """The store drops its history of changes, and a server deregistered in the gap."""
+    """A server deregisters, and the store drops its history before this is read.
+
+    Without a new snapshot, the server would stay in the list.
+    """
     store = MemoryRows()
     routing = routing_state(store)
     put(store.history, "servers//i-1", ENTRY)
@@ -86,9 +89,9 @@
 async def test_entries_lapsed_in_outage_are_kept_for_a_while() -> None:
     """The entries of all servers lapse during an outage of the store.
 
-    Servers renew them within two seconds of its return. If all servers were dropped at
-    once, every request would be refused until then; one that does not come back is
-    removed.
+    Servers register again within two seconds after the outage. If the gateway dropped
+    them at once, it would refuse every request until then. A server that does not
+    register again is dropped later.
     """
     store = MemoryRows()
     routing = routing_state(store)
@@ -132,7 +135,10 @@
 
 
 async def test_new_server_incarnation_resets_state() -> None:
-    """A server restarts under its old name after it was ejected."""
+    """A server that was ejected after failures restarts under the same name.
+
+    The failures of its previous incarnation must not exclude it.
+    """
     routing = routing_state(MemoryRows())
     routing.update_servers(row(ENTRY, key="i-1"), False)
     routing.backends.entries["i-1"].moved = True
