--- a/ebonyhold/gateway/_supervision.py
+++ b/ebonyhold/gateway/_supervision.py
@@ -160,134 +160,138 @@
     for rule in (
         TaskRule(
             "signals",
-            "the next signal would end the process without a stop in order",
+            "the next signal ends the process without an orderly stop",
             AT_ONCE,
-            "it keeps nothing, and until it is back a signal cuts requests",
+            "it has no state, and until it runs again a signal cuts requests",
         ),
         TaskRule(
             "rules",
-            "the configuration in force grows old",
+            "the configuration is not updated",
             AFTER_PAUSE,
-            "requests are served by what is known; the next call goes on from the "
-            "last version",
+            "requests are served with the last configuration; the next call continues "
+            "from its version",
         ),
         TaskRule(
             "servers",
-            "the list of servers grows old",
+            "the list of servers is not updated",
             AFTER_PAUSE,
-            "the same; servers that left show by failed connections",
+            "requests are served with the last list; failed connections show which "
+            "servers are gone",
         ),
         TaskRule(
             "renewals",
-            "what a successor may assume of this life is not what it does",
+            "the stored limits may not match how this router uses its grants",
             ORDERLY_STOP,
-            "an error that is not the store's leaves in doubt which limit binds",
+            "after an error that does not come from the store, it is unknown which "
+            "limit applies",
         ),
         TaskRule(
             "presence",
-            "other routers count one less after a few counts, and ask others for "
-            "tokens",
+            "after some counts, other routers do not count this one and request tokens "
+            "elsewhere",
             AFTER_PAUSE,
-            "only shares of budgets and their holders follow from the count",
+            "the count decides only the shares of budgets and the choice of holders",
         ),
         TaskRule(
             "treasury",
-            "rows, ledger and changes in doubt may not agree",
+            "cached rows, ledgers and changes in doubt may be inconsistent",
             ORDERLY_STOP,
-            "an error that is not the store's came in the middle of a change; what "
-            "is not returned by the stop counts as spent",
+            "an error that does not come from the store interrupted a change; tokens "
+            "that the stop does not return count as spent",
         ),
         TaskRule(
             "settlements",
-            "holders do not hear what requests cost",
+            "holders do not receive the cost of requests",
             AFTER_PAUSE,
-            "what was not confirmed is sent again; a holder charges in full what it "
-            "never hears of",
+            "unconfirmed settlements are sent again; a holder charges a hold without a "
+            "settlement in full",
         ),
         TaskRule(
             "lent holds",
-            "holds of routers that were killed stay open",
+            "expired holds of killed routers are not ended",
             AFTER_PAUSE,
-            "they keep tokens from others and give none twice",
+            "their tokens cannot be used by others meanwhile, but none is spent twice",
         ),
         TaskRule(
             "expiry",
-            "servers that did not come back stay listed",
+            "servers that did not return after an outage stay listed",
             AT_ONCE,
-            "it keeps nothing, and such servers cost failed connections",
+            "it has no state, and such servers only cost failed connections",
         ),
         TaskRule(
             "reclaim",
-            "what a predecessor left stays out",
+            "the grants of earlier incarnations are not reclaimed",
             AFTER_PAUSE,
-            "each grant is taken in one transaction, which cannot count twice",
+            "each grant is reclaimed in one transaction, so no token counts twice if "
+            "it is repeated",
         ),
         TaskRule(
             "pressure",
-            "too many callers are not seen",
+            "an overload of this router is not detected",
             AT_ONCE,
-            "it keeps only measurements",
+            "its only state is measurements",
         ),
         TaskRule(
             "sweep",
-            "unused connections stay open",
+            "unused connections to servers are not closed",
             AFTER_PAUSE,
-            "requests look at a connection themselves before they take it",
+            "each request checks a connection before it uses it",
         ),
         TaskRule(
             "callers",
-            "no new caller is accepted",
+            "no new connection of a caller is accepted",
             AFTER_PAUSE,
-            "open connections go on; a full table of files passes by itself",
+            "open connections continue; a lack of file descriptors is transient",
             port_policy=ORDERLY_STOP,
         ),
         TaskRule(
             "readiness",
-            "the platform sends no callers here",
+            "readiness checks fail, so no callers are sent here",
             AFTER_PAUSE,
-            "the same as with callers",
+            "the same as for callers",
             port_policy=ORDERLY_STOP,
         ),
         TaskRule(
             "metrics",
-            "this router shows no metrics",
+            "the metrics of this router cannot be scraped",
             RETRY_RARELY,
-            "no request needs them",
+            "no request depends on them",
             port_policy=RETRY_RARELY,
         ),
         TaskRule(
             "transfers",
-            "other gateways get no tokens from here",
+            "other gateways get no tokens from this one",
             AFTER_PAUSE,
-            "they do without, as with one that does not answer; its port is taken: it "
-            "is tried again seldom",
+            "they handle this like a gateway that does not answer; if its port is "
+            "taken, restarts are rare",
             port_policy=RETRY_RARELY,
         ),
         TaskRule(
             "caller connection",
-            "one caller gets 500, or a cut if its answer had begun",
+            "one caller gets a 500, or a closed connection if its answer had begun",
             FAIL_ALONE,
-            "500 says nothing of whether the request ran, so it is true in any case",
+            "a 500 does not state whether the request was executed, so it is correct "
+            "in either case",
         ),
         TaskRule(
             "server connection",
-            "the request on it counts as lost",
+            "the attempt on it counts as lost",
             FAIL_ALONE,
-            "its end shows like that of a connection that broke",
+            "for the request, this is the same as a broken connection",
         ),
         TaskRule(
             "return",
             "one workspace's grant is not returned at the stop",
             FAIL_ALONE,
-            "all others are, and what stays counts as spent until a successor proves "
-            "it unspent",
+            "all other grants are returned; the tokens of this one count as spent "
+            "until a successor proves them unspent",
         ),
         TaskRule(
             "stop",
-            "grants that were not returned yet stay out",
+            "grants that are not returned yet stay granted",
             EXIT_NOW,
-            "nothing is left that could end the process in order; a successor "
-            "takes what the limits prove unspent",
+            "no other task could end the process in order; a successor reclaims the "
+            "tokens that the limits prove unspent",
         ),
     )
 }
