--- a/ebonyhold/gateway/_holds.py
+++ b/ebonyhold/gateway/_holds.py
@@ -147,7 +147,7 @@
                 await anyio.sleep(RETRY_DELAY)
 
     async def send_all(self) -> None:
-        """Send all holders their unconfirmed settlements once, concurrently."""
+        """Send each holder its unconfirmed settlements once, all concurrently."""
         async with anyio.create_task_group() as tasks:
             for peer in list(self.pending):
                 tasks.start_soon(self.send_pending, peer)
@@ -175,7 +175,7 @@
             self.pending.pop(peer, None)
 
     def drop_expired(self, peer: str, now: Seconds) -> dict[HoldId, PendingSettlement]:
-        """Drop the expired settlements of a holder; return the others."""
+        """Drop and log the expired settlements of a holder; return the others."""
         # There are none if a concurrent call has already sent all of this holder.
         pending = self.pending.get(peer, {})
         kept = {
--- a/ebonyhold/gateway/_listening.py
+++ b/ebonyhold/gateway/_listening.py
@@ -19,7 +19,7 @@
 
 
 class ListenError(EbonyholdError):
-    """An address cannot be listened at: taken, not local, forbidden or unknown."""
+    """An address cannot be listened at, for example because its port is taken."""
 
     code = "address_unusable"
 
--- a/ebonyhold/gateway/_losses.py
+++ b/ebonyhold/gateway/_losses.py
@@ -49,7 +49,7 @@
     stranded: Tokens = 0
 
     def cause(self, line: LogLine) -> TokenCause:
-        """Return why the request of a "tokens refused" line got none."""
+        """Return why the request of a "tokens refused" line got no tokens."""
         fields = line.fields
         amount = fields["amount"]
         elsewhere = sum(self.available.values()) - self.available.get(line.router, 0)
@@ -147,7 +147,7 @@
 
 @reads("grant reclaimed", "grant not reclaimed")
 def read_reclaim(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count an ended incarnation's tokens as stranded if not returned or filed."""
+    """Count tokens that an ended incarnation neither returned nor filed as stranded."""
     del request
     fields = line.fields
     left = fields["granted"] - fields["returned"] - fields["filed"]
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -50,8 +50,7 @@
 """
 
 MAX_MISSED_COUNTS = 3.5
-"""Number of count intervals without a change of its row until a router is not counted.
-"""
+"""A router whose row has not changed for this many count intervals is not counted."""
 
 ASSUMED_ROUTERS = 8
 """The number of routers that is assumed before the first reading.
@@ -61,7 +60,7 @@
 """
 
 FORGET_AFTER: Seconds = 60.0
-"""Time without a change of its row after which a router is sent no messages.
+"""A router whose row has not changed for this long is sent no messages.
 
 Usual outages of the store, during which no row changes, are shorter.
 """
@@ -173,7 +172,7 @@
         return max(1, alive, int(self.max_counted * MIN_COUNT_SHARE))
 
     async def run(self) -> None:
-        """Count the routers until cancelled; failures are logged and tried again."""
+        """Count the routers at intervals until cancelled; a failed count is logged."""
         while True:
             try:
                 await self.count_routers()
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -278,7 +278,8 @@
     def take_over(self, previous: LimitsRow) -> None:
         """Record the earlier incarnations whose grants have to be returned.
 
-        There are none if another VM that had the same name wrote the row.
+        There are none if another VM with the same name wrote the row. If this
+        incarnation wrote it, the renewal in it is confirmed instead.
         """
         if previous.router == self.incarnation:
             # This incarnation wrote the row itself, and the answer was lost.
@@ -291,7 +292,10 @@
         self.unreclaimed = (*previous.unreclaimed, predecessor)[-MAX_UNRECLAIMED:]
 
     def compute_elapsed(self) -> None:
-        """Store how long the predecessor may have run after its last renewal."""
+        """Store how long the predecessor may have run after its last renewal.
+
+        `UNKNOWN_ELAPSED` stays if the predecessor's row has no time.
+        """
         previous = self.previous_row
         if previous is None or not previous.renewed_at:
             return
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -267,7 +267,10 @@
         return None
 
     def avoid(self, peer: str, now: Seconds) -> None:
-        """Avoid a VM that did not answer, each time twice as long, up to a maximum."""
+        """Avoid a VM that did not answer: twice as long as before, within the maximum.
+
+        An answer ends this sequence, so that the next period has its minimum length.
+        """
         before = self.avoidances.get(peer)
         if before is not None and now < before.until:
             # Concurrent requests that failed count once.
--- a/ebonyhold/gateway/_types.py
+++ b/ebonyhold/gateway/_types.py
@@ -106,8 +106,8 @@
 
         Args:
             table: The table.
-            part: The part's name, which its keys contain after the table; most tables
-                have a single part with the empty name.
+            part: The name of the part, whose keys start with ``{table}/{part}/``. Most
+                tables have a single part, whose name is empty.
 
         Raises:
             UnavailableError: The store cannot be reached.
--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -175,7 +175,7 @@
 
 @define
 class YieldingRows(MemoryRows):
-    """A store that yields to other tasks before, and mostly after, a call's effect."""
+    """A store whose calls let other tasks run before and mostly after their effect."""
 
     rng: random.Random = field(kw_only=True)
 
--- a/tests/gateway/test_holds.py
+++ b/tests/gateway/test_holds.py
@@ -39,7 +39,7 @@
     error: type[Exception] = BudgetUnreachableError
 
     async def hold(self, amount: int, request: str) -> None:
-        """Hold tokens."""
+        """Hold tokens, or raise `error` if there are too few."""
         if not self.ledger.hold(amount):
             raise self.error(request)
 
--- a/tests/gateway/test_interleavings.py
+++ b/tests/gateway/test_interleavings.py
@@ -85,5 +85,5 @@
 @pytest.mark.soak
 @pytest.mark.parametrize("seed", MANY)
 def test_many_random_task_orders(seed: int) -> None:
-    """The test with a few seeds is repeated with more, for some minutes."""
+    """The simulation finds no violation with more seeds, which takes some minutes."""
     assert run_seed(seed) == []
