--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -181,7 +181,7 @@
         return supervisor
 
     def start_listeners(self, tasks: TaskGroup, supervisor: Supervisor) -> None:
-        """Start the listeners, and the tasks for connections and overload.
+        """Start the listeners, the overload detection and the sweep of connections.
 
         Other gateways are served only if the settings contain a port for them.
         """
--- a/ebonyhold/gateway/_holds.py
+++ b/ebonyhold/gateway/_holds.py
@@ -81,7 +81,12 @@
 
 @frozen
 class PendingSettlement:
-    """The charge of an ended hold, unconfirmed by its holder, and its queueing time."""
+    """The charge of an ended hold that its holder has not confirmed.
+
+    Attributes:
+        charge: The tokens to charge.
+        since: When the settlement was queued.
+    """
 
     charge: Tokens
     since: Seconds
@@ -176,7 +181,7 @@
 
     def drop_expired(self, peer: str, now: Seconds) -> dict[HoldId, PendingSettlement]:
         """Drop and log the expired settlements of a holder; return the others."""
-        # There are none if a concurrent call has already sent all of this holder.
+        # Another call may have sent the holder's last settlements in the meantime.
         pending = self.pending.get(peer, {})
         kept = {
             hold: one
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -245,7 +245,7 @@
         }
 
     async def leave(self) -> None:
-        """Remove this router's row and do not write it again; log a failure."""
+        """Remove this router's row for good; a failure to do so is only logged."""
         self.leaving = True
         try:
             await self.store.commit(Transaction((), (Delete(self.key),)))
--- a/ebonyhold/gateway/_pressure.py
+++ b/ebonyhold/gateway/_pressure.py
@@ -42,8 +42,8 @@
 Callers whose connections were closed earlier would be sent back here."""
 
 MIN_OUT_OF_ROTATION: Seconds = 5.0
-"""The minimum time out of rotation. It is not shorter since afterwards the load
-balancer's hash sends the same callers here again."""
+"""The minimum time out of rotation. Afterwards, the load balancer's hash sends the same
+callers here again, so a short time would bring the overload back soon."""
 
 
 CONNECT_WINDOW: Seconds = 2.0
--- a/tests/gateway/test_listeners.py
+++ b/tests/gateway/test_listeners.py
@@ -28,7 +28,7 @@
 
 
 class Metrics:
-    """Metrics with one line."""
+    """Metrics whose text is one fixed line."""
 
     def render(self) -> bytes:
         return b"up 1\n"
