--- a/ebonyhold/gateway/_supervision.py
+++ b/ebonyhold/gateway/_supervision.py
@@ -1,7 +1,8 @@
 """Supervision of the gateway's tasks: what happens when one of them fails.
 
-All tasks share one process with every request, stream and hold. An error in one task
-must not end the process by itself, and each failure is logged and counted.
+All tasks run in one process, together with all requests and holds. An error in one task
+must not end the process unless its rule requires that, and each failure is logged and
+counted.
 """
 
 from __future__ import annotations
@@ -35,31 +36,41 @@
 each further one."""
 
 MAX_RESTART_DELAY: Seconds = 2.0
-"""The maximum delay; changes must be in force within two seconds."""
+"""The maximum restart delay. Changes of the configuration and of the server list must
+be in force within two seconds."""
 
 RARE_RETRY_DELAY: Seconds = 30.0
-"""Delay before a task is restarted that no request needs; metrics are scraped about
-every 15 s."""
+"""Delay before the restart of a task that no request depends on, such as the metrics
+listener; metrics are scraped about every 15 s."""
 
 STABLE_AFTER: Seconds = 10.0
-"""A task that ran this long before it failed starts again with the first delay."""
+"""If a task ran at least this long before it failed, the failure counts as its first,
+so the restart has the first delay."""
 
 MAX_DOUBLINGS = 8
-"""Maximum number of doublings of a delay; the maximum delay is reached earlier."""
+"""Maximum number of doublings of a delay, which keeps the computed number small; the
+maximum delay is reached earlier."""
 
 EXIT_OK = 0
-"""The exit status of a process that was told to stop."""
+"""The exit status after a stop that a signal requested."""
 
 EXIT_PORT = 3
 """The exit status of a process that could not listen at its port for callers or for
 readiness checks; 2 means unusable settings."""
 
 EXIT_FAULT = 4
-"""The exit status after an orderly stop that a fault of the process caused."""
+"""The exit status after a failed task has ended the process, in order or at once."""
 
 
 class Action(Enum):
-    """The action that follows a task's failure."""
+    """The action that follows a task's failure.
+
+    Attributes:
+        RESTART: Run the task again after a delay.
+        LEAVE: Do not run the task again; all others continue.
+        STOP: Begin the orderly stop of the process.
+        EXIT: Cancel all tasks, which ends the process at once.
+    """
 
     RESTART = "restart"
     LEAVE = "leave"
@@ -74,9 +85,9 @@
     Attributes:
         name: The policy's name in logs and metrics.
         action: The action.
-        first: The delay before the first restart.
-        next: The delay before the second one, which doubles with each further one.
-        max_delay: The longest delay.
+        first: The delay before the first restart; unused by other actions.
+        next: The delay before the second restart, which doubles with each further one.
+        max_delay: The maximum delay.
     """
 
     name: str
@@ -86,7 +97,7 @@
     max_delay: Seconds = MAX_RESTART_DELAY
 
     def delay(self, failures: int) -> Seconds:
-        """Return the delay after this many failures in a row.
+        """Return the restart delay after this many failures in a row.
 
         >>> [AT_ONCE.delay(failures) for failures in (1, 2, 3, 4, 20)]
         [0.0, 0.05, 0.1, 0.2, 2.0]
@@ -123,12 +134,12 @@
     """How one task's failures are handled.
 
     Attributes:
-        task: The task's name.
-        failure: The effect of its failure.
+        task: The task's name, also in logs and metrics.
+        failure: The effect of the task's failure.
         policy: The policy that is applied.
-        reason: Why this policy.
-        port_policy: The policy if the task cannot listen at its address; None for the
-            same.
+        reason: Why this policy is right.
+        port_policy: The policy if the task cannot listen at its address; None if
+            `policy` applies to this too.
     """
 
     task: str
@@ -138,7 +149,7 @@
     port_policy: Policy | None = None
 
     def policy_for(self, error: Exception) -> Policy:
-        """Return the policy for an error."""
+        """Return the policy for an error: `port_policy`, if set, for `ListenError`."""
         if self.port_policy is not None and isinstance(error, ListenError):
             return self.port_policy
         return self.policy
@@ -149,145 +160,150 @@
     for rule in (
         TaskRule(
             "signals",
-            "the next signal would end the process without a stop in order",
+            "the next signal ends the process without an orderly stop",
             AT_ONCE,
-            "it keeps nothing, and until it is back a signal cuts requests",
+            "it has no state, and until it runs again a signal cuts requests",
         ),
         TaskRule(
             "rules",
-            "the configuration in force grows old",
+            "the configuration is not updated",
             AFTER_PAUSE,
-            "requests are served by what is known; the next call goes on from the "
-            "last version",
+            "requests are served with the last configuration; the next call continues "
+            "from its version",
         ),
         TaskRule(
             "servers",
-            "the list of servers grows old",
+            "the list of servers is not updated",
             AFTER_PAUSE,
-            "the same; servers that left show by failed connections",
+            "requests are served with the last list; failed connections show which "
+            "servers are gone",
         ),
         TaskRule(
             "renewals",
-            "what a successor may assume of this life is not what it does",
+            "the stored limits may not match how this router uses its grants",
             ORDERLY_STOP,
-            "an error that is not the store's leaves in doubt which limit binds",
+            "after an error that does not come from the store, it is unknown which "
+            "limit applies",
         ),
         TaskRule(
             "presence",
-            "other routers count one less after a few counts, and ask others for "
-            "tokens",
+            "after some counts, other routers do not count this one and request tokens "
+            "elsewhere",
             AFTER_PAUSE,
-            "only shares of budgets and their holders follow from the count",
+            "the count decides only the shares of budgets and the choice of holders",
         ),
         TaskRule(
             "treasury",
-            "rows, ledger and changes in doubt may not agree",
+            "cached rows, ledgers and changes in doubt may be inconsistent",
             ORDERLY_STOP,
-            "an error that is not the store's came in the middle of a change; what "
-            "is not returned by the stop counts as spent",
+            "an error that does not come from the store interrupted a change; tokens "
+            "that the stop does not return count as spent",
         ),
         TaskRule(
             "settlements",
-            "holders do not hear what requests cost",
+            "holders do not receive the cost of requests",
             AFTER_PAUSE,
-            "what was not confirmed is sent again; a holder charges in full what it "
-            "never hears of",
+            "unconfirmed settlements are sent again; a holder charges a hold without a "
+            "settlement in full",
         ),
         TaskRule(
             "lent holds",
-            "holds of routers that were killed stay open",
+            "expired holds of killed routers are not ended",
             AFTER_PAUSE,
-            "they keep tokens from others and give none twice",
+            "their tokens cannot be used by others meanwhile, but none is spent twice",
         ),
         TaskRule(
             "expiry",
-            "servers that did not come back stay listed",
+            "servers that did not return after an outage stay listed",
             AT_ONCE,
-            "it keeps nothing, and such servers cost failed connections",
+            "it has no state, and such servers only cost failed connections",
         ),
         TaskRule(
             "reclaim",
-            "what a predecessor left stays out",
+            "the grants of earlier incarnations are not reclaimed",
             AFTER_PAUSE,
-            "each grant is taken in one transaction, which cannot count twice",
+            "each grant is reclaimed in one transaction, so no token counts twice if "
+            "it is repeated",
         ),
         TaskRule(
             "pressure",
-            "too many callers are not seen",
+            "an overload of this router is not detected",
             AT_ONCE,
-            "it keeps only measurements",
+            "its only state is measurements",
         ),
         TaskRule(
             "sweep",
-            "unused connections stay open",
+            "unused connections to servers are not closed",
             AFTER_PAUSE,
-            "requests look at a connection themselves before they take it",
+            "each request checks a connection before it uses it",
         ),
         TaskRule(
             "callers",
-            "no new caller is accepted",
+            "no new connection of a caller is accepted",
             AFTER_PAUSE,
-            "open connections go on; a full table of files passes by itself",
+            "open connections continue; a lack of file descriptors is transient",
             port_policy=ORDERLY_STOP,
         ),
         TaskRule(
             "readiness",
-            "the platform sends no callers here",
+            "readiness checks fail, so no callers are sent here",
             AFTER_PAUSE,
-            "the same as with callers",
+            "the same as for callers",
             port_policy=ORDERLY_STOP,
         ),
         TaskRule(
             "metrics",
-            "this router shows no metrics",
+            "the metrics of this router cannot be scraped",
             RETRY_RARELY,
-            "no request needs them",
+            "no request depends on them",
             port_policy=RETRY_RARELY,
         ),
         TaskRule(
             "transfers",
-            "other gateways get no tokens from here",
+            "other gateways get no tokens from this one",
             AFTER_PAUSE,
-            "they do without, as with one that does not answer; its port is taken: it "
-            "is tried again seldom",
+            "they handle this like a gateway that does not answer; if its port is "
+            "taken, restarts are rare",
             port_policy=RETRY_RARELY,
         ),
         TaskRule(
             "caller connection",
-            "one caller gets 500, or a cut if its answer had begun",
+            "one caller gets a 500, or a closed connection if its answer had begun",
             FAIL_ALONE,
-            "500 says nothing of whether the request ran, so it is true in any case",
+            "a 500 does not state whether the request was executed, so it is correct "
+            "in either case",
         ),
         TaskRule(
             "server connection",
-            "the request on it counts as lost",
+            "the attempt on it counts as lost",
             FAIL_ALONE,
-            "its end shows like that of a connection that broke",
+            "for the request, this is the same as a broken connection",
         ),
         TaskRule(
             "return",
             "one workspace's grant is not returned at the stop",
             FAIL_ALONE,
-            "all others are, and what stays counts as spent until a successor proves "
-            "it unspent",
+            "all other grants are returned; the tokens of this one count as spent "
+            "until a successor proves them unspent",
         ),
         TaskRule(
             "stop",
-            "grants that were not returned yet stay out",
+            "grants that are not returned yet stay granted",
             EXIT_NOW,
-            "nothing is left that could end the process in order; a successor "
-            "takes what the limits prove unspent",
+            "no other task could end the process in order; a successor reclaims the "
+            "tokens that the limits prove unspent",
         ),
     )
 }
-"""The tasks of a gateway; docs/design-platform.md shows the same table."""
+"""The rules of a gateway's tasks, by task; docs/design-platform.md has the same table.
+"""
 
 
 async def run_caught(run: Run) -> Exception | None:
     """Run a task; return the error that ended it, or None if it ended normally.
 
-    Only here is every exception caught, so that the supervisor can log and count it.
-    Cancellation is not an error and is passed on.
+    All exceptions are caught, so that the supervisor can log and count them. A
+    cancellation is no error and is passed on.
     """
     found: list[Exception] = []
     try:
@@ -298,14 +314,14 @@
 
 
 def unwrap_group(error: Exception) -> Exception:
-    """Return the only error of a group, or the group if it has several."""
+    """Return the only error in nested groups, or a group of several as it is."""
     while isinstance(error, ExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
     return error
 
 
 def error_fields(error: Exception) -> dict[str, object]:
-    """Return the log fields that describe an error."""
+    """Return an error's code or type, its text and its traceback as log fields."""
     known = isinstance(error, EbonyholdError)
     return {
         "error": error.code if known else type(error).__name__,  # type: ignore[attr-defined]
@@ -319,10 +335,10 @@
     """Runs the tasks of a gateway, and applies their rules when they fail.
 
     Attributes:
-        tasks: The task group that runs them.
-        count: Called with the task and the policy's name for each failure.
+        tasks: The task group that runs the tasks.
+        count: Called for each failure with the names of the task and of the policy.
         stop: Begins the orderly stop.
-        status: The exit status that the process would have if it ended now.
+        status: The exit status of the process, set by the first failure that ends it.
     """
 
     tasks: TaskGroup
@@ -333,11 +349,14 @@
     def start(
         self, task: str, run: Callable[..., Awaitable[None]], *args: object
     ) -> None:
-        """Start a task that has a rule."""
+        """Start a task under the rule in `TASK_RULES` with its name."""
         self.tasks.start_soon(self.run_task, TASK_RULES[task], partial(run, *args))
 
     async def run_task(self, rule: TaskRule, run: Run) -> None:
-        """Run a task until it ends normally or its policy does not restart it."""
+        """Run a task, and restart it after failures as its rule requires.
+
+        Return when the task ended normally, or after a failure without a restart.
+        """
         failures = 0
         while True:
             began = anyio.current_time()
@@ -354,7 +373,11 @@
             await anyio.sleep(policy.delay(failures))
 
     def apply(self, policy: Policy, error: Exception) -> None:
-        """Apply a policy that does not restart the task."""
+        """Apply a policy that does not restart the task.
+
+        STOP begins the orderly stop, and EXIT cancels all tasks; both set the exit
+        status. LEAVE does nothing.
+        """
         if policy.action is Action.LEAVE:
             return
         if self.status == EXIT_OK:
@@ -367,13 +390,17 @@
     def report(
         self, rule: TaskRule, policy: Policy, error: Exception, failures: int
     ) -> None:
-        """Log and count a failure."""
+        """Log a failure with its traceback, and count it."""
         fields = {"task": rule.task, "then": policy.name, "failures": failures}
         log.error("task failed", extra={**fields, **error_fields(error)})
         self.count(rule.task, policy.name)
 
     async def guard(self, task: str, run: Run) -> bool:
-        """Run one of many similar tasks; return whether it ended without an error."""
+        """Run one of many similar tasks once; return whether it ended without an error.
+
+        A failure is logged and counted, and its policy, which never is a restart, is
+        applied.
+        """
         rule = TASK_RULES[task]
         error = await run_caught(run)
         if error is None:
@@ -389,7 +416,7 @@
 
     Attributes:
         supervisor: Runs the tasks and handles their failures.
-        task: The name of their rule.
+        task: The name of the rule for all these tasks.
     """
 
     supervisor: Supervisor
@@ -401,7 +428,7 @@
         *args: *Args,
         name: object = None,
     ) -> None:
-        """Start a task."""
+        """Start a task; its failure does not cancel the others."""
         run = partial(func, *args)
         self.supervisor.tasks.start_soon(
             self.supervisor.guard, self.task, run, name=name
