--- a/ebonyhold/routers/_envelope.py
+++ b/ebonyhold/routers/_envelope.py
@@ -33,10 +33,13 @@
 """The maximum size of an envelope, in bytes; a larger one is refused undecoded."""
 
 REPLAY_WINDOW = 256
-"""How far a sequence number may be behind the newest one of its session."""
+"""Sequence numbers this far behind the newest one of their session are refused."""
 
 MAX_SESSIONS = 4096
-"""Maximum number of sessions with a replay window: two weeks of 280 restarts a day."""
+"""Maximum number of sessions with a replay window.
+
+It covers two weeks of 280 restarts a day; then the least recently used is dropped.
+"""
 
 converter = cattrs.Converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
 
@@ -51,7 +54,8 @@
         session: The random id of the sender's session.
         sequence: The number of the message in the sender's session.
         sender: The sending incarnation.
-        receiver: The receiving incarnation; empty if only its address is known.
+        receiver: The receiving incarnation; empty if only the receiver's address is
+            known.
         address: The address of the receiver, ``ip:port``.
         ring: The names of the keys that the sender has, newest first.
     """
@@ -71,11 +75,11 @@
 
 @frozen
 class OpenedMessage:
-    """A message that was accepted.
+    """A message that was authenticated, is for this router and is no replay.
 
     Attributes:
         header: The authenticated header.
-        body: The decrypted body.
+        body: The decrypted body, an encoded frame.
     """
 
     header: Header
@@ -88,7 +92,8 @@
 
     Attributes:
         newest: The largest number received.
-        received: Bitmap of the numbers received; bit `n` stands for `newest` - `n`.
+        received: Bitmap of the last `REPLAY_WINDOW` numbers; bit `n` is set if
+            `newest` - `n` was received.
 
     >>> window = ReplayWindow()
     >>> [window.accept(n) for n in (1, 3, 2, 3, 1000, 4)]
@@ -99,9 +104,9 @@
     received: int = 0
 
     def accept(self, sequence: int) -> bool:
-        """Return whether a number is new, and record it.
+        """Record a number; return False if it was received before.
 
-        A number too far behind the newest one is treated as received before.
+        A number `REPLAY_WINDOW` or more behind the newest one is also refused.
         """
         if sequence > self.newest:
             shift = min(sequence - self.newest, REPLAY_WINDOW)
@@ -123,7 +128,12 @@
 
 @define
 class Ciphers:
-    """A cache of session ciphers that evicts the least recently used one."""
+    """A cache of session ciphers that evicts the least recently used one.
+
+    Attributes:
+        limit: The maximum number of ciphers.
+        cached: The ciphers by secret and session id, the last used one last.
+    """
 
     limit: int = MAX_SESSIONS
     cached: OrderedDict[tuple[bytes, bytes], ChaCha20Poly1305] = field(
@@ -148,10 +158,10 @@
         router: This router's current incarnation.
         address: The address of this router.
         keys: The shared keys.
-        session: The random session id of this start.
+        session: The random session id of this process.
         sequence: The number of the last message sent in this session.
         ciphers: The session ciphers in use.
-        rings: The names of the keys that other incarnations have, as last received.
+        rings: The names of the keys that each other incarnation last sent.
         windows: The replay windows, by session of the sender.
     """
 
@@ -166,7 +176,13 @@
         self.windows: OrderedDict[bytes, ReplayWindow] = OrderedDict()
 
     def seal(self, body: bytes, to: RouterId, address: str) -> bytes:
-        """Return the envelope of a message for one receiver."""
+        """Return a new envelope with an encoded frame.
+
+        Args:
+            body: The encoded frame.
+            to: The receiving incarnation, or empty if only its address is known.
+            address: The address of the receiver, ``ip:port``.
+        """
         self.sequence += 1
         key = self.choose_key(to)
         header = Header(
@@ -188,8 +204,9 @@
         """Return the newest key that the receiver is known to have too.
 
         During a key rotation some routers lack the newest key and refuse messages
-        that use it.  So each envelope names its sender's keys; if the receiver's
-        keys are unknown, successive messages use each own key in turn.
+        encrypted with it.  So each envelope names its sender's keys.  If the
+        receiver's keys are unknown, successive messages use each own key in turn;
+        without a common key the newest own key is used.
         """
         ring = self.rings.get(to)
         if ring is None:
@@ -198,11 +215,11 @@
         return shared[0] if shared else self.keys.keys[0]
 
     def open(self, data: bytes) -> OpenedMessage:
-        """Check and decrypt an envelope.
+        """Check and decrypt an envelope, and record its session and its sender's keys.
 
         Raises:
-            RefusedMessageError: The envelope is malformed, not authentic, replayed,
-                or not for this router.
+            RefusedMessageError: The envelope is oversized, malformed, not authentic,
+                replayed, too old, not for this incarnation, or has an unknown key.
         """
         clear, sealed = split_envelope(data)
         header = parse_header(clear)
@@ -238,9 +255,10 @@
     def check_receiver(self, header: Header) -> None:
         """Refuse a message to another router or incarnation.
 
-        A message that is delayed past the end of its receiver's incarnation arrives
-        at the next incarnation on the same address.  A transfer accepted there would
-        credit tokens that the giver never settles with this incarnation.
+        A message without an incarnation must name this router's address.  A message
+        to an earlier incarnation may arrive late at the next one on the same address.
+        A transfer accepted there would credit tokens that the giver never settles
+        with this incarnation.
 
         Raises:
             RefusedMessageError: The message is for another receiver.
@@ -256,21 +274,21 @@
             raise RefusedMessageError("other_receiver", text)
 
     def check_replay(self, header: Header) -> None:
-        """Refuse a message that was received before, or is too old to check.
+        """Refuse a message whose sequence number is not new in its session.
 
         Raises:
-            RefusedMessageError: The message is a replay or too old.
+            RefusedMessageError: The number was received before, or is too far behind.
         """
         window = self.windows.setdefault(header.session, ReplayWindow())
         self.windows.move_to_end(header.session)
         if len(self.windows) > MAX_SESSIONS:
             self.windows.popitem(last=False)
         if not window.accept(header.sequence):
-            text = f"{header.sequence} of {header.sender!r}"
+            text = f"sequence number {header.sequence} of {header.sender!r}"
             raise RefusedMessageError("replayed", text)
 
     def record_ring(self, header: Header) -> None:
-        """Record which keys the sender has."""
+        """Record which keys the sender has, for at most `MAX_SESSIONS` senders."""
         self.rings[header.sender] = header.ring
         self.rings.move_to_end(header.sender)
         if len(self.rings) > MAX_SESSIONS:
@@ -278,7 +296,7 @@
 
 
 def make_nonce(sequence: int) -> bytes:
-    """Return the nonce of a sequence number."""
+    """Return a sequence number as a nonce of `NONCE_BYTES` bytes."""
     return sequence.to_bytes(NONCE_BYTES, "big")
 
 
@@ -286,13 +304,15 @@
     """Split an envelope into its encoded header and its encrypted body.
 
     Raises:
-        RefusedMessageError: The envelope is too long or too short.
+        RefusedMessageError: The envelope is too long, or ends before its body.
     """
     if len(data) > MAX_ENVELOPE:
         raise RefusedMessageError("oversized", f"envelope of {len(data)} bytes")
     end = LENGTH_BYTES + int.from_bytes(data[:LENGTH_BYTES], "big")
     if len(data) <= end:
-        raise RefusedMessageError("malformed", f"envelope of {len(data)} bytes")
+        raise RefusedMessageError(
+            "malformed", f"envelope of {len(data)} bytes ends before its body"
+        )
     return data[LENGTH_BYTES:end], data[end:]
 
 
@@ -300,7 +320,7 @@
     """Parse a header, which is not authenticated yet.
 
     Raises:
-        RefusedMessageError: It is not a valid header of this version.
+        RefusedMessageError: The bytes are not a valid header of `WIRE_VERSION`.
     """
     try:
         header = converter.structure(msgpack.unpackb(clear), Header)
--- a/ebonyhold/routers/_exchange.py
+++ b/ebonyhold/routers/_exchange.py
@@ -25,7 +25,8 @@
 class Purpose(Enum):
     """The kind of a frame.
 
-    A notice gets no answer; a question is a request that gets one answer.
+    A notice gets no answer.  A question is the frame of a request; it gets one answer,
+    or none if its handler is missing, fails or returns None.
     """
 
     NOTICE = 0
@@ -38,8 +39,8 @@
     """One message with the data that matches an answer to its request.
 
     Attributes:
-        purpose: Whether it is a notice, a request or an answer.
-        correlation: The number of the request, also in its answer; 0 for a notice.
+        purpose: Whether the frame is a notice, a request or an answer.
+        correlation: The number of a request, repeated in its answer; 0 for a notice.
         message: The message.
     """
 
@@ -58,7 +59,7 @@
     Attributes:
         receiver: The router that must answer.
         answered: Set once the answer has arrived.
-        answer: The answer.
+        answer: The answer, of any kind; None until it arrives.
     """
 
     receiver: RouterId
@@ -69,14 +70,17 @@
 class Exchange:
     """The handlers and the pending requests of one router.
 
-    It has no sockets and no tasks: the transport calls `deliver` with each frame.
+    It has no sockets and no tasks.  The transport passes each frame to `deliver`, which
+    awaits the handler; an answer may go to `accept_answer` directly, which never waits.
 
     Attributes:
         transmit: Sends one frame to another router; the frame may be lost.
         handlers: The handler of each kind of message.
         pending: The pending requests by correlation number.
-        unexpected: Number of frames without a handler or a pending request.
-        failed: Number of handlers that raised.
+        unexpected: Number of messages without a handler, and of answers that are late,
+            repeated or from another router than the one requested.
+        failed: Number of calls of handlers that raised an exception.
+        correlations: Yields the correlation numbers, from 1.
     """
 
     def __init__(self, transmit: Transmit) -> None:
@@ -88,11 +92,11 @@
         self.correlations = itertools.count(1)
 
     def handle(self, kind: type[PeerMessage], handler: Handler) -> None:
-        """Register the handler of a kind of message."""
+        """Register the handler of a kind of message, in place of an earlier one."""
         self.handlers[kind] = handler
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send a notice, which gets no answer."""
+        """Pass a notice to the transport; its delivery is not awaited."""
         await self.transmit(to, Frame(Purpose.NOTICE, 0, message))
 
     async def ask(
@@ -101,7 +105,8 @@
         """Send a request and return its answer.
 
         Raises:
-            PeerError: There was no answer in time, or it is of another kind.
+            PeerError: There was no answer in time, the answer is of another kind, or
+                `MAX_PENDING` requests are pending already.
         """
         if len(self.pending) >= MAX_PENDING:
             raise PeerError("too many requests to peers are pending")
@@ -116,11 +121,14 @@
         finally:
             del self.pending[number]
         if not isinstance(request.answer, reply):
-            raise PeerError(f"{to} did not answer {type(message).__name__} in time")
+            raise PeerError(f"no valid answer from {to} to {type(message).__name__}")
         return request.answer
 
     async def deliver(self, sender: RouterId, frame: Frame) -> None:
-        """Handle one frame: complete a pending request or run a handler."""
+        """Handle one frame: complete a pending request, or run a handler.
+
+        The handler's answer to a request, if any, is sent back.
+        """
         if frame.purpose is Purpose.ANSWER:
             self.accept_answer(sender, frame)
             return
@@ -134,7 +142,8 @@
 
         A late or duplicate answer, or one from another router, must not complete a
         different request, which would then return a wrong result or amount.  So each
-        correlation number is used once and the sender is checked.
+        correlation number is used once and the sender is checked; an answer that
+        matches no pending request is only counted.
         """
         request = self.pending.get(frame.correlation)
         if request is None or request.receiver != sender or request.answered.is_set():
@@ -146,7 +155,11 @@
     async def call_handler(
         self, sender: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Run the handler of a message; if it raises, log that and return None."""
+        """Run the handler of a message and return its answer, if any.
+
+        A message without a handler is counted; an exception is logged and counted.
+        The result is then None.
+        """
         handler = self.handlers.get(type(message))
         if handler is None:
             self.unexpected += 1
--- a/ebonyhold/routers/_fake.py
+++ b/ebonyhold/routers/_fake.py
@@ -25,7 +25,7 @@
 from ebonyhold.types import RouterId, Seconds
 
 LossRule: TypeAlias = Callable[[RouterId, RouterId, PeerMessage], bool]
-"""Returns whether to lose a message, given its sender, receiver and content."""
+"""Returns whether a message is lost, given its sender, receiver and content."""
 
 
 class FakeNetwork:
@@ -36,11 +36,11 @@
         delay: One-way delay, in seconds.
         jitter: Maximum random addition to the delay, evenly distributed, in
             seconds; it also reorders frames.
-        copies: How often each frame is delivered; 2 duplicates all frames.
-        lose: Returns which frames are lost; None if none are.
+        copies: How many times each frame is delivered; 2 duplicates all frames.
+        lose: Returns whether a message is lost; None if none is.
         rng: The random number generator of the jitter.
         links: The links that joined, by router.
-        cuts: Pairs of sender and receiver between which no frame is delivered.
+        cuts: Pairs of sender and receiver; frames in this direction are not delivered.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.cuts: set[tuple[RouterId, RouterId]] = set()
 
     def join(self, router: RouterId) -> FakeLink:
-        """Add a router and return its link."""
+        """Add a router, in place of one with the same id, and return its link."""
         link = FakeLink(self, router)
         self.links[router] = link
         return link
@@ -81,7 +81,7 @@
         self.cuts.clear()
 
     async def carry(self, sender: RouterId, to: RouterId, frame: Frame) -> None:
-        """Start the delivery of one frame, unless it is to be lost."""
+        """Start the delivery of `copies` copies of a frame, unless `lose` drops it."""
         if self.lose is not None and self.lose(sender, to, frame.message):
             return
         for _ in range(self.copies):
@@ -91,7 +91,10 @@
     async def deliver(
         self, sender: RouterId, to: RouterId, frame: Frame, wait: Seconds
     ) -> None:
-        """Deliver one frame after its delay, unless the connection is cut then."""
+        """Wait, then deliver one frame and run its handler.
+
+        The frame is lost if by then the receiver has left or the connection is cut.
+        """
         await anyio.sleep(wait)
         link = self.links.get(to)
         if link is not None and (sender, to) not in self.cuts:
@@ -123,7 +126,7 @@
         self.exchange.handle(kind, handler)
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send a notice, which gets no answer and may be lost."""
+        """Start the delivery of a notice, which may be lost."""
         await self.exchange.send(to, message)
 
     async def ask(
@@ -132,6 +135,7 @@
         """Send a request and return its answer.
 
         Raises:
-            PeerError: There was no answer in time, or it is of another kind.
+            PeerError: There was no answer in time, the answer is of another kind, or
+                too many requests are pending.
         """
         return await self.exchange.ask(to, message, reply, timeout)
--- a/ebonyhold/routers/_interface.py
+++ b/ebonyhold/routers/_interface.py
@@ -21,8 +21,8 @@
     Attributes:
         workspace: The workspace.
         wanted: The number of tokens that the sender lacks.
-        have: The latest transfers from the receiver that the sender got.  Any other
-            recent one was lost on its way, and the receiver may send it again.
+        have: The ids of the latest transfers that the sender has received from the
+            receiver.  Other recent transfers count as lost and may be sent again.
     """
 
     workspace: WorkspaceName
@@ -33,11 +33,12 @@
 @peer_message("transfer_given")
 @frozen
 class TransferGiven(PeerMessage):
-    """Transfers tokens; the giver's journal has recorded it before this is sent.
+    """Transfers tokens; sent only after the giver's journal has stored the transfer.
 
     Attributes:
         workspace: The workspace.
-        transfer: A globally unique id, so that a duplicate is not credited again.
+        transfer: A globally unique id, so that a duplicate is not credited again;
+            empty if no tokens are given.
         amount: The number of tokens, or 0 if the giver has none to spare.
     """
 
@@ -52,6 +53,10 @@
     """Announces the sender's newest configuration version.
 
     A receiver with an older version fetches the newest one.
+
+    Attributes:
+        version: The version.
+        digest: The digest of its content.
     """
 
     version: int
@@ -61,7 +66,7 @@
 @peer_message("configuration_request")
 @frozen
 class ConfigurationRequest(PeerMessage):
-    """Requests the receiver's configuration version and when it was confirmed."""
+    """Requests the receiver's configuration version, as a `ConfigurationReply`."""
 
 
 @peer_message("configuration_reply")
@@ -72,7 +77,8 @@
     Attributes:
         version: The version.
         digest: The digest of its content.
-        confirmed_age: Seconds since the table last confirmed it; negative if never.
+        confirmed_age: Seconds since the table last confirmed to the sender that this
+            version is current; negative if never.
     """
 
     version: int
@@ -81,15 +87,16 @@
 
 
 Handler = Callable[[RouterId, PeerMessage], Awaitable[PeerMessage | None]]
+"""Handles a message from a router and returns its answer, or None without an answer."""
 
 
 class PeerLink(Protocol):
     """Messages to and from the other routers, authenticated and encrypted."""
 
     def alive(self) -> tuple[RouterId, ...]:
-        """Return the other routers that are believed alive.
+        """Return the other routers that are alive in this router's membership view.
 
-        The list may be wrong, so no decision that must be safe may depend on it.
+        The view may be wrong, so no decision that must be safe may depend on it.
         """
         ...
 
@@ -98,7 +105,7 @@
         ...
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send a notice, which gets no answer and may be lost."""
+        """Send a notice; its delivery is not awaited, and it may be lost."""
         ...
 
     async def ask(
@@ -107,6 +114,7 @@
         """Send a request and return its answer.
 
         Raises:
-            PeerError: There was no answer in time, or it is of another kind.
+            PeerError: There was no answer in time, the answer is of another kind, or
+                too many requests are pending.
         """
         ...
--- a/ebonyhold/routers/_keys.py
+++ b/ebonyhold/routers/_keys.py
@@ -14,7 +14,7 @@
 
 SECRET_BYTES = 32
 MAX_KEYS = 4
-"""A rotation needs no more; each further key only keeps an old one valid."""
+"""Maximum number of keys in a file; a rotation needs no more."""
 
 
 @frozen
@@ -31,11 +31,13 @@
 
 
 def parse_keys(text: str) -> tuple[PeerKey, ...]:
-    """Parse lines of ``id:hexadecimal``, newest first; ``#`` starts a comment.
+    """Parse lines of ``id:hexadecimal``; ``#`` starts a comment.
+
+    The keys are returned in the order of the lines, which must be newest first.
 
     Raises:
-        SettingsError: A line is invalid, a name is used twice, or the number of
-            keys is not allowed.
+        SettingsError: A line is invalid, a name is used twice, or there are no keys
+            or more than `MAX_KEYS`.
 
     >>> parse_keys("k1:" + "00" * 32)
     (PeerKey(identifier='k1'),)
@@ -49,10 +51,11 @@
 
 
 def parse_key(line: str) -> PeerKey:
-    """Parse one line into a key.
+    """Parse one line without a comment into a key.
 
     Raises:
-        SettingsError: The line is not ``id:hexadecimal`` of the required length.
+        SettingsError: The line is not ``id:hexadecimal`` with an id of 1 to 32
+            characters and `SECRET_BYTES` bytes.
     """
     identifier, _, digits = line.partition(":")
     try:
@@ -65,12 +68,12 @@
 
 
 class KeyRing:
-    """The keys in use, read again when their file changes.
+    """The keys in use; `refresh` reads them again if their file has changed.
 
     Attributes:
         keys: The keys, newest first.
         path: The file of the keys, or None for fixed keys.
-        last_fingerprint: The fingerprint of the file when it was last read.
+        last_fingerprint: The fingerprint of the file when its keys were last accepted.
     """
 
     def __init__(self, keys: tuple[PeerKey, ...], path: Path | None = None) -> None:
@@ -96,14 +99,17 @@
         return tuple(key.identifier for key in self.keys)
 
     def find(self, identifier: str) -> PeerKey | None:
-        """Return the key of that name, or None."""
+        """Return the key with that name, or None without one."""
         for key in self.keys:
             if key.identifier == identifier:
                 return key
         return None
 
     def fingerprint(self) -> tuple[int, int, int] | None:
-        """Return the file's time, size and inode, or None if it cannot be accessed."""
+        """Return the file's modification time (in ns), size and inode.
+
+        The result is None without a file, or if the file cannot be accessed.
+        """
         if self.path is None:
             return None
         try:
@@ -115,9 +121,9 @@
     def refresh(self) -> bool:
         """Read the file again if it has changed; return whether the keys changed.
 
-        During a rotation the file may be incomplete or missing.  The keys in use
-        then stay until a valid file can be read, so that the router is not cut off
-        from its peers.
+        During a rotation the file may be incomplete or missing.  The router then
+        logs an error, or nothing for a missing file, and keeps its keys, so that it
+        can still communicate with its peers.
         """
         current = self.fingerprint()
         if current is None or current == self.last_fingerprint or self.path is None:
--- a/ebonyhold/routers/_links.py
+++ b/ebonyhold/routers/_links.py
@@ -13,20 +13,23 @@
 from ebonyhold.types import Seconds
 
 MAX_LINKS = 128
-"""Maximum number of open sockets; the least recently used one is closed first.
+"""Maximum number of sockets to other routers; the least recently used is closed first.
 
-On average other routers have as many open to this one.  Together they use a quarter
-of the 1024 files that a process may usually open.
+Other routers have on average as many connections to this one.  Both together use a
+quarter of the 1024 files that a process may usually open.
 """
 
 QUEUE_SIZE = 32
-"""Maximum number of messages queued for one peer; further ones are dropped."""
+"""Size of a link's queue and of its socket's buffer, in messages.
+
+Further messages are dropped.
+"""
 
 IDLE_TIMEOUT: Seconds = 900.0
 """How long an idle socket stays open.
 
-It is longer than a round of probes, because opening a socket costs more than a
-message.
+It is longer than the time in which the membership protocol probes every member once,
+because opening a socket costs more than sending a message.
 """
 
 RECONNECT_MIN_MS = 100
@@ -35,7 +38,14 @@
 
 @define
 class LinkCounters:
-    """Counters of sent and dropped messages."""
+    """Counters of sent and dropped messages.
+
+    Attributes:
+        sent: Number of messages passed to a socket.
+        sent_bytes: The size of these messages, in bytes.
+        dropped: Number of messages dropped at a full queue or buffer, and of links that
+            failed.
+    """
 
     sent: int = 0
     sent_bytes: int = 0
@@ -57,10 +67,10 @@
         self.counters = LinkCounters()
 
     def put(self, address: str, data: bytes) -> None:
-        """Queue a message; drop it if the queue is full.
+        """Queue a message, opening a link if needed; drop it if the queue is full.
 
-        This never waits, so that a peer which receives nothing does not delay the
-        messages to other peers.
+        This never waits, so a peer that receives no messages does not delay those to
+        other peers.
         """
         queue = self.queues.get(address) or self.open(address)
         self.queues.move_to_end(address)
@@ -70,7 +80,10 @@
             self.counters.dropped += 1
 
     def open(self, address: str) -> MemoryObjectSendStream[bytes]:
-        """Start the task of a new link and return the link's queue."""
+        """Start the task of a new link and return its queue.
+
+        Above `MAX_LINKS` links, the queue of the least recently used one is closed.
+        """
         queue, receive = anyio.create_memory_object_stream[bytes](QUEUE_SIZE)
         self.queues[address] = queue
         if len(self.queues) > MAX_LINKS:
@@ -85,7 +98,10 @@
         queue: MemoryObjectSendStream[bytes],
         receive: MemoryObjectReceiveStream[bytes],
     ) -> None:
-        """Run one socket until it is idle for too long or its queue is closed."""
+        """Run one socket until it is idle for `IDLE_TIMEOUT` or its queue is closed.
+
+        An error of the socket ends the link and counts as one dropped message.
+        """
         try:
             with receive, open_socket(address) as socket:
                 await self.send_queued(socket, receive)
@@ -99,7 +115,7 @@
     async def send_queued(
         self, socket: pynng.Push0, receive: MemoryObjectReceiveStream[bytes]
     ) -> None:
-        """Send queued messages until none arrives within the idle timeout."""
+        """Send queued messages until none arrives in time or the queue is closed."""
         while True:
             data = None
             with anyio.move_on_after(IDLE_TIMEOUT):
@@ -114,10 +130,10 @@
     def send(self, socket: pynng.Push0, data: bytes) -> None:
         """Send one message, or drop it if the socket's buffer is full.
 
-        The buffer of a peer that crashed fills up.  This must not wait for space
+        The buffer fills up when the peer has crashed.  This must not wait for space
         with a timeout: a wait that pynng aborts raises a bare
         `asyncio.CancelledError`, which anyio does not attribute to the timeout, so
-        that it cancels the task group and ends the whole router.
+        the error cancels the task group and ends the whole router.
         """
         try:
             socket.send(data, block=False)
@@ -129,7 +145,7 @@
 
 
 def open_socket(address: str) -> pynng.Push0:
-    """Return a socket that connects and reconnects in the background.
+    """Return a socket to an address that connects and reconnects in the background.
 
     Raises:
         pynng.NNGException: The address cannot be used.
--- a/ebonyhold/routers/_listing.py
+++ b/ebonyhold/routers/_listing.py
@@ -1,4 +1,4 @@
-"""The other routers in the platform's membership list and in status reports."""
+"""Entries of the platform's membership list, and the status of other routers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
     @property
     def state(self) -> object:
-        """``live`` or ``leaving``, as a string or as an enum with such values."""
+        """``live`` or ``leaving``, as a string or an enum member with such a value."""
 
 
 MemberSource = Callable[[], Awaitable[Sequence[ListEntry]]]
@@ -40,11 +40,11 @@
 
     Attributes:
         router: The incarnation.
-        address: The address for messages from peers.
+        address: The address for messages from peers, ``ip:port``.
         domain: The failure domain.
         status: The status in this router's membership view.
         listed: Whether the platform's list has the router.
-        heard_ago: Seconds since its last message to this router, or None.
+        heard_ago: Seconds since this router last received a heartbeat from it, or None.
     """
 
     router: RouterId
@@ -56,7 +56,10 @@
 
 
 def to_listed(entries: Iterable[ListEntry]) -> list[Listed]:
-    """Convert the platform's entries of routers to those of the membership protocol."""
+    """Convert the list's routers for the membership protocol; skip other entries.
+
+    An entry without a `role` counts as a router.
+    """
     return [
         Listed(
             entry.name, entry.address, entry.domain, text_of(entry.state) == "leaving"
--- a/ebonyhold/routers/_network.py
+++ b/ebonyhold/routers/_network.py
@@ -37,19 +37,26 @@
 logger = logging.getLogger(__name__)
 
 LIST_INTERVAL: Seconds = 5.0
+"""Mean time between two reads of the list; it varies at random by up to 20 %."""
+
 FIRST_LIST_RETRY: Seconds = 0.1
-"""The delay after the first failed read of the list; it doubles up to `LIST_INTERVAL`.
+"""Mean delay after a failed read of the list.
 
-Until a router has read the list, other routers do not know it.
+Each further failure doubles it, up to `LIST_INTERVAL`.  A router without seeds is
+usually unknown to the others until its first read.
 """
 
 KEYS_INTERVAL: Seconds = 1.0
+"""Time between two checks whether the file of keys has changed."""
+
 LOG_INTERVAL: Seconds = 10.0
+"""Minimum time between two log lines about refused messages with the same reason."""
+
 STARTUP_CHECKS_PER_PERIOD = 20
-"""How often a starting router checks who is alive, per period of the protocol."""
+"""Number of checks by a starting router in one period of the membership protocol."""
 
 STARTUP_CHECKS = 30
-"""Checks after which a router assumes that many routers start at the same time."""
+"""Number of checks after which a router assumes that many start at the same time."""
 
 MS_PER_SECOND = 1000
 
@@ -57,10 +64,13 @@
 """Size of the socket's receive buffer, in messages."""
 
 RECEIVE_BATCH = 64
-"""Maximum number of messages received before other tasks may run."""
+"""Maximum number of waiting messages that are handled before other tasks may run."""
 
 MAX_HANDLERS = 128
-"""Maximum number of handlers that run at once; further messages are dropped."""
+"""Maximum number of handlers that run at once.
+
+Further notices and requests are refused; answers and heartbeats run no handler.
+"""
 
 
 class PeerNetwork:
@@ -76,9 +86,11 @@
         links: The sockets to other routers, once `run` has started.
         tasks: The task group of `run`, once it has started.
         running_handlers: Number of handlers that run.
-        received: Number of messages that were accepted.
-        received_bytes: Number of their bytes, envelopes included.
-        refused: Number of messages that were refused, by reason.
+        received: Number of messages that were decrypted and decoded; it includes those
+            refused afterwards.
+        received_bytes: The size of these messages in bytes, envelopes included.
+        refused: Number of received messages that were refused, and of own ones that
+            were too long to send, by reason.
         last_logged: When a refusal was last logged, by reason.
     """
 
@@ -115,7 +127,7 @@
     # Interface `PeerLink`.
 
     def alive(self) -> tuple[RouterId, ...]:
-        """Return the other routers that are believed alive."""
+        """Return the other routers that are alive in this router's membership view."""
         return self.membership.alive()
 
     def handle(self, kind: type[PeerMessage], handler: Handler) -> None:
@@ -123,7 +135,7 @@
         self.exchange.handle(kind, handler)
 
     async def send(self, to: RouterId, message: PeerMessage) -> None:
-        """Send a notice, which gets no answer and may be lost."""
+        """Queue a notice; its delivery is not awaited, and it may be lost."""
         await self.exchange.send(to, message)
 
     async def ask(
@@ -132,8 +144,8 @@
         """Send a request and return its answer.
 
         Raises:
-            PeerError: The router is not known, there was no answer in time, or it
-                is of another kind.
+            PeerError: The router is not known, there was no answer in time, the answer
+                is of another kind, or too many requests are pending.
         """
         if to not in self.membership.view.members:
             raise PeerError(f"router {to} is not known")
@@ -144,20 +156,28 @@
     def gone(self) -> tuple[RouterId, ...]:
         """Return the incarnations that appear to have ended and may be recovered.
 
-        It is a hint: one of them may still run.
+        The result is not certain: some of them may still run.
         """
         return self.membership.gone(anyio.current_time())
 
     def may_recover(self, router: RouterId, unknown_for: Seconds) -> bool:
         """Return whether an incarnation with an open row may be recovered.
 
-        It is a hint: the incarnation may still run.
+        The result is not certain: the incarnation may still run.
+
+        Args:
+            router: The incarnation.
+            unknown_for: How long its row has been observed while the incarnation was
+                not alive in this router's view, in seconds.
         """
         now = anyio.current_time()
         return self.membership.may_recover(router, unknown_for, now)
 
     def read_row(self, router: RouterId, row: RouterRow) -> None:
-        """Add an incarnation that has an open row in the table to the membership."""
+        """Add an incarnation that has an open row in the table to the membership view.
+
+        A row with this router's own name is ignored.
+        """
         started = int(row.started_at * MS_PER_SECOND)
         update = MemberUpdate(
             router, row.address, row.domain, MemberStatus.ALIVE, started=started
@@ -165,7 +185,7 @@
         self.membership.read_row(update, anyio.current_time())
 
     def introduce(self) -> None:
-        """Send this router's status to some routers known only from the table."""
+        """Send probes to a few routers from which no message was received yet."""
         self.send_beats(self.membership.introduce())
 
     def status(self) -> tuple[PeerStatus, ...]:
@@ -175,7 +195,7 @@
         return tuple(self.describe(member, now) for member in members)
 
     def describe(self, member: Member, now: Seconds) -> PeerStatus:
-        """Return the status of one other router."""
+        """Return the `PeerStatus` of a member."""
         received_at = member.heard_at
         return PeerStatus(
             member.update.router,
@@ -189,7 +209,7 @@
     def log_change(self, member: Member, before: MemberStatus | None) -> None:
         """Log a change of another router's status with the data that it is based on.
 
-        These lines show afterwards why a router's requests were, or were not,
+        Operators find in these lines why the requests of a router were, or were not,
         recovered.
         """
         now = anyio.current_time()
@@ -214,16 +234,16 @@
 
     @property
     def counters(self) -> LinkCounters:
-        """The counters of sent and dropped messages."""
+        """The counters of sent and dropped messages; all 0 before `run` has started."""
         return LinkCounters() if self.links is None else self.links.counters
 
     async def wait_for_start(self, policy: StartupPolicy | None = None) -> None:
         """Delay this router's first reads from the platform if many routers start.
 
-        It first checks for a moment who is alive.  Once most of the listed routers
-        are, this router starts alone or with few others, and waits no longer.
-        Otherwise it waits for a random delay, so that the routers do not all read
-        at the same time.
+        This checks up to `STARTUP_CHECKS` times which routers are alive, and returns
+        once these are the policy's share of the listed routers, as few others can be
+        starting then.  Otherwise a random delay follows, so that the routers do not all
+        read at the same time.
         """
         policy = policy or StartupPolicy()
         for _ in range(STARTUP_CHECKS):
@@ -235,24 +255,28 @@
         await anyio.sleep(self.startup_delay(policy, self.rng.random()))
 
     def startup_delay(self, policy: StartupPolicy, chance: float) -> Seconds:
-        """Return the startup delay of the policy for the routers alive now.
+        """Return the policy's startup delay with the routers that are alive now.
 
         Args:
             policy: The policy.
-            chance: A number from 0 to 1; the delay grows with it.
+            chance: A number from 0 to 1; the delay is proportional to this number.
         """
         listed = self.membership.view.listed
         size = None if listed is None else len(listed)
         return policy.first_wait(size, len(self.alive()), chance)
 
     def become(self, router: RouterId) -> None:
-        """Continue as a new incarnation after this one was sealed."""
+        """Continue as a new incarnation after the current one was sealed.
+
+        Its start time is later than that of the current one, even if the clock was set
+        back.
+        """
         started = max(now_ms(), self.membership.me.started + 1)
         self.membership.become(router, started)
         self.envelopes.router = router
 
     def leave(self) -> None:
-        """Notify the other routers that this one is stopping."""
+        """Mark this router as leaving, and queue probes that notify a few others."""
         self.send_beats(self.membership.leave())
 
     # Tasks.
@@ -280,10 +304,10 @@
                 await self.receive(socket)
 
     async def receive(self, socket: pynng.Pull0) -> None:
-        """Receive messages: wait for one, then read those that have arrived too.
+        """Receive messages: wait for one, then read up to `RECEIVE_BATCH` more.
 
         `recv_msg` is used because pynng's `recv` fails for an empty message, so that
-        anyone could end this task by sending one.
+        anyone could end this task by sending an empty message.
         """
         while True:
             self.accept(await socket.arecv())
@@ -294,7 +318,7 @@
                     break
 
     def accept(self, data: bytes) -> None:
-        """Open and dispatch one message; count it if it is refused."""
+        """Decrypt, decode and dispatch one message, or count its refusal."""
         try:
             opened = self.envelopes.open(data)
             frame = decode(opened.body)
@@ -308,8 +332,8 @@
         """Pass a frame to the membership protocol, a pending request or a handler.
 
         Raises:
-            RefusedMessageError: It must name the receiving incarnation and does
-                not, or too many handlers run.
+            RefusedMessageError: The message must name the receiving incarnation and
+                does not, or too many handlers run.
         """
         sender = opened.header.sender
         addressed = bool(opened.header.receiver)
@@ -326,7 +350,8 @@
         """Pass a heartbeat to the membership protocol and send its replies.
 
         Raises:
-            RefusedMessageError: It names no receiving incarnation and is no probe.
+            RefusedMessageError: The heartbeat names no receiving incarnation, and is
+                not a probe.
         """
         if not addressed and gossip.beat.kind is not BeatKind.PROBE:
             raise RefusedMessageError("unaddressed", gossip.beat.kind.name)
@@ -339,7 +364,8 @@
         """Run the handler in its own task, so that it does not delay other messages.
 
         Raises:
-            RefusedMessageError: Too many handlers run already.
+            RefusedMessageError: `MAX_HANDLERS` handlers run already, or `run` has not
+                started.
         """
         if self.tasks is None or self.running_handlers >= MAX_HANDLERS:
             raise RefusedMessageError("busy", type(frame.message).__name__)
@@ -347,21 +373,24 @@
         self.tasks.start_soon(self.run_handler, sender, frame)
 
     async def run_handler(self, sender: RouterId, frame: Frame) -> None:
-        """Run one handler and send the answer if there is one."""
+        """Run one handler, send its answer if any, and decrement `running_handlers`."""
         try:
             await self.exchange.deliver(sender, frame)
         finally:
             self.running_handlers -= 1
 
     async def send_heartbeats(self) -> None:
-        """Send the heartbeats of the membership protocol when they are due."""
+        """Run the due steps of the membership protocol, and send their heartbeats."""
         self.membership.wake_at = anyio.current_time()
         while True:
             self.send_beats(self.membership.tick(anyio.current_time()))
             await anyio.sleep_until(self.membership.wake_at)
 
     async def poll_list(self, source: MemberSource) -> None:
-        """Read the platform's list periodically, and sooner after a failure."""
+        """Read the platform's list every `LIST_INTERVAL`, and sooner after a failure.
+
+        After a failure the last list that was read stays in use.
+        """
         retry = FIRST_LIST_RETRY
         while True:
             pause = LIST_INTERVAL
@@ -375,7 +404,7 @@
             await anyio.sleep(pause * (0.8 + 0.4 * self.rng.random()))
 
     async def watch_keys(self) -> None:
-        """Reload the keys when their file changes."""
+        """Reload the keys when their file changes, and log the keys' names."""
         while True:
             if self.keys.refresh():
                 names = list(self.keys.identifiers)
@@ -385,19 +414,22 @@
     # Sending.
 
     async def transmit(self, to: RouterId, frame: Frame) -> None:
-        """Send a frame to an incarnation; drop it if the incarnation is not known."""
+        """Queue a frame for an incarnation; drop it if the incarnation is not known."""
         member = self.membership.view.members.get(to)
         if member is not None:
             self.queue_frame(to, member.update.address, frame)
 
     def send_beats(self, beats: Iterable[Outgoing]) -> None:
-        """Send heartbeats to the receivers that they name."""
+        """Queue each heartbeat for its receiver."""
         for out in beats:
             frame = Frame(Purpose.NOTICE, 0, Gossip(out.beat))
             self.queue_frame(out.to, out.address, frame)
 
     def queue_frame(self, to: RouterId, address: str, frame: Frame) -> None:
-        """Encode, encrypt and queue a frame."""
+        """Encode, encrypt and queue a frame; drop it before `run` has started.
+
+        A frame that is too long is dropped and counted as refused.
+        """
         if self.links is None:
             return
         try:
--- a/ebonyhold/routers/_readable.py
+++ b/ebonyhold/routers/_readable.py
@@ -19,12 +19,12 @@
 def resolve_fields(kind: type, done: frozenset[type] = frozenset()) -> None:
     """Resolve the annotations of a message's fields, including those of nested classes.
 
-    Annotations are strings.  For a class whose annotations are not resolved the codec
-    raises no error before a value of the class is sent.
+    Annotations are strings.  Without this check, an annotation that cannot be resolved
+    or decoded would raise an error only when a message is sent or received.
 
     Args:
         kind: The class of messages.
-        done: The classes that contain this one, whose fields are being resolved.
+        done: The classes that contain this one, which are not resolved again.
 
     Raises:
         TypeError: A field has a type that receivers cannot decode.
--- a/ebonyhold/routers/_registry.py
+++ b/ebonyhold/routers/_registry.py
@@ -31,8 +31,9 @@
         name: The name, which must be unique.
 
     Returns:
-        A decorator that raises `TypeError` for a class that cannot be decoded, and
-        `ValueError` for a name that is in use.
+        A decorator that returns the class unchanged.  It raises `ValueError` for a
+        name that is in use, `TypeError` for a field that receivers cannot decode,
+        and `NameError` for an undefined annotation.
     """
 
     def register(kind: Kind) -> Kind:
--- a/ebonyhold/routers/_wire.py
+++ b/ebonyhold/routers/_wire.py
@@ -27,7 +27,7 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Return the encoding of a frame.
+    """Return a frame as a msgpack array.
 
     Raises:
         RefusedMessageError: The encoding is longer than `MAX_BODY`.
@@ -44,8 +44,8 @@
     """Return the frame that bytes encode.
 
     A faulty peer, or one of another release, may send bytes on which the codecs raise
-    any exception.  All become `RefusedMessageError`, because another exception would
-    end the receiving task, and the router would receive no messages any more.
+    any exception.  All become `RefusedMessageError`, because any other exception would
+    end the receiving task, so that the router would receive no further messages.
 
     Raises:
         RefusedMessageError: The bytes are not a frame of a known kind.
