--- a/ebonyhold/backends/_attempt_status.py
+++ b/ebonyhold/backends/_attempt_status.py
@@ -19,9 +19,10 @@
 async def close_at_engine(
     client: httpx.AsyncClient, backend: Backend, attempt: AttemptId, timeout: Seconds
 ) -> AttemptTruth:
-    """Close an attempt: the engine cancels it and refuses it if it arrives later.
+    """Close an attempt and return its status, or `UNKNOWN` for a plain service.
 
-    Plain services cannot close an attempt; its status is unknown.
+    The engine cancels the attempt if it runs, and refuses it if it arrives later.
+    Plain services cannot close an attempt.
 
     Raises:
         UnavailableError: The engine did not return a valid status in time.
@@ -44,7 +45,8 @@
     """Parse the response to a request that closes an attempt.
 
     Raises:
-        ValueError: It is not a valid attempt status.
+        ValueError: The body is not a JSON object, or one of its values is invalid.
+        KeyError: The body has no ``state``.
     """
     value = json.loads(body)
     if not isinstance(value, dict):
--- a/ebonyhold/backends/_engine.py
+++ b/ebonyhold/backends/_engine.py
@@ -31,11 +31,14 @@
 RENEW_BELOW = 0.9
 """The stall deadline is extended once less than this part of the timeout is left.
 
-Extending it with every token would set a new timer for each token.
+Otherwise each token would set a new timer.
 """
 
 MAX_ANSWER_BYTES = 8_388_608
+"""Maximum size of the body of an answer that is not streamed."""
+
 MAX_REFUSAL_BYTES = 16_384
+"""Maximum size of the body of a response with a status from 400 to 499 or 503."""
 
 
 @define
@@ -54,11 +57,15 @@
     async def open(
         self, backend: Backend, call: EngineCall
     ) -> AsyncIterator[httpx.Response]:
-        """Send an attempt and yield its response, of which the body is not read yet.
+        """Send an attempt and yield its response before the body is read.
+
+        The response has status 200.
 
         Raises:
             RefusedError: The engine refused the attempt without running it.
-            BackendError: There was no response, or it belongs to another attempt.
+            UnreachableError: No connection could be opened, so nothing was sent.
+            BackendError: There was no valid response, or the response belongs to
+                another attempt; the attempt may have run.
         """
         request = self.client.build_request(
             "POST",
@@ -77,7 +84,7 @@
 
         Raises:
             RefusedError: The engine refused the attempt without running it.
-            BackendError: There was no complete answer.
+            BackendError: There was no complete answer of at most `MAX_ANSWER_BYTES`.
         """
         async with self.open(backend, call) as response:
             body = await read_bounded(response, MAX_ANSWER_BYTES)
@@ -100,10 +107,10 @@
         Args:
             backend: The engine.
             call: The attempt.
-            check: The state of the answer over all its attempts; after an error it
-                holds how many tokens were delivered.
-            deliver: Called with each piece for the caller; an exception from it
-                ends the attempt.
+            check: The state of the answer over all its attempts; after an error
+                `check.expected` is the number of tokens delivered.
+            deliver: Called with the bytes of one or more events for the caller; an
+                exception that it raises ends the attempt.
 
         Raises:
             RefusedError: The engine refused the attempt without running it.
@@ -125,10 +132,13 @@
         deliver: Callable[[bytes], None],
         scope: anyio.CancelScope,
     ) -> None:
-        """Deliver events and extend the stall deadline with complete events.
+        """Deliver events, and extend the stall deadline whenever some were delivered.
 
-        Bytes that complete no event do not extend the deadline, so a stream that
-        only trickles bytes times out like a silent one.
+        Bytes that complete no event for the caller do not extend the deadline, so that
+        an engine cannot keep an attempt open by sending a few bytes at a time.
+
+        Raises:
+            BrokenStreamError: The stream failed, is invalid or ended too early.
         """
         splitter = EventSplitter()
         stall = self.timeouts.stall
@@ -164,11 +174,13 @@
 
 
 async def raise_for_status(response: httpx.Response) -> None:
-    """Raise the error that stands for a status other than 200.
+    """Raise the error for a response with a status other than 200.
 
     Raises:
-        RefusedError: The engine refused the attempt without running it.
-        BackendError: The engine failed; the attempt may have run.
+        RefusedError: The status is from 400 to 499 or 503: the engine refused the
+            attempt without running it.
+        BackendError: The status is another one, or the body is too large; the attempt
+            may have run.
     """
     status = response.status_code
     if status in RETRYABLE_STATUSES:
--- a/ebonyhold/backends/_http.py
+++ b/ebonyhold/backends/_http.py
@@ -21,7 +21,7 @@
 EXPECT_BOOT_HEADER = "X-Expect-Boot-Id"
 
 RETRYABLE_STATUSES = (404, 409, 429, 503)
-"""Statuses for an attempt that the engine did not start and another one may run.
+"""Statuses after which the attempt has not run and another engine may run it.
 
 404: the model is not loaded; 409: the attempt was closed before it arrived; 429: the
 queue is full; 503: the server is leaving.
@@ -34,7 +34,7 @@
     Attributes:
         status: The HTTP status.
         body: The body of the server's response.
-        final: Whether another server would refuse the attempt too.
+        final: Whether other servers are expected to refuse the attempt too.
     """
 
     code = "backend_refused"
@@ -60,12 +60,13 @@
 ) -> httpx.AsyncClient:
     """Return a client for HTTP/1.1 without proxies, redirects or cookies.
 
-    With HTTP/1.1 each attempt uses a connection alone.  A connection returns to
-    the pool only after its response was read to the end, and closing a response
-    early closes its connection, so no later request can read an earlier response.
+    With HTTP/1.1 no two attempts use a connection at the same time.  A connection
+    returns to the pool only after its response was read to the end, and closing a
+    response early closes its connection, so no request can read an earlier response.
 
     Args:
-        timeouts: The timeouts for connecting and for reading.
+        timeouts: The timeouts; `connect` and `stall` are used, the latter for reads and
+            writes.
         transport: Replaces the transport over TCP, in tests.
     """
     return httpx.AsyncClient(
@@ -90,11 +91,13 @@
 ) -> AsyncIterator[httpx.Response]:
     """Send a request and yield its response once all headers have arrived.
 
+    The response is closed when the context is left.
+
     Args:
         client: The client.
         request: The request.
-        timeout: The time limit for all headers together, in seconds, counted from
-            the start; a server that trickles its headers cannot extend it.
+        timeout: The time from the start of the request until all headers must have
+            arrived, in seconds; a server that sends them slowly cannot extend it.
 
     Raises:
         UnreachableError: No connection could be opened, so nothing ran.
@@ -117,8 +120,9 @@
 def check_attempt(response: httpx.Response, attempt: AttemptId) -> None:
     """Raise an error for a response that belongs to another attempt.
 
-    Such a response has another attempt's identifier in ``X-Attempt-Id``.  The error
-    closes the response and its connection, so that none of its body is used.
+    Such a response has another attempt's identifier in ``X-Attempt-Id``; a response
+    without this header is accepted.  The error makes `open_response` close the response
+    and its connection, so that none of the body is used.
 
     Raises:
         BackendError: The response names another attempt; this one may have run.
@@ -132,7 +136,7 @@
     """Return the complete body of a response.
 
     Raises:
-        BackendError: The body is larger than `max_bytes`, or it ends early.
+        BackendError: The body is larger than `max_bytes`, or ends early.
     """
     parts: list[bytes] = []
     size = 0
--- a/ebonyhold/backends/_messages.py
+++ b/ebonyhold/backends/_messages.py
@@ -14,15 +14,15 @@
     """The load that an engine reports; it may be out of date when it arrives.
 
     Attributes:
-        boot: Identifies this run of the engine's process.
-        sequence: The number of this report.
+        boot: The boot identifier, which changes with each start of the engine.
+        sequence: The number of this report since the engine started.
         running: Number of requests that the engine runs.
         queued: Number of requests in the engine's queue.
         free_blocks: Number of free blocks in the engine's prefix cache.
         token_rate: Tokens that the engine generates per second.
-        models: Models that are loaded.
-        adapters: Adapters that are loaded.
-        leaving: Whether the engine is leaving and accepts no new requests.
+        models: The models that are loaded.
+        adapters: The adapters that are loaded.
+        leaving: Whether the engine is shutting down and accepts no new requests.
     """
 
     boot: str = ""
@@ -45,7 +45,13 @@
 
 @frozen
 class CacheEvent:
-    """One change of an engine's prefix cache."""
+    """One change of an engine's prefix cache.
+
+    Attributes:
+        sequence: The number of the event; it grows with each event.
+        action: Whether the prefix was stored or removed.
+        prefix: The hash of the prefix.
+    """
 
     sequence: int
     action: CacheAction
@@ -61,7 +67,13 @@
 
 @frozen
 class Usage:
-    """Numbers of tokens that an engine reports for an answer."""
+    """Numbers of tokens that an engine reports for an answer.
+
+    Attributes:
+        prompt_tokens: Tokens of the prompt, including the cached ones.
+        completion_tokens: Tokens that were generated.
+        cached_tokens: Tokens of the prompt that the engine read from its cache.
+    """
 
     prompt_tokens: Tokens = 0
     completion_tokens: Tokens = 0
@@ -74,8 +86,8 @@
 
     Attributes:
         connect: For opening a connection.
-        first: From sending a request until all headers of its response arrived.
-        stall: Between two pieces of a stream.
+        first: From the start of a request until all headers of its response arrive.
+        stall: From one output of a stream to the next; also for each read of a socket.
         close: For a request that closes an attempt.
     """
 
@@ -93,13 +105,13 @@
         attempt: The identifier of the attempt, never used twice.
         body: The JSON body.
         stream: Whether the answer is streamed.
-        priority: Requests with a larger number are served first.
+        priority: The engine serves requests with a larger number first.
         resume: Number of tokens of the answer that the caller has already.
         traceparent: The W3C trace context, or empty.
-        boot: The boot identifier of the engine in the stored intent, or empty.  An
-            engine that was restarted since refuses the attempt, because it lost
-            the list of closed attempts.  Otherwise a router that was paused
-            between storing the intent and sending the attempt could run one that
+        boot: The engine's boot identifier in the stored intent, or empty.  An engine
+            that has restarted since then refuses the attempt, because a restart loses
+            the list of closed attempts.  Otherwise a router that is paused between
+            storing the intent and sending the attempt could start an attempt that
             another router has settled as not run.
     """
 
@@ -119,8 +131,8 @@
     Attributes:
         attempt: The identifier of the attempt, never used twice.
         method: The HTTP method.
-        target: Path and query.
-        headers: The caller's end-to-end headers.
+        target: The path and the query.
+        headers: The caller's headers that are forwarded.
         body: The request body.
         timeout: The time limit for the complete answer, in seconds.
         most_body: The maximum size of the answer's body, in bytes.
@@ -139,7 +151,15 @@
 
 @frozen
 class Answer:
-    """A complete answer of a backend server."""
+    """A complete answer of a backend server.
+
+    Attributes:
+        status: The HTTP status.
+        content_type: The content type, or empty.
+        body: The body.
+        boot: The server's boot identifier, or empty.
+        headers: The other headers of a service that are forwarded to the caller.
+    """
 
     status: int
     content_type: str
--- a/ebonyhold/backends/_placement.py
+++ b/ebonyhold/backends/_placement.py
@@ -1,4 +1,4 @@
-"""Placement orders to engines, sent by one router at a time under a lease."""
+"""Orders to engines to load or unload models, sent by the router with the lease."""
 
 from __future__ import annotations
 
@@ -51,10 +51,13 @@
 LEASE_NAME = "placement"
 LEASE_DURATION: Seconds = 15.0
 ROUND_INTERVAL: Seconds = 3.0
-"""Mean time between two rounds, which varies at random by up to 20 %."""
+"""Mean pause between two rounds; it varies at random by up to 20 %."""
 
 ORDER_TIMEOUT: Seconds = 2.0
-"""The timeout of an order, after which a sender that is not paused gives it up."""
+"""The timeout of sending an order.
+
+A router whose process is suspended may exceed it.
+"""
 
 
 @define
@@ -67,8 +70,9 @@
         backends: The engines and their load reports.
         placement: Decides which order to send.
         clock: Returns the time in seconds since the epoch.
-        held: The lease, while this router holds it.
-        observation: The lease row as last read, to detect that it has expired.
+        held: The lease while this router holds it, otherwise None.
+        observation: The version of the lease row and when this router first read it, to
+            detect that the lease has expired.
     """
 
     router: Callable[[], RouterId]
@@ -80,7 +84,7 @@
     observation: LeaseSighting | None = None
 
     async def run(self) -> None:
-        """Run one round after another until cancelled."""
+        """Run one round after another until cancelled; log rounds that fail."""
         while True:
             try:
                 await self.run_round()
@@ -92,6 +96,9 @@
     async def run_round(self) -> None:
         """Renew or acquire the lease; while it is held, send at most one order.
 
+        Earlier unload orders whose outcome is unknown come first: engines that check
+        fencing numbers get an order that makes them refuse the earlier one.
+
         Raises:
             PlatformError: Reading or writing the table failed.
         """
@@ -115,7 +122,7 @@
             await self.issue(order, self.held)
 
     async def acquire(self) -> HeldLease | None:
-        """Acquire the lease if it is free.
+        """Acquire the lease; return None if it is not free or another router got it.
 
         Raises:
             PlatformError: Reading or writing the table failed.
@@ -131,16 +138,16 @@
             return None
         held = await self.commit_lease(plan)
         if held is not None:
-            # Loads from an earlier lease of this router are no longer expected to
-            # finish; only the unload orders in the table are.
+            # Loads ordered under an earlier lease of this router may be out of date;
+            # only the unload orders in the table still count.
             self.placement.loading.clear()
         return held
 
     async def renew(self, held: HeldLease) -> HeldLease | None:
-        """Renew the lease; return None if it is lost.
+        """Renew the lease; return None if it has expired or another router took it.
 
         Raises:
-            PlatformError: The table failed; the lease is held until it expires.
+            PlatformError: The table failed; the lease stays held until it expires.
         """
         now = anyio.current_time()
         if not held.holds(now):
@@ -148,7 +155,14 @@
         return await self.commit_lease(plan_renew(held, now))
 
     async def commit_lease(self, plan: LeasePlan) -> HeldLease | None:
-        """Commit a change of the lease; if its outcome is unknown, read the row."""
+        """Commit a change of the lease; return the lease, or None after a conflict.
+
+        If the outcome of the commit is unknown, the row is read to find out, and the
+        result is None if it does not show the change.
+
+        Raises:
+            PlatformError: Reading or writing the table failed.
+        """
         try:
             await self.table.commit(plan.transaction)
         except ConflictError:
@@ -159,7 +173,10 @@
         return plan.outcome
 
     async def pending_unloads(self) -> list[OrderRow]:
-        """Return the unload orders that an engine may still carry out.
+        """Return the unload orders that an engine may still execute.
+
+        Rows older than `doubt_for` are deleted; rows that cannot be decoded are
+        logged and skipped.
 
         Raises:
             PlatformError: Reading or writing the table failed.
@@ -188,7 +205,7 @@
             await self.table.commit(Transaction((), deletes))
 
     def engines(self) -> list[BackendState]:
-        """Return the engines of the current document."""
+        """Update the states to the current document and return those of its engines."""
         self.backends.refresh()
         return [
             state
@@ -199,16 +216,19 @@
     async def issue(self, order: EngineOrder, held: HeldLease) -> int:
         """Send one order if the lease is held for longer than the order's timeout.
 
-        A holder that is paused after this check still sends its order late.  An
-        engine that checks the fencing number refuses it.  For other engines the
-        table holds each unload order, so that the next holder expects it and first
-        loads the model on another engine.
+        A router that is paused after this check sends its order late.  An engine that
+        checks fencing numbers refuses a late order.  For other engines each unload
+        order is first stored in the table, so that the next holder of the lease does
+        not count that engine and first loads the model on another one.  The row is
+        deleted after any response.
 
         Returns:
-            The HTTP status of the engine's response, or 0 without a response.
+            The HTTP status of the engine's response; 0 if there was none or the order
+            was not sent.
 
         Raises:
-            PlatformError: The unload order could not be stored, so it is not sent.
+            PlatformError: The unload order could not be stored, so it is not sent; or
+                its row could not be deleted after a response.
         """
         row = OrderRow(order, held.row.fencing, self.clock())
         key = order_key(order.backend, row.fencing)
@@ -247,7 +267,7 @@
 
 
 def engine_view(backends: Backends, state: BackendState) -> EngineView:
-    """Return the input of the placement decisions about one engine."""
+    """Return one engine's data for the placement decisions."""
     backend = state.backend
     return EngineView(
         backend.name,
--- a/ebonyhold/backends/_poll.py
+++ b/ebonyhold/backends/_poll.py
@@ -14,11 +14,14 @@
 from ebonyhold.types import Seconds
 
 MAX_REPORT_BYTES = 1_048_576
-"""The maximum size of a report; a larger one is ignored."""
+"""The maximum size of a response; a larger one counts as a failed poll."""
 
 
 async def fetch(client: httpx.AsyncClient, url: str, timeout: Seconds) -> bytes | None:
-    """Return the body of a GET response, or None after any failure."""
+    """Return the body of a GET response with status 200, or None after any failure.
+
+    A body larger than `MAX_REPORT_BYTES` is a failure too.
+    """
     try:
         with anyio.fail_after(timeout):
             async with client.stream("GET", url) as response:
@@ -37,7 +40,7 @@
 async def poll_load(
     client: httpx.AsyncClient, backend: Backend, timeout: Seconds
 ) -> LoadReport | None:
-    """Return an engine's load report, or None if it cannot be read."""
+    """Return an engine's load report, or None if it cannot be fetched or is invalid."""
     body = await fetch(client, base_url(backend) + "/v1/load", timeout)
     if body is None:
         return None
@@ -52,9 +55,10 @@
 ) -> None:
     """Request an engine's new cache events and apply them to its prefix index.
 
-    After lost events the index has blocks that the engine evicted, or lacks blocks
-    that it stored.  This affects only which engine is chosen, never an answer, and
-    the size limit of the index and later events correct it.
+    A failed request changes nothing.  After lost events the index has prefixes that the
+    engine evicted, or lacks prefixes that the engine stored.  Such errors affect only
+    which engine is chosen, never an answer; later events and the size limit of the
+    index correct them.
     """
     after = state.prefixes.sequence
     url = f"{base_url(state.backend)}/v1/cache/events?after={after}"
--- a/ebonyhold/backends/_service.py
+++ b/ebonyhold/backends/_service.py
@@ -34,20 +34,27 @@
 OWN_REQUEST_HEADERS = frozenset(
     {"host", "content-length", "authorization", "accept-encoding", "expect"}
 )
-"""Request headers that are not forwarded: the router sets or withholds them."""
+"""The caller's headers that are not forwarded.
+
+The router sets its own values of some; the service must not receive the others.
+"""
 
 OWN_ANSWER_HEADERS = frozenset({"content-length", "content-encoding", "date", "server"})
-"""Response headers that are not forwarded: the router's listener sets them."""
+"""Response headers that are not forwarded; the router's listener sets its own."""
 
 
 @define
 class ServiceClient:
-    """Sends attempts to plain services."""
+    """Sends attempts to plain services.
+
+    Attributes:
+        client: The HTTP client.
+    """
 
     client: httpx.AsyncClient
 
     async def call(self, backend: Backend, call: ServiceCall) -> Answer:
-        """Send an attempt and return its complete answer.
+        """Send an attempt and return its complete answer, with any HTTP status.
 
         Raises:
             UnreachableError: No connection could be opened, so nothing was sent.
@@ -73,7 +80,7 @@
 
 
 def connect_timeout(client: httpx.AsyncClient) -> float | None:
-    """Return the client's timeout for opening a connection, in seconds."""
+    """Return the client's timeout for connecting, in seconds, or None without one."""
     return client.timeout.connect
 
 
@@ -99,7 +106,10 @@
 
 
 def answer_headers(response: httpx.Response) -> tuple[tuple[str, str], ...]:
-    """Return the service's headers that are forwarded to the caller."""
+    """Return the service's headers, except Content-Type, that go to the caller.
+
+    Content-Type is in `Answer.content_type` instead.
+    """
     raw = tuple(response.headers.multi_items())
     dropped = HOP_BY_HOP | OWN_ANSWER_HEADERS | named_by_connection(raw)
     dropped |= {"content-type", ATTEMPT_HEADER.lower(), BOOT_HEADER.lower()}
--- a/ebonyhold/backends/_sse.py
+++ b/ebonyhold/backends/_sse.py
@@ -12,7 +12,7 @@
 from ebonyhold.types import Tokens
 
 MAX_EVENT_BYTES = 1_048_576
-"""The maximum size of an event; a larger one is an error of the engine."""
+"""The maximum size of an incomplete event; a larger one fails the attempt."""
 
 ID_FIELD = re.compile(rb'"id": ?"[^"]*"')
 DONE = b"data: [DONE]"
@@ -20,7 +20,10 @@
 
 
 class BrokenStreamError(BackendError):
-    """A stream failed or has an invalid event; another engine may resume it."""
+    """A stream failed, stalled, or contains an invalid event.
+
+    Another attempt may resume the answer if `StreamCheck.resumable` is true.
+    """
 
     code = "stream_broken"
 
@@ -33,16 +36,18 @@
     """Splits a byte stream into events.
 
     Attributes:
-        remainder: The start of an event that has not arrived completely.
+        remainder: The bytes of an event that has not arrived completely.
     """
 
     remainder: bytes = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that are complete now, without their blank line.
+        """Return the events that these bytes complete, without their blank lines.
+
+        CRLF line ends become LF.
 
         Raises:
-            BrokenStreamError: An event is larger than `MAX_EVENT_BYTES`.
+            BrokenStreamError: The incomplete event is larger than `MAX_EVENT_BYTES`.
         """
         if self.remainder:
             data = self.remainder + data
@@ -59,17 +64,17 @@
 class StreamCheck:
     """Checks one answer over all its attempts: no token is repeated or missing.
 
-    Only events without an index are decoded, about three in an answer; in the
-    others only the ``id:`` line is parsed.
+    Only events without a token index are decoded as JSON, about three in an answer.
+    In the others only the ``id:`` line is parsed, which contains the index.
 
     Attributes:
         usage_wanted: Whether the caller requested the usage event.
-        expected: The index of the next token.
+        expected: The index of the next token, which is the number of tokens passed on.
         finished: Whether the event with the finish reason was received.
-        done: Whether the answer is complete.
-        usage: The usage that the latest attempt reported.
+        done: Whether ``[DONE]`` was received, so the answer is complete.
+        usage: The usage that the latest attempt reported, or None before that.
         indexed: Whether the engine numbers its tokens, so that it can resume.
-        opened: Whether any event was passed on to the caller.
+        opened: Whether any event except usage was passed on to the caller.
         first_answer_id: The ``"id"`` member of the answer's JSON in the first attempt.
         answer_id: The ``"id"`` member of the answer's JSON in this attempt.
         skipped: Number of repeated tokens that were dropped.
@@ -92,7 +97,9 @@
         self.usage = None
 
     def accept(self, event: bytes) -> bytes:
-        """Return the bytes of an event to pass on to the caller, or none.
+        """Return the bytes of an event to pass on to the caller, possibly empty.
+
+        Comments and empty events are not passed on.
 
         Raises:
             BrokenStreamError: A token is missing, or the event is invalid.
@@ -110,12 +117,13 @@
     def check_identity(self, event: bytes) -> bytes:
         """Check that an event belongs to this answer, and return it.
 
-        All events of one attempt have the same identifier, so a byte search for it
+        All events of one attempt have the same ``"id"`` member, so a byte search
         detects an event of another answer without decoding.  A resumed attempt has
-        another identifier, which is replaced by that of the first attempt.
+        another ``"id"``, which is replaced by that of the first attempt.  An event
+        without ``"id"`` is accepted as it is.
 
         Raises:
-            BrokenStreamError: The event has the identifier of another answer.
+            BrokenStreamError: The event has the ``"id"`` of another answer.
         """
         if not self.answer_id:
             self.answer_id = identifier(event)
@@ -129,13 +137,14 @@
     def accept_token(self, event: bytes) -> bytes:
         """Check the index of a token, and return its event if it is the next one.
 
-        A smaller index than expected belongs to a token that was delivered before;
-        it is dropped, so that the caller does not get it twice.  A larger index
-        means that a token was lost: the stream ends here and is resumed, because
-        the caller could not notice the gap.
+        A token with a smaller index than expected was delivered before; it is
+        dropped, so that the caller does not get it twice.  A larger index means that
+        a token was lost: this attempt fails and the answer is resumed, because the
+        caller could not notice the gap.
 
         Raises:
-            BrokenStreamError: The index is larger than expected or no number.
+            BrokenStreamError: The index is larger than expected or not a number, or
+                the finish reason came before the token.
         """
         digits, _, _ = event[4:].partition(b"\n")
         if not digits.isdigit():
@@ -151,7 +160,7 @@
         return event + EVENT_END
 
     def accept_done(self, event: bytes) -> bytes:
-        """Accept the end of the stream.
+        """Mark the answer as complete and return the ``[DONE]`` event.
 
         Raises:
             BrokenStreamError: No event with a finish reason came before it.
@@ -162,10 +171,14 @@
         return event + EVENT_END
 
     def accept_other(self, event: bytes) -> bytes:
-        """Handle an event without an index; return the bytes to pass on, or none.
+        """Handle an event without a token index; return the bytes to pass on, if any.
+
+        The event is the opening event, the one with the finish reason, the usage, or
+        text from an engine that does not number its tokens.  Repeated opening events
+        and finish reasons are dropped, and usage that the caller did not request.
 
         Raises:
-            BrokenStreamError: The event is not a JSON object.
+            BrokenStreamError: The event is not a JSON object, or its usage is invalid.
         """
         payload = event.removeprefix(b"data:").strip()
         try:
@@ -183,7 +196,7 @@
             self.finished = True
         elif self.opened:
             if self.expected > 0:
-                # The first event of a resumed attempt; the caller has one already.
+                # The opening event of a resumed attempt; the caller has one already.
                 return b""
             self.indexed = False
         self.opened = True
@@ -196,7 +209,7 @@
 
 
 def identifier(event: bytes) -> bytes:
-    """Return the ``"id"`` member of an event's JSON as it is written, or nothing.
+    """Return the ``"id"`` member of an event's JSON as written, or empty bytes.
 
     >>> identifier(b'data: {"id":"chatcmpl-7","choices":[]}')
     b'"id":"chatcmpl-7"'
@@ -209,7 +222,7 @@
     """Parse a usage object; a missing number counts as 0.
 
     Raises:
-        BrokenStreamError: It is not an object, or a number in it is invalid.
+        BrokenStreamError: The value is not an object, or a number in it is invalid.
     """
     if not isinstance(value, dict):
         raise BrokenStreamError("the usage is not an object")
--- a/ebonyhold/backends/_state.py
+++ b/ebonyhold/backends/_state.py
@@ -13,16 +13,19 @@
 from ebonyhold.types import AttemptId, RequestId, Seconds
 
 INITIAL_WINDOW = 0.25
-"""The initial window, as a fraction of an engine's slots."""
+"""The initial window, as a fraction of an engine's slots; at least 1 request."""
 
 PROBING_GROWTH = 0.5
-"""Growth of a window per report until the first queue is reported, as a fraction."""
+"""Growth of a window per report, as a fraction of it, before any report of a queue."""
 
 WINDOW_SHRINK = 0.7
-"""Factor by which a reported queue reduces a window."""
+"""Factor by which a window is multiplied when a report contains a queue."""
 
 WINDOW_GROWTH = 0.2
-"""Growth of a window per report without a queue, in requests, after the first queue."""
+"""Growth of a window per report without a queue, in requests.
+
+It applies once the server has reported a queue; before, `PROBING_GROWTH` does.
+"""
 
 
 @define
@@ -33,14 +36,17 @@
         backend: The server's entry in the document.
         distance: Estimated one-way delay to the server, in seconds.
         report: The latest load report.
-        reported_at: When that report arrived; -inf before the first.
-        own_at_report: Number of this router's requests at the server at that time.
+        reported_at: When `report` arrived, in seconds; -inf before the first report.
+        own_at_report: Number of this router's requests at the server when `report`
+            arrived, at most the number of requests in the report.
         running: This router's requests at the server, by attempt.
         reserved: Number of this router's requests that were assigned to the server
             and not sent yet.
         prefixes: The prompt prefixes that the server's cache is assumed to hold.
-        window: The maximum number of this router's requests at the server.
-        probing: Whether the window still grows fast, as no queue was reported yet.
+        window: The maximum number of this router's requests at the server, rounded
+            down when applied.
+        probing: Whether the window still grows by `PROBING_GROWTH`, because the server
+            has not reported a queue yet.
         boot: The boot identifier in the latest load report.
     """
 
@@ -58,36 +64,38 @@
 
     @property
     def own_requests(self) -> int:
-        """The number of this router's requests at the server, reserved too."""
+        """The number of this router's requests that are at the server or reserved."""
         return len(self.running) + self.reserved
 
     @property
     def load(self) -> int:
-        """The estimated number of requests at the server.
+        """The estimated number of requests at the server, of all routers.
 
-        It is the reported number, corrected by this router's requests since then.
+        Other routers' requests are counted as of the latest report, this router's
+        requests as of now.
         """
         total = self.report.running + self.report.queued
         return max(0, total - self.own_at_report) + self.own_requests
 
     @property
     def free_slots(self) -> int:
-        """The number of requests that may still be sent to the server."""
+        """The number of further requests that the slots and the window allow."""
         return max(
             0, min(self.backend.slots - self.load, int(self.window) - self.own_requests)
         )
 
     def __attrs_post_init__(self) -> None:
-        """Set the initial window: all slots of a service, a part of an engine's."""
+        """Set the initial window, which for a plain service has all its slots."""
         slots = float(self.backend.slots)
         engine = self.backend.kind is BackendKind.ENGINE
         self.window = max(1.0, slots * INITIAL_WINDOW) if engine else slots
 
     def heard(self, report: LoadReport, now: Seconds) -> None:
-        """Store a load report, unless it is older than the latest one.
+        """Store a load report and adjust the window, unless the report is outdated.
 
-        A report that arrives late would bring an outdated load back; it is
-        recognized by a smaller sequence number with the same boot identifier.
+        A report is outdated if it has the boot identifier of the latest report and a
+        smaller sequence number.  A new boot identifier means that the server restarted,
+        so its prefix index is cleared.
         """
         restarted = report.boot != self.report.boot
         if not restarted and report.sequence < self.report.sequence:
@@ -103,12 +111,13 @@
     def adjust_window(self) -> None:
         """Adjust this router's window to the latest report.
 
-        Several routers that see the same free slots would all fill them, and the
-        requests would wait in the server's queue, where no router can apply its
-        priorities or deadlines.  So each router limits its own requests: the window
-        shrinks when the server reports a queue, stays while the server is full, and
-        grows while there are free slots.  As in TCP congestion control, routers
-        that share a server converge to fair shares without communicating.
+        Several routers that read the same number of free slots would all fill them,
+        and the requests would wait in the server's queue, where no router can apply
+        its priorities or deadlines.  So each router limits its own requests.  The
+        window shrinks when the server reports a queue.  It grows when the server has
+        at least two free slots and this router has nearly used the window; otherwise
+        it stays.  As in TCP congestion control, routers that share a server converge
+        to fair shares without communicating.
         """
         queued, running = self.report.queued, self.report.running
         if queued:
@@ -130,10 +139,10 @@
                 self.prefixes.removed(event.prefix)
 
     def candidate(self, hashes: tuple[str, ...]) -> Candidate:
-        """Return the input of the choice policy about this server.
+        """Return this server's data for the choice policy.
 
         Args:
-            hashes: The hashes of the prompt's prefixes.
+            hashes: The hashes of the prompt's prefixes; empty if none are known.
         """
         return Candidate(
             self.backend.name,
@@ -147,9 +156,9 @@
         )
 
     def started(self, attempt: AttemptId, request: RequestId, at: Seconds) -> None:
-        """Record that an attempt is sent to the server."""
+        """Add an attempt that is sent to the server; `at` is the time in seconds."""
         self.running[attempt] = InProgress(request, self.backend.name, at)
 
     def ended(self, attempt: AttemptId) -> None:
-        """Record that an attempt has ended."""
+        """Remove an attempt that has ended."""
         self.running.pop(attempt, None)
--- a/ebonyhold/backends/_table.py
+++ b/ebonyhold/backends/_table.py
@@ -33,32 +33,35 @@
 from ebonyhold.types import AttemptId, BackendName, Seconds
 
 POLL_INTERVAL: Seconds = 0.5
-"""The minimum time between two load reports of one engine."""
+"""The minimum mean time between two polls, and the timeout of each request."""
 
 MAX_POLL_RATE = 8.0
-"""Maximum number of load reports that a router requests per second.
+"""Maximum mean number of load reports that a router requests per second.
 
-It bounds the cost of polling in deployments with many engines.
+With many engines the polls of each become rarer, so that their cost stays bounded.
 """
 
 WORKING_SET_SIZE = 24
-"""Maximum number of engines with the same models that a router uses."""
+"""Maximum number of engines that a router polls and prefers, per set of models.
+
+Engines that are configured with the same models form a set.
+"""
 
 CACHE_EVERY = 4
-"""Cache events are requested in one of so many rounds of polls.
+"""Cache events are requested in one of this number of rounds of polls.
 
-They are out of date in any case, and a router records its own requests' prefixes
-without them.
+They need no frequent polls: they are out of date in any case, and a router records the
+prefixes of its own requests without them.
 """
 
 POLL_JITTER = 0.2
-"""Width of the random variation of the poll interval, as a fraction of it.
+"""Width of the random variation of the poll interval, as a fraction of the interval.
 
-It keeps the routers from polling at the same time.
+The variation keeps the routers from polling at the same time.
 """
 
 REMOTE_DELAY: Seconds = 0.0015
-"""The assumed one-way delay to another failure domain."""
+"""The assumed one-way delay to a server in another failure domain."""
 
 
 @define
@@ -69,7 +72,8 @@
         fleet: The current document, and which servers are leaving.
         rng: The random number generator.
         timeouts: The timeouts of calls to servers.
-        poll_every: The minimum time between two polls of one engine, in seconds.
+        poll_every: The minimum mean time between two polls of one engine, and the
+            timeout of each request of a poll, in seconds.
         transport: Replaces the transport over TCP, in tests.
         client: The HTTP client of all calls.
         engines: The client of model engines.
@@ -78,10 +82,10 @@
         ejector: Ejects servers that fail.
         policies: The choice policies that were used, by name.
         version: The version of the document at the last refresh.
-        rounds: Number of rounds of polls.
+        rounds: Number of rounds of polls that were started.
         working: The engines that this router polls and prefers.
         self_id: A random id, so that routers choose different working sets.
-        changed: Called when servers may accept more requests than before.
+        changed: Called after each poll, because free slots may have changed.
     """
 
     fleet: FleetView
@@ -102,14 +106,14 @@
     changed: Callable[[], None] = field(default=lambda: None)
 
     def __attrs_post_init__(self) -> None:
-        """Create the id and the clients."""
+        """Draw the random id and create the clients."""
         self.self_id = f"{self.rng.getrandbits(64):016x}"
         self.client = make_client(self.timeouts, self.transport)
         self.engines = EngineClient(self.client, self.timeouts)
         self.services = ServiceClient(self.client)
 
     async def run(self) -> None:
-        """Poll the engines of the working set until cancelled."""
+        """Poll the working set until cancelled, then close the HTTP client."""
         try:
             while True:
                 self.refresh()
@@ -123,12 +127,15 @@
                 await self.client.aclose()
 
     def pause(self) -> Seconds:
-        """Return the time until the next round of polls."""
+        """Return the randomly varied pause before the next round of polls."""
         period = max(self.poll_every, len(self.working) / MAX_POLL_RATE)
         return period * (1 + POLL_JITTER * (self.rng.random() - 0.5))
 
     async def poll(self, state: BackendState) -> None:
-        """Request one engine's load report and, in some rounds, its cache events."""
+        """Request one engine's load report and, in some rounds, its cache events.
+
+        Without a valid report this counts as a failed connection to the engine.
+        """
         report = await poll_load(self.client, state.backend, self.poll_every)
         name = state.backend.name
         if report is None:
@@ -143,16 +150,17 @@
         self.changed()
 
     def update_leaving(self, name: BackendName, leaving: bool) -> None:
-        """Record whether a server reports that it is leaving."""
+        """Record in the fleet view whether a server reports that it is leaving."""
         if leaving:
             self.fleet.reported.add(name)
         else:
             self.fleet.reported.discard(name)
 
     def refresh(self) -> None:
-        """Update the states to the current document.
+        """Update the states and the working set to the current document.
 
-        A server whose address changed starts with a new state.
+        A server whose address changed starts with a new state; the state of a server
+        that is not in the document is dropped.
         """
         document = self.fleet.document
         self.version = self.fleet.version
@@ -170,7 +178,7 @@
         self.working = self.choose_working_set()
 
     def choose_working_set(self) -> frozenset[BackendName]:
-        """Return the engines that this router polls and prefers."""
+        """Return at most `WORKING_SET_SIZE` engines for each set of models."""
         groups: dict[tuple[str, ...], list[BackendName]] = {}
         for backend in self.fleet.backends(BackendKind.ENGINE):
             groups.setdefault(backend.models, []).append(backend.name)
@@ -181,7 +189,7 @@
         return frozenset().union(*sets)
 
     def distance(self, backend: Backend) -> Seconds:
-        """Return the assumed one-way delay to a server."""
+        """Return the assumed one-way delay to a server; 0 in this router's domain."""
         return 0.0 if backend.domain == self.fleet.domain else REMOTE_DELAY
 
     def usable(
@@ -189,6 +197,10 @@
     ) -> list[BackendState]:
         """Return the servers that may get new requests for a model or a service.
 
+        Leaving and ejected servers are left out.  Engines outside the working set are
+        returned only if no engine in the working set, ejected or not, offers the model
+        and accepts requests.
+
         Args:
             kind: Engines or plain services.
             name: The model or the service.
@@ -214,7 +226,7 @@
         ]
 
     def free(self, kind: BackendKind, name: str) -> int:
-        """Return how many requests the servers of a model or service can accept."""
+        """Return the free slots of all usable servers of a model or service."""
         return sum(state.free_slots for state in self.usable(kind, name))
 
     def choose(
@@ -224,10 +236,10 @@
         hashes: tuple[str, ...],
         tried: Iterable[BackendName] = (),
     ) -> BackendState | None:
-        """Choose an engine by the current policy, or None if there is none.
+        """Choose an engine by the current policy; return None if none is usable.
 
-        Engines with free slots are preferred.  Without any, a full one is chosen,
-        so that an answer that has begun can continue.
+        Engines with free slots are preferred.  If all are full, a full engine is
+        chosen, so that an answer that has begun can continue.
         """
         eligible = self.usable(BackendKind.ENGINE, model, tried)
         preferred = [state for state in eligible if state.free_slots > 0] or eligible
@@ -240,7 +252,11 @@
     def choose_service(
         self, service: str, tried: Iterable[BackendName] = ()
     ) -> BackendState | None:
-        """Choose the server with the fewest requests, then the shortest delay."""
+        """Choose the server with the fewest requests of this router.
+
+        Ties are decided by the shorter delay, then at random.  The result is None if
+        no server is usable.
+        """
         eligible = self.usable(BackendKind.SERVICE, service, tried)
         if not eligible:
             return None
@@ -250,7 +266,7 @@
         )
 
     def policy(self) -> ChoicePolicy:
-        """Return the choice policy of the current document."""
+        """Return the document's choice policy, which is created at its first use."""
         name = self.fleet.document.policy.choice
         if name not in self.policies:
             self.policies[name] = make_choice_policy(name)
@@ -259,7 +275,11 @@
     async def close_attempt(
         self, backend: BackendName, attempt: AttemptId
     ) -> AttemptTruth:
-        """Close an attempt permanently and return its status."""
+        """Close an attempt permanently and return its status.
+
+        The status is `UNKNOWN` for a plain service, for a server that is no longer in
+        the document, and if the engine does not return a status in time.
+        """
         state = self.states.get(backend)
         if state is None:
             return UNKNOWN
@@ -271,7 +291,7 @@
             return UNKNOWN
 
     def holdings(self) -> tuple[Holding, ...]:
-        """Return each leaving server with this router's requests that run there."""
+        """Return each leaving server with the requests of this router that it runs."""
         leaving = [
             state.backend.name
             for state in self.states.values()
--- a/ebonyhold/backends/_transport.py
+++ b/ebonyhold/backends/_transport.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 MAX_IDLE_CONNECTIONS = 64
-"""The maximum number of idle connections to one server."""
+"""The maximum number of idle connections to one server; further ones are closed."""
 
 IDLE_TIMEOUT = 60.0
 """How long an idle connection is kept open, in seconds."""
@@ -32,7 +32,7 @@
     context: ssl.SSLContext | None = None
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send one request and return its response."""
+        """Send one request through its server's pool, which is created if needed."""
         url = request.url
         key = (url.scheme, url.host, url.port)
         pool = self.pools.get(key)
@@ -41,7 +41,7 @@
         return await pool.handle_async_request(request)
 
     def make_pool(self, scheme: str) -> httpx.AsyncHTTPTransport:
-        """Return a new pool; load the CA certificates for the first with https."""
+        """Return a new pool; the first one for ``https`` loads the CA certificates."""
         if scheme == "https" and self.context is None:
             self.context = ssl.create_default_context()
         return httpx.AsyncHTTPTransport(
@@ -56,14 +56,14 @@
         )
 
     async def aclose(self) -> None:
-        """Close every pool."""
+        """Close all pools and their connections."""
         for pool in self.pools.values():
             await pool.aclose()
         self.pools.clear()
 
 
 NO_CERTIFICATES = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-"""A context without CA certificates, for pools of plain HTTP connections.
+"""A context without CA certificates, for pools of connections without TLS.
 
-It saves the time to load the certificates.
+It saves the time to load certificates that these pools do not use.
 """
