--- a/tests/backends/kit.py
+++ b/tests/backends/kit.py
@@ -18,14 +18,14 @@
 
 
 class ScriptedBody(httpx.AsyncByteStream):
-    """A body that is sent in pieces: a float is a pause, an exception is raised."""
+    """A body sent in pieces: a float is a pause in seconds, an exception is raised."""
 
     def __init__(self, engine: Engine, pieces: list[bytes | Exception | float]) -> None:
         self.engine = engine
         self.pieces = pieces
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yield the pieces."""
+        """Yield the bytes, wait for each float, and raise the exceptions."""
         for piece in self.pieces:
             if isinstance(piece, Exception):
                 raise piece
@@ -46,13 +46,13 @@
 
 
 def opening() -> bytes:
-    """Return the event before the first token."""
+    """Return the opening event, which precedes the first token."""
     chunk = {"choices": [{"index": 0, "delta": {"role": "assistant"}}]}
     return f"data: {json.dumps(chunk)}\n\n".encode()
 
 
 def closing(completion: int = TOKENS) -> list[bytes]:
-    """Return the events after the last token."""
+    """Return the events after the last token: finish reason, usage and ``[DONE]``."""
     last = {"choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}]}
     usage = {"prompt_tokens": PROMPT_TOKENS, "completion_tokens": completion}
     return [
@@ -63,7 +63,7 @@
 
 
 def whole_body() -> bytes:
-    """Return the body of a complete answer."""
+    """Return the body of an answer that is not streamed."""
     text = "".join(f"t{index} " for index in range(TOKENS))
     usage = {"prompt_tokens": PROMPT_TOKENS, "completion_tokens": TOKENS}
     message = {"role": "assistant", "content": text}
@@ -76,21 +76,21 @@
     """One scripted server.
 
     Attributes:
-        scripts: The script of each call; the last one is repeated.  Without any, all
-            calls are answered correctly.
-        calls: The calls received.
-        closed: Number of streams that were closed.
-        closes: The attempts of which the closing was requested.
+        scripts: The script of each call, in order; the last one is repeated.  Without
+            scripts, all calls are answered correctly.
+        calls: The attempts received, as HTTP requests.
+        closed: Number of streamed responses that the client closed.
+        closes: The attempts that the client requested to close.
         boot: The boot identifier.
-        truth: The status returned for closed attempts; None for an error 500.
+        truth: The status returned for closed attempts; None for an HTTP status 500.
         load: Members that replace those of the load report.
-        tells: Whether the status of closed attempts is derived from `ran`.
-        ran: The attempts that ran.
+        tells: Whether the status of closed attempts is derived from `ran`, not `truth`.
+        ran: The attempts that count as run; tests fill it.
         models: The models that are loaded.
         orders: The orders executed.
         fencing: The largest fencing number received, by model.
         checks_fencing: Whether orders with an old fencing number are refused.
-        order_delay: Orders wait until this event is set.
+        order_delay: An event; orders wait until it is set.
     """
 
     scripts: list[Script] = field(factory=list)
@@ -109,7 +109,7 @@
     order_delay: anyio.Event | None = None
 
     async def handle(self, request: httpx.Request) -> httpx.Response:
-        """Answer one request."""
+        """Answer one request: a load report, an order, a close or an attempt."""
         path = request.url.path
         if path == "/v1/load":
             models = sorted(self.models)
@@ -134,7 +134,7 @@
         return await script(self, request)
 
     def status_of(self, attempt: str) -> dict[str, object]:
-        """Return the status of an attempt, by `ran`."""
+        """Return ``cancelled`` for an attempt in `ran`, otherwise ``never_ran``."""
         if attempt not in self.ran:
             return {"boot": self.boot, "state": "never_ran"}
         return {
@@ -145,7 +145,11 @@
         }
 
     async def execute_order(self, order: dict[str, Any]) -> httpx.Response:
-        """Execute an order, unless its fencing number is checked and old."""
+        """Execute an order.
+
+        With `checks_fencing`, the response is 409 if its fencing number is smaller than
+        the largest one received for the model.
+        """
         if self.order_delay is not None:
             await self.order_delay.wait()
         latest = self.fencing.get(order["model"], 0)
@@ -162,7 +166,7 @@
     def stream(
         self, request: httpx.Request, pieces: list[bytes | Exception | float]
     ) -> httpx.Response:
-        """Return a streamed response with the identifier of the request's attempt."""
+        """Return a streamed response to an attempt, with the attempt's identifier."""
         headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"]}
         headers["Content-Type"] = "text/event-stream"
         return httpx.Response(200, headers=headers, stream=ScriptedBody(self, pieces))
@@ -184,7 +188,7 @@
 
 
 async def good(engine: Engine, request: httpx.Request) -> httpx.Response:
-    """Answer correctly, streamed or complete as requested."""
+    """Answer correctly, as a stream if the request asks for one."""
     if not json.loads(request.content).get("stream"):
         headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"]}
         return httpx.Response(200, headers=headers, content=whole_body())
@@ -194,7 +198,7 @@
 
 
 def broken_after(count: int, error: Exception) -> Script:
-    """Return a script that sends some tokens and then raises an error."""
+    """Return a script that streams `count` tokens and then raises an error."""
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         first = int(request.headers.get("X-Resume-Tokens", "0"))
--- a/tests/backends/test_placement.py
+++ b/tests/backends/test_placement.py
@@ -39,8 +39,8 @@
 @pytest.mark.parametrize(
     ("engines", "order"),
     [
-        pytest.param([], None, id="nobody"),
-        pytest.param([engine("a")], "load a", id="first one"),
+        pytest.param([], None, id="no engines"),
+        pytest.param([engine("a")], "load a", id="not loaded anywhere"),
         pytest.param(
             [engine("a", MODEL), engine("b"), engine("c", domain="d1")],
             "load c",
@@ -50,10 +50,10 @@
         pytest.param(
             [engine("a", MODEL), engine("b", MODEL, usable=False), engine("c")],
             "load c",
-            id="a leaving one does not count",
+            id="an unusable one does not count",
         ),
         pytest.param(
-            [engine("a", MODEL), engine("b", "x", "y")], None, id="no place for it"
+            [engine("a", MODEL), engine("b", "x", "y")], None, id="no engine has room"
         ),
     ],
 )
@@ -63,7 +63,7 @@
 
 
 def test_oscillating_load_loads_no_model() -> None:
-    """The load crosses the threshold every few seconds, and no model is loaded."""
+    """The load crosses the threshold every few seconds; no model must be loaded."""
     placement = Placement(QUICK)
     for second in range(120):
         load = 16 if second % 8 < 6 else 8
@@ -73,7 +73,11 @@
 
 
 def test_lasting_load_orders_one_load_at_a_time() -> None:
-    """All engines stay full: one model is loaded, and no other until it is done."""
+    """All engines that serve the model stay full.
+
+    One more engine is ordered to load it; no second order follows before the model is
+    reported as loaded.
+    """
     placement = Placement(QUICK)
     engines = [engine("a", MODEL, load=16), engine("b", MODEL, load=16)]
     engines += [engine("c"), engine("d")]
@@ -92,9 +96,9 @@
 
 
 def test_an_engine_with_a_pending_unload_does_not_count() -> None:
-    """An earlier holder ordered to unload a model, and the outcome is unknown.
+    """An earlier holder of the lease ordered an unload, and the outcome is unknown.
 
-    The model is loaded on a third engine before any other order.
+    The engine must not count as serving the model, so a third engine must load it.
     """
     engines = [engine("a", MODEL), engine("b", MODEL), engine("c")]
     pending = OrderRow(EngineOrder("b", Action.UNLOAD, MODEL), 1)
@@ -104,7 +108,13 @@
 
 @define
 class Rig:
-    """Two routers that compete for the lease, and three engines."""
+    """Two routers that compete for the lease, and three engines.
+
+    Attributes:
+        table: The table with the lease and the unload orders.
+        servers: The engines by name.
+        holders: The `PlacementHolder` of each router.
+    """
 
     table: MemoryTable
     servers: dict[str, Engine]
@@ -157,11 +167,11 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("checks_fencing", [True, False])
 async def test_a_paused_holder_sends_its_order_late(checks_fencing: bool) -> None:
-    """A holder is paused after checking its lease; its unload order arrives late.
+    """A router is paused after checking its lease; its unload order arrives late.
 
     Another router holds the lease by then.  An engine that checks fencing numbers
-    refuses the order.  Another engine executes it, but the model is loaded on a
-    further engine by then, so two engines still serve it.
+    refuses the order; one that does not executes it.  In both cases at least two
+    engines must still have the model.
     """
     rig = make_rig(checks_fencing)
     old, new = rig.holders
@@ -196,7 +206,7 @@
 
 
 async def deliver_late(rig: Rig, unload: EngineOrder, fencing: int) -> None:
-    """Deliver an unload order that its sender has already given up."""
+    """Deliver an unload order after its sender's timeout."""
     await rig.servers[unload.backend].execute_order(
         {"order": unload.action.value, "model": unload.model, "fencing": fencing}
     )
--- a/tests/backends/test_sockets.py
+++ b/tests/backends/test_sockets.py
@@ -1,4 +1,4 @@
-"""Clients against scripted servers over sockets, with faults at any byte."""
+"""Clients of backend servers over real sockets, with faults in the connection."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Use the real clock, because sockets do not work with the virtual one."""
+    """Use the real clock, because sockets do not work with a virtual clock."""
     return "asyncio"
 
 
@@ -46,9 +46,9 @@
     """A server that runs a script for each request.
 
     Attributes:
-        script: Answers one request.
+        script: Answers one request, or fails to.
         connections: Number of connections accepted.
-        requests: The connection and the attempt of each request.
+        requests: The number of the connection, from 1, and the attempt of each request.
     """
 
     script: Script
@@ -56,7 +56,7 @@
     requests: list[tuple[int, str]] = field(factory=list)
 
     async def serve(self, stream: SocketStream) -> None:
-        """Serve one connection."""
+        """Run the script for each request on a connection until it is closed."""
         self.connections += 1
         number = self.connections
         async with stream:
@@ -85,7 +85,7 @@
 
 
 def answer(attempt: str, body: bytes) -> bytes:
-    """Return a complete response."""
+    """Return a complete HTTP response."""
     return HEAD.format(attempt=attempt, length=len(body)).encode() + body
 
 
@@ -131,7 +131,7 @@
 
 @asynccontextmanager
 async def serving(script: Script) -> AsyncIterator[tuple[Server, Backend]]:
-    """Run a scripted server and yield it with its backend entry."""
+    """Run a scripted server; yield the server and its entry in the document."""
     server = Server(script)
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
@@ -142,7 +142,7 @@
 
 
 async def ask(client: EngineClient, backend: Backend, attempt: str) -> bytes:
-    """Return one streamed answer."""
+    """Return the bytes of one streamed answer."""
     pieces: list[bytes] = []
     call = EngineCall(attempt, b"{}", stream=True)
     await client.stream(backend, call, StreamCheck(), pieces.append)
@@ -207,8 +207,8 @@
 async def test_an_unread_answer_is_never_read_by_the_next(left: str) -> None:
     """An attempt ends before its answer was read completely.
 
-    The next attempt uses a new connection, so that it cannot read the remainder of
-    that answer as its own.
+    The next attempt must use a new connection, because it could read the remainder of
+    the first answer as its own.
     """
 
     async def script(server: Server, stream: SocketStream, attempt: str) -> None:
--- a/tests/backends/test_table.py
+++ b/tests/backends/test_table.py
@@ -50,7 +50,10 @@
 
 
 async def test_a_new_document_updates_the_states() -> None:
-    """A server keeps its state in a new document unless its address changes."""
+    """A server keeps its state in a new document, unless its address changes.
+
+    The state of a server that the document no longer has is dropped.
+    """
     table = make_table(3)
     table.refresh()
     table.states["e0"].heard(LoadReport("b", 1, running=5), 1.0)
@@ -78,7 +81,10 @@
 async def test_a_late_report_is_ignored(
     reports: list[LoadReport], running: int
 ) -> None:
-    """A report with an older sequence number is ignored, unless the boot changed."""
+    """A report with a smaller sequence number must not replace a newer one.
+
+    After a restart, shown by the boot identifier, the numbers start again.
+    """
     table = make_table(1)
     table.refresh()
     state = table.states["e0"]
--- a/tests/routers/kit.py
+++ b/tests/routers/kit.py
@@ -40,13 +40,17 @@
 
 
 def pair(ring: KeyRing | None = None) -> tuple[PeerNetwork, PeerNetwork]:
-    """Return two routers; the second has the first's address as a seed."""
+    """Return two routers with the same key, or the second one with its own keys.
+
+    The second has the first's address as a seed.
+    """
     one = network("a.1")
     return one, network("b.1", (one.membership.me.address,), ring)
 
 
 @asynccontextmanager
 async def running(*networks: PeerNetwork) -> AsyncIterator[None]:
+    """Run routers; fail if the block takes longer than `TEST_TIMEOUT`."""
     with anyio.fail_after(TEST_TIMEOUT):
         async with anyio.create_task_group() as tasks:
             for one in networks:
@@ -56,5 +60,6 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds, checking it every 10 ms."""
     while not condition():  # noqa: ASYNC110 - the views have no event to wait for
         await anyio.sleep(0.01)
--- a/tests/routers/test_envelope.py
+++ b/tests/routers/test_envelope.py
@@ -1,4 +1,4 @@
-"""Envelopes: which are accepted, and for which reason others are refused."""
+"""Envelopes and frames: which are accepted, and why others are refused."""
 
 from __future__ import annotations
 
@@ -85,9 +85,10 @@
 def test_only_messages_to_this_incarnation_are_accepted(
     to: str, address: str, wanted: str
 ) -> None:
-    """A message waits in a socket while its receiver starts a new incarnation.
+    """A message is queued while its receiver starts a new incarnation.
 
-    The new incarnation receives it on the same address and must refuse it.
+    The new incarnation has the same address and must refuse the message.  A message
+    that names no incarnation is accepted only at the address that it names.
     """
     sender, receiver = make_pair()
     assert reason(receiver, sender.seal(BODY, to, address)) == wanted
@@ -99,10 +100,10 @@
 
 
 def test_replayed_messages_are_refused() -> None:
-    """Somebody on the network records messages and sends them again.
+    """Someone on the network records messages and sends them again.
 
-    Delayed and reordered messages are accepted; one that was accepted before, or is
-    older than the replay window, is refused.
+    A message that was accepted before, or is older than the replay window, is refused.
+    A reordered one within the window is accepted.
     """
     sender, receiver = make_pair()
     messages = [sender.seal(BODY, "b.1", THERE) for _ in range(REPLAY_WINDOW + 3)]
@@ -139,8 +140,8 @@
 ) -> None:
     """Operators add a new key to one router after another while all run.
 
-    Routers with and without it can communicate once one message has shown which keys
-    the other has.  A message with a removed key is refused.
+    The sender learns the receiver's keys from one accepted message, and then uses a
+    key that both have.  A message with a removed key is refused.
     """
     sender, receiver = make_pair(sender_keys, receiver_keys)
     for _ in range(2):
@@ -195,7 +196,8 @@
 def test_a_faulty_peer_cannot_end_the_receiving_task(body: bytes) -> None:
     """A faulty peer with the right key sends malformed messages.
 
-    Each is either decoded or refused; no other exception may be raised.
+    Each must be decoded or refused as malformed; another exception would end the
+    receiving task.
     """
     try:
         assert isinstance(decode(body), Frame)
--- a/tests/routers/test_fake.py
+++ b/tests/routers/test_fake.py
@@ -1,4 +1,4 @@
-"""The in-memory network, and requests and answers over it."""
+"""Requests and answers over the in-memory network, with and without faults."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 
 
 async def ask_once(change: str, replies: list[TransferGiven]) -> None:
-    """Send one request in a network with a fault, and store the answer."""
+    """Send one request under the fault `change`, and append its answer to `replies`."""
     async with anyio.create_task_group() as tasks:
         network = FakeNetwork(tasks)
         sender, receiver = network.join("a.1"), network.join("b.1")
         receiver.handle(TransferRequest, fail if change == "failing" else answer)
-        disturb(network, sender, change)
+        add_fault(network, sender, change)
         replies.append(await sender.ask("b.1", REQUEST, TransferGiven, 1.0))
 
 
-def disturb(network: FakeNetwork, sender: FakeLink, change: str) -> None:
-    """Add a fault to the network."""
+def add_fault(network: FakeNetwork, sender: FakeLink, change: str) -> None:
+    """Add the fault `change` to the network; another value adds none."""
     if change == "cut":
         network.cut("a.1", "b.1")
     if change == "doubled":
         network.copies = 2
-    if change == "dead":
+    if change == "left":
         network.leave("b.1")
     if change == "slow":
         network.delay = 2.0
@@ -67,7 +67,7 @@
     assert replies == [TransferGiven("acme", "t1", 5)]
 
 
-@pytest.mark.parametrize("change", ["cut", "dead", "slow", "lost answer", "failing"])
+@pytest.mark.parametrize("change", ["cut", "left", "slow", "lost answer", "failing"])
 def test_a_request_without_an_answer_in_time_fails(change: str) -> None:
     with pytest.raises(BaseExceptionGroup) as raised:
         virtual(ask_once, change, [])
--- a/tests/routers/test_keys.py
+++ b/tests/routers/test_keys.py
@@ -54,7 +54,7 @@
 def test_the_file_is_read_again_when_it_changes(tmp_path: Path) -> None:
     """Operators add a key to the file while the router runs.
 
-    While the file is incomplete or missing, the router keeps the old keys.
+    While the file is incomplete or missing, the router must keep the old keys.
     """
     path = tmp_path / "keys"
     path.write_text(ONE, encoding="ascii")
--- a/tests/routers/test_links.py
+++ b/tests/routers/test_links.py
@@ -1,4 +1,4 @@
-"""Links to peers that receive nothing."""
+"""Links to peers that receive no messages."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 MESSAGE = b"x" * 100
 BURST = 4 * QUEUE_SIZE
 WAIT = 0.5
-"""Seconds; with the fault a message waited for 0.1 to 2 seconds."""
+"""Time for the link to send, in seconds; a blocking send would wait for 0.1 to 2."""
 
 
 @pytest.mark.parametrize("backend", ["asyncio", "trio"])
 def test_a_crashed_peer_ends_no_other_task(backend: str) -> None:
-    """A router keeps running after another one was killed.
+    """A router is killed, and another one keeps sending to it.
 
-    Heartbeats to the killed router fill its socket's buffer.  If the next send
-    waited and timed out, pynng's bare CancelledError would end every task of the
-    daemon.  In a deployment of three routers, both others ended half a minute after
-    one was killed, without a signal or an error.
+    Heartbeats to the killed router fill the socket's buffer.  If the next send waited
+    and timed out, pynng's bare CancelledError would end every task of the sender: of
+    three routers, the other two would exit half a minute after one is killed, without
+    a signal or an error message.
     """
     survived = False
 
--- a/tests/routers/test_listing.py
+++ b/tests/routers/test_listing.py
@@ -16,7 +16,10 @@
 
 
 def test_routers_find_each_other_by_the_list() -> None:
-    """Two routers learn of each other from a list that also has an engine."""
+    """Two routers without seeds must find each other by the list, ignoring its engine.
+
+    When one leaves, the other must report its status as leaving.
+    """
 
     def entry(name: str, address: str, role: str) -> types.SimpleNamespace:
         return types.SimpleNamespace(
@@ -47,7 +50,10 @@
 
 
 def test_the_list_is_read_again_soon_after_a_failure() -> None:
-    """A failed first read must not leave a router without peers for seconds."""
+    """After a failed first read the next one follows within 0.2 seconds.
+
+    Otherwise a starting router would have no peers for the normal interval of 5 s.
+    """
     one = network("a.1")
     reads: list[float] = []
 
@@ -72,7 +78,10 @@
 
 
 def test_status_changes_are_logged(caplog: pytest.LogCaptureFixture) -> None:
-    """The log must show why a router was, or was not, recovered."""
+    """Each change of a router's status is logged once, and a repeated update is not.
+
+    Operators need these lines to find why a router was, or was not, recovered.
+    """
     one = network("a.1")
 
     async def run() -> None:
--- a/tests/routers/test_network.py
+++ b/tests/routers/test_network.py
@@ -1,4 +1,4 @@
-"""Routers on real sockets."""
+"""Routers on real sockets: discovery, refused messages, key rotation and faults."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def push(address: str, *messages: bytes) -> None:
-    """Send raw messages, as anyone on the network can."""
+    """Send raw bytes as messages, as anyone who can reach the port may do."""
     with pynng.Push0(dial=f"tcp://{address}", block_on_dial=True) as sender:
         for message in messages:
             sender.send(message)
@@ -83,8 +83,9 @@
 ) -> None:
     """All routers start at the same time after a power failure, or only this one.
 
-    Alone it starts at once.  Otherwise it checks for 1.5 seconds who is alive, and
-    then waits at random up to 1/30 of a second per router.
+    If at least half of the listed routers are alive, it starts at once.  Otherwise it
+    checks for 1.5 seconds, and then waits for up to 1/30 of a second per listed router,
+    at random, so that the routers do not all read from the platform at once.
     """
 
     async def run() -> None:
@@ -109,7 +110,7 @@
 def test_malformed_messages_do_not_stop_the_receiver() -> None:
     """Someone who can reach the port sends malformed and oversized messages.
 
-    The router counts them and continues to communicate with its peers.
+    The router must count them and continue to communicate with its peers.
     """
 
     async def run() -> None:
@@ -130,9 +131,9 @@
 
 
 def test_a_router_with_a_wrong_key_is_refused() -> None:
-    """One VM was set up with a wrong key.
+    """One of two VMs has a wrong key.
 
-    Neither router considers the other alive, and the refusals are counted.
+    The refusals must be counted, and neither router may mark the other as alive.
     """
 
     async def run() -> None:
@@ -149,7 +150,7 @@
 ) -> None:
     """Operators add a new key to both routers and then remove the old one.
 
-    Both routers receive messages after each step and are alive to each other.
+    After each step both routers must still receive messages.
     """
     monkeypatch.setattr(_network, "KEYS_INTERVAL", 0.02)
     old, new = "k1:" + "01" * 32, "k2:" + "02" * 32
@@ -183,8 +184,8 @@
 def test_a_message_to_an_earlier_incarnation_is_refused() -> None:
     """A router is sealed while a peer's message to it is under way.
 
-    It continues as a new incarnation on the same address, which refuses the message.
-    The peer then learns of the new incarnation and marks the old one as gone.
+    The router continues as a new incarnation on the same address, which must refuse the
+    message.  The peer then learns of the new incarnation and marks the old one as gone.
     """
 
     async def run() -> None:
@@ -204,7 +205,7 @@
 
 
 def test_a_replayed_message_is_handled_once() -> None:
-    """Someone on the network records a message and sends it again."""
+    """Someone on the network records a message and sends it three times."""
     received = []
 
     async def receive(sender: RouterId, message: PeerMessage) -> None:
@@ -229,7 +230,7 @@
 def test_running_handlers_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     """A peer sends messages faster than the handlers finish.
 
-    Messages above the limit are dropped and counted, and heartbeats continue.
+    Messages above the limit must be refused and counted, and heartbeats continue.
     """
     monkeypatch.setattr(_network, "MAX_HANDLERS", 2)
 
@@ -258,8 +259,8 @@
 def test_a_crashed_peer_does_not_end_the_others(backend: str) -> None:
     """One of three routers crashes, and the others continue to send to it.
 
-    Its queue fills up and further messages are dropped.  The other two no longer
-    consider it alive, and they still receive each other's messages.
+    The queue to the crashed router fills up, and further messages are dropped.  The
+    other two must mark it as not alive and still receive each other's messages.
     """
 
     async def run() -> None:
--- a/tests/routers/test_wire.py
+++ b/tests/routers/test_wire.py
@@ -19,7 +19,7 @@
 
 
 def example_of(kind: typing.Any) -> typing.Any:
-    """Return a value of a type with all nested fields set."""
+    """Return a value of a type, with all fields of nested classes set."""
     if kind in EXAMPLES:
         return EXAMPLES[kind]
     if attrs.has(kind):
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("name", sorted(KINDS))
 def test_every_kind_is_decoded_with_all_fields_set(name: str) -> None:
-    """Guards against kinds that every receiver refuses as malformed."""
+    """Guards against a kind of message that every receiver refuses as malformed."""
     frame = Frame(Purpose.ANSWER, 1, example_of(KINDS[name]))
     assert decode(encode(frame)) == frame
 
@@ -83,7 +83,7 @@
 def test_a_kind_that_cannot_be_decoded_is_rejected(
     kind: type[PeerMessage], error: type[Exception]
 ) -> None:
-    """Guards against kinds that fail only when a value is sent."""
+    """Guards against a kind that causes an error only when a message is sent."""
     with pytest.raises(error):
         peer_message("unreadable")(kind)
     assert "unreadable" not in KINDS
