--- a/ebonyhold/callers/__init__.py
+++ b/ebonyhold/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Callers: the HTTP interface that they use, and everything it refuses."""
+"""The HTTP interface for callers, and the refusals that it returns."""
 
 from ebonyhold.callers._app import CallersApp
 from ebonyhold.callers._codes import (
--- a/ebonyhold/callers/_app.py
+++ b/ebonyhold/callers/_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application that callers talk to."""
+"""The ASGI application that answers the requests of callers."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     Ran,
 )
 from ebonyhold.callers._endpoints import Call, endpoints
-from ebonyhold.callers._flight import LAST_PATIENCE, Flight, stopped
+from ebonyhold.callers._flight import LAST_PATIENCE, OpenRequest, stop_refusal
 from ebonyhold.callers._gate import Gate
 from ebonyhold.callers._keys import KeyRing
 from ebonyhold.callers._refusals import SOON, Refusal, refusal_for
-from ebonyhold.callers._watched import Watched, refuse
+from ebonyhold.callers._response import Response, refuse
 from ebonyhold.coordination import RetryBudget
 from ebonyhold.document import BackendKind
 from ebonyhold.exceptions import EbonyholdError
@@ -50,21 +50,26 @@
 logger = logging.getLogger(__name__)
 
 INTERRUPT_WITHIN: Seconds = LAST_PATIENCE + 3.0
-"""How long requests have to say that they end, when a stop cannot wait longer."""
+"""How long `CallersApp.interrupt` waits for the interrupted requests to end."""
 
 
 @define
 class CallersApp:
-    """Answers callers; the daemon serves it with hypercorn.
+    """Answers the requests of callers; the daemon serves it with hypercorn.
 
     Attributes:
-        money: Permits and bills; the daemon replaces it with each incarnation.
-        fleet: The document in force and who is leaving.
-        backends: The backend servers.
+        money: Issues permits and files bills; the daemon replaces it when a new
+            incarnation starts.
+        fleet: The document in force, its version, and the servers that are leaving.
+        backends: The backend servers and their state.
         may_serve: Whether the configuration may be served.
         stopping: Whether new requests are refused because the router stops.
-        metrics: Counts requests, attempts and times.
-        flights: Requests that were admitted and are being answered.
+        metrics: Counts requests and attempts, and measures times.
+        open_requests: Requests that passed `check_accepting` and have not ended,
+            also those that wait in the queue of a gate.
+        keys: The API keys of the workspaces.
+        gates: The gate of each model and plain service that was requested.
+        retries: The budget of attempts that may repeat work, shared by all requests.
     """
 
     money: Money
@@ -73,65 +78,71 @@
     may_serve: Callable[[], bool] = field(default=lambda: True)
     metrics: Metrics = field(factory=Metrics)
     stopping: bool = False
-    flights: set[Flight] = field(factory=set)
+    open_requests: set[OpenRequest] = field(factory=set)
     keys: KeyRing = field(init=False)
     gates: dict[tuple[BackendKind, str], Gate] = field(factory=dict)
     retries: RetryBudget = field(factory=RetryBudget)
 
     def __attrs_post_init__(self) -> None:
-        """Connect the parts."""
+        """Create the key ring, and call `pump` when a backend server changes."""
         self.keys = KeyRing(self.fleet)
         self.backends.changed = self.pump
 
     @property
     def active(self) -> int:
-        """How many admitted requests are being answered."""
-        return len(self.flights)
+        """The number of accepted requests that have not ended."""
+        return len(self.open_requests)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one ASGI scope."""
+        """Answer one ASGI scope; types other than HTTP and lifespan are ignored."""
         if scope["type"] == "lifespan":
             await answer_lifespan(receive, send)
         elif scope["type"] == "http":
             await self.answer(Request(scope, receive), send)
 
     async def answer(self, request: Request, send: Send) -> None:
-        """Answer one request, if only with a refusal."""
-        watched = Watched(send)
+        """Answer one request, turn each error into a refusal, and count the request.
+
+        Nothing is sent if the caller has closed the connection.
+
+        Raises:
+            Exception: An unexpected error came after the response had started.
+        """
+        response = Response(send)
         ended = "complete"
         try:
-            await self.answer_or_raise(request, watched)
+            await self.answer_or_raise(request, response)
         except CallerGoneError:
             ended = "caller_gone"
         except Refusal as refusal:
             ended = refusal.reason.code
-            await refuse(refusal, request, watched)
+            await refuse(refusal, request, response)
         except Exception:
             ended = "internal"
-            logger.exception("request failed", extra={"request": watched.request})
-            if watched.started:
-                # A second status cannot follow.  Leaving the answer without its
-                # end makes the listener cut the connection, which no caller
-                # takes for the end of an answer.
+            logger.exception("request failed", extra={"request": response.request})
+            if response.started:
+                # A second status cannot be sent.  The listener closes the
+                # connection of a response without an end, so that the caller does
+                # not take the response for complete.
                 raise
-            await refuse(Refusal(INTERNAL), request, watched)
+            await refuse(Refusal(INTERNAL), request, response)
         finally:
-            self.count(request, watched, ended)
+            self.count(request, response, ended)
 
-    async def answer_or_raise(self, request: Request, send: Watched) -> None:
-        """Answer one request within its span.
+    async def answer_or_raise(self, request: Request, send: Response) -> None:
+        """Answer one request within its tracing span.
 
         Raises:
-            Refusal: It is refused.
-            CallerGoneError: Nobody is there to be answered.
+            Refusal: The request is refused.
+            CallerGoneError: The caller closed the connection.
         """
         try:
             with hop("caller", context_from(request.headers), SpanKind.SERVER) as span:
                 identity = read_identity(request.headers)
                 send.request = identity.request
                 span.set_attribute("request", identity.request)
-                self.check_open()
-                await self.fly(request, identity, send)
+                self.check_accepting()
+                await self.handle_interruptibly(request, identity, send)
         except BodyTooLargeError as error:
             raise Refusal(BODY_TOO_LARGE, str(error)) from error
         except CallerGoneError:
@@ -139,60 +150,71 @@
         except EbonyholdError as error:
             raise refusal_for(error) from error
 
-    def count(self, request: Request, send: Watched, ended: str) -> None:
-        """Count a request that has ended."""
+    def count(self, request: Request, send: Response, ended: str) -> None:
+        """Count an ended request by kind and result.
+
+        For a complete answer, also observe the time until its response started.
+        """
         kind = "service" if request.path.startswith("/services/") else "chat"
         self.metrics.requests.labels(kind, ended).inc()
         if send.first is not None and ended == "complete":
             self.metrics.first_token.observe(send.first - send.arrived)
 
-    async def fly(self, request: Request, identity: Identity, send: Watched) -> None:
-        """Handle an admitted request in a way that a stop can end.
+    async def handle_interruptibly(
+        self, request: Request, identity: Identity, send: Response
+    ) -> None:
+        """Handle an accepted request so that `interrupt` can end it.
 
         Raises:
-            EbonyholdError: The request is refused.
+            EbonyholdError: The request is refused, or `interrupt` cancelled it
+                before any of it ran.
         """
-        flight = Flight(send)
-        self.flights.add(flight)
+        open_request = OpenRequest(send)
+        self.open_requests.add(open_request)
         try:
-            with flight.scope:
-                await self.handle(request, identity, send, flight)
-            if flight.scope.cancelled_caught:
-                raise stopped(Ran.NO)
+            with open_request.scope:
+                await self.handle(request, identity, send, open_request)
+            if open_request.scope.cancelled_caught:
+                raise stop_refusal(Ran.NO)
         finally:
-            self.flights.discard(flight)
-            flight.ended.set()
+            self.open_requests.discard(open_request)
+            open_request.ended.set()
 
     async def interrupt(self) -> None:
-        """End all requests under way with an explicit refusal or error event.
+        """End all open requests with an explicit refusal or error event.
 
-        It is for the end of a stop's patience.  A request that is left out would
-        run on while the bills are filed and the grants returned, until the
-        listener's end cuts it: its caller sees a bare 500 or no answer, hears
-        nothing of whether it ran, and its bill is left to be recovered.
+        Called when a stop can wait no longer; returns when all have ended, at the
+        latest after `INTERRUPT_WITHIN`.  A request that goes on while bills are filed
+        and grants returned is cut when the listener closes: its caller gets a bare
+        500 or no answer and does not learn whether it ran, and its bill has to be
+        recovered.
         """
-        flights = tuple(self.flights)
-        for flight in flights:
-            flight.interrupt()
+        open_requests = tuple(self.open_requests)
+        for open_request in open_requests:
+            open_request.interrupt()
         with anyio.move_on_after(INTERRUPT_WITHIN):
-            for flight in flights:
-                await flight.ended.wait()
+            for open_request in open_requests:
+                await open_request.ended.wait()
 
-    def check_open(self) -> None:
-        """Refuse work while there is no configuration, or at the end.
+    def check_accepting(self) -> None:
+        """Check that the router accepts new requests.
 
         Raises:
-            Refusal: The router takes no requests now.
+            Refusal: The router is stopping, or has no configuration that it may serve.
         """
         if self.stopping:
-            raise stopped(Ran.NO)
+            raise stop_refusal(Ran.NO)
         if self.fleet.version == 0 or not self.may_serve():
             raise Refusal(NOT_READY, retry_after=SOON)
 
     async def handle(
-        self, request: Request, identity: Identity, send: Send, flight: Flight
+        self,
+        request: Request,
+        identity: Identity,
+        send: Send,
+        open_request: OpenRequest,
     ) -> None:
-        """Find the endpoint and let it answer.
+        """Find the endpoint, authenticate the caller and call the handler.
 
         Raises:
             EbonyholdError: The request is refused.
@@ -203,12 +225,12 @@
                 raise Refusal(METHOD_NOT_ALLOWED, "use " + ", ".join(found.methods))
             raise Refusal(NOT_FOUND)
         caller = self.keys.caller(request.bearer())
-        call = Call(self, request, identity, caller, flight)
+        call = Call(self, request, identity, caller, open_request)
         request.parameters = found.parameters
         await found.endpoint.handler(call, request, send)
 
     def gate(self, kind: BackendKind, name: str) -> Gate:
-        """Return the gate of a model or a plain service."""
+        """Return the gate of a model or a plain service, created at first use."""
         if (kind, name) not in self.gates:
             self.gates[kind, name] = Gate(
                 lambda: self.backends.free(kind, name),
@@ -217,6 +239,6 @@
         return self.gates[kind, name]
 
     def pump(self) -> None:
-        """Let waiting requests through after something has changed."""
+        """Admit or refuse waiting requests after a change of servers or free slots."""
         for gate in self.gates.values():
             gate.pump()
--- a/ebonyhold/callers/_ask.py
+++ b/ebonyhold/callers/_ask.py
@@ -1,4 +1,4 @@
-"""Reading a chat request: once, and only what the router must know."""
+"""Parses the headers and the body of requests, as far as the router needs them."""
 
 from __future__ import annotations
 
@@ -29,14 +29,23 @@
 PRIORITY_HEADER = "x-priority"
 DEADLINE_HEADER = "x-deadline-ms"
 
-BATCH_STEP = 100
-"""How much less urgent a batch request is than a live one of its model."""
+BATCH_PRIORITY_OFFSET = 100
+"""How much lower the priority of a batch request is than of a live one."""
 
-LIVE_PATIENCE: Seconds = 5.0
-BATCH_PATIENCE: Seconds = 60.0
-MOST_PATIENCE: Seconds = 600.0
-LIVE_SHED: Seconds = 0.25
-BATCH_SHED: Seconds = 10.0
+LIVE_WAIT: Seconds = 5.0
+BATCH_WAIT: Seconds = 60.0
+"""How long a request without a deadline may wait to start."""
+
+MAX_WAIT: Seconds = 600.0
+"""Upper limit of the deadline that a caller may name."""
+
+LIVE_SHED_AFTER: Seconds = 0.25
+BATCH_SHED_AFTER: Seconds = 10.0
+"""How long a request without a deadline may wait while the queue is standing.
+
+The queue is standing once it has not been empty for longer than
+`AdmissionQueue.standing_after`.
+"""
 
 MESSAGE_OVERHEAD: Tokens = 16
 """Tokens that a chat template may add around one message."""
@@ -47,7 +56,12 @@
 
 @frozen
 class Identity:
-    """A request's identifier and whether its caller chose it."""
+    """The identifier of a request.
+
+    Attributes:
+        request: The caller's idempotency key, or a random identifier.
+        keyed: Whether it is the caller's idempotency key.
+    """
 
     request: RequestId
     keyed: bool
@@ -55,13 +69,13 @@
 
 @frozen
 class Urgency:
-    """How urgent a request is, and how long it may wait to begin.
+    """The priority of a request, and how long it may wait to start.
 
     Attributes:
-        priority: Larger is served first.
+        priority: Requests with a larger priority start first.
         patience: The longest wait, in seconds.
-        shed_after: The longest wait in a queue that is standing, in seconds; a
-            caller that names a deadline is waited for as long as it says.
+        shed_after: The longest wait while the queue is standing, in seconds;
+            infinite if the caller names a deadline.
     """
 
     priority: int
@@ -70,19 +84,19 @@
 
 
 @frozen
-class ChatAsk:
-    """A chat request, read and bounded.
+class ChatRequest:
+    """A parsed chat request with upper bounds of its tokens.
 
     Attributes:
         route: The model's route.
-        body: The JSON for the engine.
-        digest: SHA-256 of the caller's body.
-        stream: Whether the caller wants events.
-        usage_wanted: Whether it wants the usage event among them.
-        most: The bound on the answer, in tokens.
-        bound: The bound on the prompt, in tokens.
-        words: The words of the prompt.
-        hashes: The hashes of the prompt's prefix.
+        body: The JSON body for the engine.
+        digest: SHA-256 of the caller's body, in hexadecimal.
+        stream: Whether the caller wants a stream of events.
+        usage_wanted: Whether the caller wants the usage event in the stream.
+        max_output: Upper bound of the answer, in tokens.
+        max_prompt: Upper bound of the prompt, in tokens.
+        word_count: Number of words of the prompt, as an estimate of its tokens.
+        hashes: The hashes of the prompt's prefixes.
     """
 
     route: ModelRoute
@@ -90,22 +104,22 @@
     digest: str
     stream: bool
     usage_wanted: bool
-    most: Tokens
-    bound: Tokens
-    words: Tokens
+    max_output: Tokens
+    max_prompt: Tokens
+    word_count: Tokens
     hashes: tuple[str, ...]
 
     @property
     def hold(self) -> Tokens:
-        """The most the request can cost, in tokens."""
-        return self.bound + self.most
+        """Upper bound of the cost of the request, in tokens: prompt and answer."""
+        return self.max_prompt + self.max_output
 
 
 def read_identity(headers: Mapping[str, str]) -> Identity:
-    """Return the request's identifier.
+    """Return the idempotency key as the identifier, or a random one without a key.
 
     Raises:
-        Refusal: The caller's idempotency key has a form that is not allowed.
+        Refusal: The idempotency key doesn't match `KEY_FORM`.
     """
     key = headers.get(KEY_HEADER)
     if key is None:
@@ -116,10 +130,14 @@
 
 
 def read_urgency(headers: Mapping[str, str], priority: int) -> Urgency:
-    """Return how urgent a request is.
+    """Return the priority of a request and how long it may wait to start.
+
+    Args:
+        headers: The request's headers.
+        priority: The priority of a live request.
 
     Raises:
-        Refusal: A header has a value that is not allowed.
+        Refusal: X-Priority or X-Deadline-Ms has an invalid value.
     """
     word = headers.get(PRIORITY_HEADER, "live")
     if word not in ("live", "batch"):
@@ -129,32 +147,33 @@
     batch = word == "batch"
     given = headers.get(DEADLINE_HEADER)
     if batch:
-        usual = Urgency(priority - BATCH_STEP, BATCH_PATIENCE, BATCH_SHED)
+        usual = Urgency(priority - BATCH_PRIORITY_OFFSET, BATCH_WAIT, BATCH_SHED_AFTER)
     else:
-        usual = Urgency(priority, LIVE_PATIENCE, LIVE_SHED)
+        usual = Urgency(priority, LIVE_WAIT, LIVE_SHED_AFTER)
     if given is None:
         return usual
     return Urgency(usual.priority, read_deadline(given))
 
 
 def read_deadline(given: str) -> Seconds:
-    """Return a deadline in seconds from now.
+    """Convert X-Deadline-Ms to seconds from now, at most `MAX_WAIT`.
 
     Raises:
-        Refusal: It is no number of milliseconds.
+        Refusal: The value is not a whole number of at most 9 digits.
     """
     if not given.isascii() or not given.isdigit() or len(given) > 9:
         raise Refusal(
             PARAMETER_INVALID, "X-Deadline-Ms is a whole number", param="X-Deadline-Ms"
         )
-    return min(MOST_PATIENCE, int(given) / 1000)
+    return min(MAX_WAIT, int(given) / 1000)
 
 
-def read_chat(body: bytes, fleet: FleetView) -> ChatAsk:
-    """Read a chat request.
+def read_chat(body: bytes, fleet: FleetView) -> ChatRequest:
+    """Parse the body of a chat request.
 
     Raises:
-        Refusal: It cannot be served as it is.
+        Refusal: The body is malformed, a parameter is invalid, or the model is
+            unknown.
     """
     value = read_object(body)
     model = value.get("model")
@@ -170,15 +189,15 @@
         raise Refusal(PARAMETER_INVALID, param="stream_options")
     if value.get("n") not in (None, 1):
         raise Refusal(PARAMETER_INVALID, "n is 1", param="n")
-    most = read_most(value, route)
+    max_tokens = read_max_tokens(value, route)
     words = [word for text in texts for word in text.split()]
-    return ChatAsk(
+    return ChatRequest(
         route,
-        engine_body(value, most, stream),
+        engine_body(value, max_tokens, stream),
         hashlib.sha256(body).hexdigest(),
         stream,
         read_flag(options, "include_usage"),
-        most,
+        max_tokens,
         prompt_bound(body, value, texts),
         len(words),
         prefix_hashes(words),
@@ -189,7 +208,7 @@
     """Decode a JSON object.
 
     Raises:
-        Refusal: It is none, or nested beyond reason.
+        Refusal: The body is not a JSON object, or is nested too deeply to decode.
     """
     try:
         value = json.loads(body)
@@ -201,10 +220,10 @@
 
 
 def read_flag(value: Mapping[str, Any], name: str) -> bool:
-    """Return a true-or-false parameter; missing is false.
+    """Return a boolean parameter; False if it is missing or null.
 
     Raises:
-        Refusal: It is neither.
+        Refusal: The parameter is not a boolean.
     """
     flag = value.get(name)
     if flag is None:
@@ -214,30 +233,32 @@
     return flag
 
 
-def read_most(value: Mapping[str, Any], route: ModelRoute) -> Tokens:
-    """Return the bound on the answer's tokens.
+def read_max_tokens(value: Mapping[str, Any], route: ModelRoute) -> Tokens:
+    """Return the upper bound of the answer's tokens.
+
+    This is ``max_completion_tokens``, else ``max_tokens``, else the route's default.
 
     Raises:
-        Refusal: The caller's own bound is not allowed.
+        Refusal: The caller's value is not a whole number from 1 to the route's limit.
     """
     name = "max_completion_tokens"
     if value.get(name) is None:
         name = "max_tokens"
-    most = value.get(name)
-    if most is None:
+    max_tokens = value.get(name)
+    if max_tokens is None:
         return route.default_tokens
-    if type(most) is not int or not 1 <= most <= route.most_tokens:
+    if type(max_tokens) is not int or not 1 <= max_tokens <= route.most_tokens:
         raise Refusal(
             PARAMETER_INVALID, f"{name} is from 1 to {route.most_tokens}", param=name
         )
-    return most
+    return max_tokens
 
 
 def message_texts(messages: object) -> Iterator[str]:
-    """Give the texts of all messages.
+    """Yield the texts of all messages; contents of other types are skipped.
 
     Raises:
-        Refusal: The messages have no such form.
+        Refusal: The messages are not a list of at least one object.
     """
     if not isinstance(messages, list) or not messages:
         raise Refusal(PARAMETER_INVALID, "messages is a list", param="messages")
@@ -252,18 +273,18 @@
 
 
 def part_texts(parts: list[object]) -> Iterator[str]:
-    """Give the texts of a message that comes in parts."""
+    """Yield the texts of a content that is a list; parts without text are skipped."""
     for part in parts:
         if isinstance(part, dict) and isinstance(part.get("text"), str):
             yield part["text"]
 
 
 def prompt_bound(body: bytes, value: Mapping[str, Any], texts: list[str]) -> Tokens:
-    """Return an upper bound on the prompt's tokens.
+    """Return an upper bound of the prompt's tokens.
 
-    A token is at least one byte of UTF-8.  A prompt of plain messages is
-    bounded by its texts and what a template adds; anything else, such as tools
-    or images, by the whole body.
+    A token is at least one byte of UTF-8.  The bound of plain messages is the bytes
+    of their texts and the overheads of a chat template; the bound of any other
+    request, such as one with tools or images, is the bytes of its whole body.
     """
     plain = value.keys() <= PLAIN and all(
         isinstance(message.get("content"), str) and message.keys() <= PLAIN_MESSAGE
@@ -276,6 +297,8 @@
 
 
 PLAIN_MESSAGE = frozenset({"role", "content"})
+"""Fields of a message that has text only."""
+
 PLAIN = frozenset(
     {
         "model",
@@ -294,13 +317,16 @@
         "frequency_penalty",
     }
 )
-"""Parameters that add nothing to a prompt."""
+"""Parameters that add no tokens to a prompt besides those of `messages`."""
 
 
-def engine_body(value: dict[str, Any], most: Tokens, stream: bool) -> bytes:
-    """Return the body for the engine: bounded, and with the usage asked for."""
+def engine_body(value: dict[str, Any], max_tokens: Tokens, stream: bool) -> bytes:
+    """Return the body for the engine.
+
+    It has the bound of the answer's tokens; a stream also requests the usage event.
+    """
     changed = {key: item for key, item in value.items() if key not in REPLACED}
-    changed["max_tokens"] = most
+    changed["max_tokens"] = max_tokens
     if stream:
         options = value.get("stream_options") or {}
         changed["stream_options"] = {**options, "include_usage": True}
@@ -308,3 +334,4 @@
 
 
 REPLACED = frozenset({"max_tokens", "max_completion_tokens", "stream_options"})
+"""Parameters of the caller that `engine_body` leaves out or sets itself."""
--- a/ebonyhold/callers/_chat.py
+++ b/ebonyhold/callers/_chat.py
@@ -1,4 +1,4 @@
-"""Answering a chat request, streamed or whole."""
+"""Answers chat requests, with a whole answer or a stream of events."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 
 from ebonyhold._asgi import Request, Send, StreamingResponse, header, send_body
 from ebonyhold.backends import Answer, BackendState, EngineCall
-from ebonyhold.callers._caller import until_gone
 from ebonyhold.callers._codes import (
     ANSWER_INCOMPLETE,
     BACKEND_FAILED,
     CALLER_TOO_SLOW,
     Ran,
 )
-from ebonyhold.callers._flight import last_moment, stopped
+from ebonyhold.callers._disconnect import run_until_disconnect
+from ebonyhold.callers._flight import stop_deadline, stop_refusal
 from ebonyhold.callers._pipe import Pipe
 from ebonyhold.callers._refusals import Refusal, refusal_for
-from ebonyhold.callers._run import ChatRun, ReplayedError, read_whole
+from ebonyhold.callers._run import ChatRun, ReplayedError, read_answer_usage
 from ebonyhold.coordination import KeptAnswer
 from ebonyhold.types import RequestId, Seconds
 
 REQUEST_HEADER = "x-request-id"
 EVENT_STREAM = "text/event-stream; charset=utf-8"
 BASE64_MARK = "base64:"
-"""Stands before the content type of a kept answer that is no text."""
+"""Prefix of the content type of a stored answer whose body is not UTF-8."""
 
 SLOW_GRACE: Seconds = 5.0
-"""How long a caller that is too slow has to take the error event."""
+"""How long a caller that is too slow has to read the error event."""
 
 
 @define
 class WholeChat:
-    """Answers a chat request whole.
+    """Answers a chat request with a whole answer, without a stream.
 
     Attributes:
-        run: The request.
-        answer: The engine's answer, once it is there.
-        producing: Cancels the engine's side.
+        run: Runs the attempts of the request.
+        answer: The engine's answer, once it is complete.
+        producing: Cancels the attempts.
     """
 
     run: ChatRun
@@ -47,11 +47,13 @@
     producing: anyio.CancelScope = field(factory=anyio.CancelScope)
 
     def interrupt(self) -> None:
-        """End the request soon, unless its answer is there by then."""
-        self.producing.deadline = last_moment()
+        """Cancel the attempts at `stop_deadline`, if they have not ended by then."""
+        self.producing.deadline = stop_deadline()
 
     async def respond(self, request: Request, send: Send) -> None:
-        """Run the request and send its answer.
+        """Run the request, settle it, and send its answer.
+
+        Nothing is sent if the caller has closed the connection.
 
         Raises:
             Refusal: There is no answer.
@@ -60,7 +62,7 @@
         gone = False
         ran = Ran.UNKNOWN
         try:
-            gone = await until_gone(request, self.produce)
+            gone = await run_until_disconnect(request, self.produce)
         except Exception as error:
             failure = error
         finally:
@@ -68,7 +70,7 @@
         if gone:
             return
         if self.producing.cancelled_caught:
-            raise stopped(ran)
+            raise stop_refusal(ran)
         if failure is not None:
             await answer_failure(failure, ran, self.run.request, send)
         elif self.answer is not None:
@@ -81,17 +83,18 @@
             )
 
     async def produce(self) -> None:
-        """Get the answer from an engine."""
+        """Make attempts until one gives the answer or `producing` is cancelled."""
         with self.producing:
             await self.run.run(self.dispatch)
         if self.producing.cancelled_caught:
-            # The caller has got nothing, and it was not the caller who gave up.
-            self.run.given_up = False
+            # The router's stop ended the attempt, not the caller, who got nothing:
+            # the caller doesn't pay for what the engine ran.
+            self.run.aborted = False
 
     async def dispatch(self, state: BackendState, call: EngineCall) -> None:
-        """Make one attempt."""
+        """Make one attempt and store its answer and usage."""
         answer = await self.run.backends.engines.whole(state.backend, call)
-        self.run.usage = read_whole(answer.body)
+        self.run.usage = read_answer_usage(answer.body)
         self.answer = answer
 
 
@@ -100,10 +103,14 @@
     """Answers a chat request with a stream of events.
 
     Attributes:
-        run: The request.
-        pipe: From the engine's side to the caller's.
-        tail: The last events; they go out once the request is settled, so that
-            a caller which saw the end can spend what was not used at once.
+        run: Runs the attempts of the request.
+        pipe: Buffers events from the engine until the caller takes them.
+        tail: The last events.  They are sent after the request is settled, so that
+            the unused tokens of its hold are available when the caller gets the end.
+        settled: Whether the request may have run, once it is settled; UNKNOWN while
+            it is being settled.
+        scope: Cancels both the attempts and the response.
+        producing: Cancels the attempts.
     """
 
     run: ChatRun
@@ -114,15 +121,17 @@
     producing: anyio.CancelScope = field(factory=anyio.CancelScope)
 
     async def respond(self, request: Request, send: Send) -> None:
-        """Run the request and send its answer.
+        """Run the request, stream its answer, and settle the request.
 
         Raises:
-            Refusal: There is none, and no byte of it was sent.
+            Refusal: There is no answer, and the response has not started.
         """
         response = StreamingResponse(send)
         try:
             with self.scope:
-                gone = await until_gone(request, lambda: self.both(response))
+                gone = await run_until_disconnect(
+                    request, lambda: self.produce_and_forward(response)
+                )
                 if gone:
                     return
         finally:
@@ -131,31 +140,35 @@
         if error is not None and not response.started:
             assert self.settled is not None
             if self.producing.cancel_called:
-                raise stopped(self.settled)
+                raise stop_refusal(self.settled)
             await answer_failure(error, self.settled, self.run.request, send)
 
     def interrupt(self) -> None:
-        """End the stream now, with an explicit error event."""
+        """Stop the attempts and end the stream with an explicit error event."""
         if not self.pipe.closed:
             self.pipe.close(Refusal(ANSWER_INCOMPLETE, "this router is stopping"))
             self.producing.cancel()
 
-    async def both(self, response: StreamingResponse) -> None:
-        """Run the engine's side beside the caller's."""
+    async def produce_and_forward(self, response: StreamingResponse) -> None:
+        """Run the attempts and the sending of events concurrently."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.produce)
             await self.forward(response)
 
     async def produce(self) -> None:
-        """Get the answer from an engine, or from several in turn."""
+        """Get the answer from an engine, or from several in turn.
+
+        Settles the request and closes the pipe at the end; on an error the pipe is
+        closed with that error.
+        """
         try:
             with self.producing:
                 await self.run.run(self.dispatch)
         except Exception as error:
             self.pipe.close(error)
             if isinstance(error, Refusal) and error.reason is CALLER_TOO_SLOW:
-                # The caller may never take another byte.  Its request would
-                # stay open with all its memory; the deadline ends it.
+                # The caller may never read again.  The deadline ends the request,
+                # which would otherwise stay open and keep its memory.
                 self.scope.deadline = anyio.current_time() + SLOW_GRACE
             return
         await self.settle()
@@ -163,19 +176,22 @@
             self.pipe.close()
 
     async def dispatch(self, state: BackendState, call: EngineCall) -> None:
-        """Make one attempt."""
+        """Make one attempt; its events go to `deliver`."""
         engines = self.run.backends.engines
         await engines.stream(state.backend, call, self.run.check, self.deliver)
 
     def deliver(self, data: bytes) -> None:
-        """Take events from the engine."""
+        """Put events into the pipe, or into `tail` if they complete the answer."""
         if self.run.check.done:
             self.tail = data
         else:
             self.pipe.put(data)
 
     async def forward(self, response: StreamingResponse) -> None:
-        """Send to the caller what comes, and an explicit end of either kind."""
+        """Send the events of the pipe, then the last events or an error event.
+
+        Nothing is sent if an error comes before the response has started.
+        """
         while data := await self.pipe.take():
             if not response.started:
                 await response.start(200, self.headers())
@@ -200,7 +216,7 @@
         ]
 
     async def settle(self) -> None:
-        """Settle the request, once."""
+        """Settle the request at the first call; do nothing at later calls."""
         if self.settled is None:
             self.settled = Ran.UNKNOWN
             self.settled = await self.run.settle()
@@ -209,10 +225,17 @@
 async def answer_failure(
     failure: Exception, ran: Ran, request: RequestId, send: Send
 ) -> None:
-    """Replay a kept answer, or raise the refusal that tells the truth.
+    """Send the stored answer of an earlier request, or raise the refusal.
+
+    Args:
+        failure: The error that ended the request.
+        ran: Whether the request may have run; the refusal never says "not run" if
+            this is UNKNOWN.
+        request: The request's identifier.
+        send: The ASGI send callable.
 
     Raises:
-        Refusal: There is no answer to replay.
+        Refusal: `failure` is not a `ReplayedError`.
     """
     if isinstance(failure, ReplayedError):
         await send_kept(failure.replay.answer, request, send)
@@ -221,13 +244,13 @@
     if ran is Ran.UNKNOWN:
         refusal.ran = Ran.UNKNOWN
     elif refusal.reason is BACKEND_FAILED:
-        # Every engine that was asked has said that nothing ran.
+        # Every engine has confirmed that it ran nothing of the request.
         refusal.ran = Ran.NO
     raise refusal
 
 
 async def send_kept(kept: KeptAnswer, request: RequestId, send: Send) -> None:
-    """Send an answer that was kept for a retry."""
+    """Send the stored answer of an earlier request with the same key."""
     body = kept.body.encode()
     content_type = kept.content_type
     if content_type.startswith(BASE64_MARK):
@@ -237,8 +260,8 @@
     await send_body(send, kept.status, body, content_type, headers)
 
 
-def keep(answer: Answer) -> KeptAnswer:
-    """Return an answer in the form that is kept for a retry."""
+def to_kept_answer(answer: Answer) -> KeptAnswer:
+    """Return an answer as it is stored for a retry, in base64 if it isn't UTF-8."""
     try:
         text = answer.body.decode()
     except UnicodeDecodeError:
--- a/ebonyhold/callers/_codes.py
+++ b/ebonyhold/callers/_codes.py
@@ -1,4 +1,4 @@
-"""Every code that a refusal can have: one registry."""
+"""The registry of all refusal codes."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Ran(Enum):
-    """What a refusal says about the request."""
+    """Whether a refused request ran: certainly not, or unknown."""
 
     NO = "not_run"
     UNKNOWN = "unknown"
 
 
 class Kind(Enum):
-    """The ``type`` that clients of the chat-completions protocol look at."""
+    """The error ``type`` of the chat-completions protocol."""
 
     AUTHENTICATION = "authentication_error"
     PERMISSION = "permission_error"
@@ -27,14 +27,14 @@
 
 @frozen
 class RefusalCode:
-    """One code, as callers and docs/ERRORS.md know it.
+    """One refusal code, as sent to callers and listed in docs/ERRORS.md.
 
     Attributes:
-        code: Stable for ever.
+        code: The name that is sent; never changes.
         status: The HTTP status.
-        kind: What protocol clients take it for.
-        ran: What it says about the request.
-        meaning: One sentence.
+        kind: The error type for clients of the chat-completions protocol.
+        ran: Whether the request ran, unless the refusal names another value.
+        meaning: One sentence; the message of a refusal without its own message.
         advice: What the caller should do.
     """
 
@@ -47,7 +47,7 @@
 
 
 codes: dict[str, RefusalCode] = {}
-"""All codes by name."""
+"""All registered codes by name."""
 
 
 def register(
@@ -56,7 +56,7 @@
     """Add a code to the registry.
 
     Raises:
-        ValueError: It is there already.
+        ValueError: A code of this name is registered already.
     """
     if code in codes:
         raise ValueError(f"refusal code {code} is registered twice")
--- a/ebonyhold/callers/_caller.py
+++ b/ebonyhold/callers/_disconnect.py
@@ -1,4 +1,4 @@
-"""Noticing that a caller has gone."""
+"""Cancels work when the caller closes its connection."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from ebonyhold._asgi import Request
 
 
-async def until_gone(request: Request, work: Callable[[], Awaitable[None]]) -> bool:
-    """Run `work`, and cancel it when the caller goes away first.
+async def run_until_disconnect(
+    request: Request, work: Callable[[], Awaitable[None]]
+) -> bool:
+    """Run `work`, and cancel it if the caller closes the connection first.
 
     Returns:
-        Whether the caller has gone before `work` was done.
+        Whether the caller disconnected before `work` was done.
 
     Raises:
-        Exception: Whatever `work` raises, never wrapped in a group.
+        Exception: An exception of `work`, not wrapped in an exception group.
     """
     gone = False
     done = False
--- a/ebonyhold/callers/_endpoints.py
+++ b/ebonyhold/callers/_endpoints.py
@@ -1,4 +1,4 @@
-"""What callers may ask for, and what answers it."""
+"""The endpoints of callers and their handlers."""
 
 from __future__ import annotations
 
@@ -17,132 +17,143 @@
     send_json,
 )
 from ebonyhold.callers._ask import Identity, Urgency, read_chat, read_urgency
-from ebonyhold.callers._caller import until_gone
 from ebonyhold.callers._chat import StreamedChat, WholeChat
 from ebonyhold.callers._codes import (
     BODY_TIMEOUT,
     SERVICE_UNKNOWN,
 )
-from ebonyhold.callers._flight import Flight
+from ebonyhold.callers._disconnect import run_until_disconnect
+from ebonyhold.callers._flight import OpenRequest
 from ebonyhold.callers._gate import Gate, Waiter
 from ebonyhold.callers._keys import Caller
 from ebonyhold.callers._pipe import Pipe
 from ebonyhold.callers._refusals import Refusal
+from ebonyhold.callers._response import REQUEST_HEADER
 from ebonyhold.callers._run import ChatRun
 from ebonyhold.callers._services import ServiceRun, read_service
 from ebonyhold.callers._serving import Serving
-from ebonyhold.callers._watched import REQUEST_HEADER
 from ebonyhold.coordination import Share
 from ebonyhold.document import BackendKind, Workspace
 from ebonyhold.types import Json, Seconds
 
-BODY_WITHIN: Seconds = 30.0
-"""How long a caller may take to send its body."""
+BODY_READ_TIMEOUT: Seconds = 30.0
+"""How long a caller may take to send the body of a request."""
 
 
 @define
 class Call:
-    """One authenticated request on its way to a handler."""
+    """One authenticated request, as its handler gets it."""
 
     app: Serving
     request: Request
     identity: Identity
     caller: Caller
-    flight: Flight
+    open_request: OpenRequest
 
     @property
     def workspace(self) -> Workspace:
-        """Who pays."""
+        """The workspace that pays for the request."""
         return self.caller.workspace
 
 
 @define
-class Turn:
-    """A request's turn: until it has chosen a server, its gate counts it."""
+class Admission:
+    """An admitted request; its gate counts it as pending until a server is chosen.
+
+    Attributes:
+        gate: The gate that admitted the request.
+        reported: Whether the gate was informed of the choice.
+    """
 
     gate: Gate
-    told: bool = False
+    reported: bool = False
 
     def server_chosen(self) -> None:
-        """Tell the gate, the first time."""
-        if not self.told:
-            self.told = True
+        """Report to the gate, at the first call only, that a server was chosen."""
+        if not self.reported:
+            self.reported = True
             self.gate.arrived()
 
 
 endpoints: Endpoints[Call] = Endpoints()
-"""What callers may ask for."""
+"""All endpoints of callers."""
 
 
 @endpoints.add("POST", "/v1/chat/completions")
 async def answer_chat(call: Call, request: Request, send: Send) -> None:
-    """Answer a chat request."""
+    """Answer a chat request, with a whole answer or a stream of events."""
     app = call.app
     body = await read_body(request, app.fleet.document.limits.most_body)
-    ask = read_chat(body, app.fleet)
-    urgency = read_urgency(request.headers, ask.route.priority)
+    parsed = read_chat(body, app.fleet)
+    urgency = read_urgency(request.headers, parsed.route.priority)
     app.retries.ratio = app.fleet.document.policy.retry_ratio
-    async with turn(app.gate(BackendKind.ENGINE, ask.route.model), call, urgency) as at:
+    async with admitted(
+        app.gate(BackendKind.ENGINE, parsed.route.model), call, urgency
+    ) as admission:
         run = ChatRun(
             app.money,
             app.backends,
             app.retries,
             call.workspace.name,
             call.identity,
-            ask,
+            parsed,
             urgency.priority,
             app.metrics,
-            at.server_chosen,
+            admission.server_chosen,
         )
         chat: StreamedChat | WholeChat = WholeChat(run)
-        if ask.stream:
+        if parsed.stream:
             chat = StreamedChat(run, Pipe(app.fleet.document.limits.stream_buffer))
-        call.flight.begin(chat)
+        call.open_request.begin(chat)
         await chat.respond(request, send)
 
 
 @asynccontextmanager
-async def turn(gate: Gate, call: Call, urgency: Urgency) -> AsyncIterator[Turn]:
-    """Wait for a request's turn, and give its place back at the end.
+async def admitted(
+    gate: Gate, call: Call, urgency: Urgency
+) -> AsyncIterator[Admission]:
+    """Wait for admission at the gate, and report the end of the request to the gate.
 
     Raises:
-        CallerGoneError: Its caller went away first.
-        Refusal: It will not begin in time.
+        CallerGoneError: The caller closed the connection while the request waited.
+        Refusal: The request cannot start in time; it did not run.
     """
-    waiter = await enter(gate, call, urgency)
-    taken = Turn(gate)
+    waiter = await wait_for_admission(gate, call, urgency)
+    admission = Admission(gate)
     try:
-        yield taken
+        yield admission
     finally:
-        taken.server_chosen()
+        admission.server_chosen()
         gate.left(waiter.ticket)
 
 
-async def enter(gate: Gate, call: Call, urgency: Urgency) -> Waiter:
-    """Wait for a request's turn.
+async def wait_for_admission(gate: Gate, call: Call, urgency: Urgency) -> Waiter:
+    """Queue a request at the gate and wait until it is admitted.
 
     Raises:
-        CallerGoneError: Its caller went away first.
-        Refusal: It will not begin in time.
+        CallerGoneError: The caller closed the connection while the request waited.
+        Refusal: The request cannot start in time; it did not run.
     """
     workspace = call.workspace
     waiter = gate.offer(
         workspace.name,
-        share(workspace),
+        admission_limits(workspace),
         urgency.priority,
         urgency.patience,
         urgency.shed_after,
     )
     if not waiter.event.is_set():
-        gone = await until_gone(call.request, lambda: gate.wait(waiter))
+        gone = await run_until_disconnect(call.request, lambda: gate.wait(waiter))
         if gone:
-            raise CallerGoneError("the caller went away while it waited")
+            raise CallerGoneError(
+                "the caller closed the connection while its request waited"
+            )
     return waiter
 
 
 @endpoints.add("GET", "/v1/models")
 async def answer_models(call: Call, request: Request, send: Send) -> None:
-    """List the models that callers may ask for."""
+    """List the models that callers may use."""
     data: list[Json] = [
         {"id": route.model, "object": "model", "created": 0, "owned_by": "ebonyhold"}
         for route in call.app.fleet.document.models
@@ -153,43 +164,47 @@
 
 @endpoints.add("*", "/services/{service}/{path...}")
 async def answer_service(call: Call, request: Request, send: Send) -> None:
-    """Pass a call through to a plain service."""
+    """Forward a call to a plain service."""
     app = call.app
     route = app.fleet.service(request.parameters["service"])
     if route is None:
         raise Refusal(SERVICE_UNKNOWN)
-    ask = read_service(request, route, await read_body(request, route.most_body))
+    parsed = read_service(request, route, await read_body(request, route.most_body))
     urgency = read_urgency(request.headers, 0)
-    async with turn(app.gate(BackendKind.SERVICE, route.service), call, urgency) as at:
+    async with admitted(
+        app.gate(BackendKind.SERVICE, route.service), call, urgency
+    ) as admission:
         run = ServiceRun(
             app.money,
             app.backends,
             app.retries,
             call.workspace.name,
             call.identity,
-            ask,
-            at.server_chosen,
+            parsed,
+            admission.server_chosen,
         )
-        call.flight.begin(run)
+        call.open_request.begin(run)
         await run.respond(send)
 
 
-async def read_body(request: Request, most: int) -> bytes:
-    """Read a request's body.
+async def read_body(request: Request, max_size: int) -> bytes:
+    """Read the body of a request, of at most so many bytes.
+
+    The time limit closes requests of callers that send very slowly, which would
+    otherwise keep a connection and its memory without end.
 
     Raises:
-        Refusal: It does not come in time.  A caller that trickles its body
-            would otherwise hold a connection and its memory for ever.
-        BodyTooLargeError: It is larger than allowed.
+        Refusal: The body did not arrive within `BODY_READ_TIMEOUT`.
+        BodyTooLargeError: The body is larger than allowed.
         CallerGoneError: The connection ended first.
     """
     try:
-        with anyio.fail_after(BODY_WITHIN):
-            return await request.body(most)
+        with anyio.fail_after(BODY_READ_TIMEOUT):
+            return await request.body(max_size)
     except TimeoutError as error:
         raise Refusal(BODY_TIMEOUT) from error
 
 
-def share(workspace: Workspace) -> Share:
-    """Return a workspace's bounds."""
+def admission_limits(workspace: Workspace) -> Share:
+    """Return the admission limits of a workspace."""
     return Share(workspace.concurrency, workspace.queue, workspace.weight)
--- a/ebonyhold/callers/_flight.py
+++ b/ebonyhold/callers/_flight.py
@@ -1,4 +1,4 @@
-"""A request under way, as the router's stop sees it."""
+"""Open requests, and how a stop of the router ends them."""
 
 from __future__ import annotations
 
@@ -13,62 +13,62 @@
     Ran,
 )
 from ebonyhold.callers._refusals import SOON, Refusal
-from ebonyhold.callers._watched import Watched
+from ebonyhold.callers._response import Response
 from ebonyhold.types import Seconds
 
 LAST_PATIENCE: Seconds = 5.0
-"""How long a request whose answer comes whole goes on when a stop ends everything.
+"""How long a request without a stream may still run after a stop interrupted it.
 
-Most such answers are on their way for less.  Cut, the caller has nothing, and the
-outcome of a call that may not be repeated has to be looked up by somebody.
+Most such requests take less.  If it is cut, its caller gets nothing, and the outcome
+of a call that may not be repeated has to be looked up.
 """
 
 
 class Interruptible(Protocol):
-    """Work on a request that can end early and still tell the truth about it."""
+    """Work on a request that can end early and still report whether it ran."""
 
     def interrupt(self) -> None:
-        """End, with a refusal or an explicit error event, within `LAST_PATIENCE`."""
+        """End with an answer, a refusal or an error event, within `LAST_PATIENCE`."""
         ...
 
 
 @define(eq=False)
-class Flight:
-    """One request from its admission to the end of its answer.
+class OpenRequest:
+    """One accepted request, until the end of its response.
 
-    Until a request is dispatched nothing of it has run, so it may simply be
-    cancelled and refused as not run.  From then on only what runs it knows what to
-    ask the backend server, what to bill and what to tell the caller.
+    Before `begin` nothing of the request has run, so it can be cancelled and refused
+    as not run.  After that it is ended by `work`, which closes its attempts, settles
+    its bill and returns the refusal.
 
     Attributes:
-        answer: Its answer.
+        answer: The response.
         scope: Cancels the request while nothing of it has run.
-        work: What runs the request, once there is something to run.
-        interrupted: Whether the stop has ended it.
-        ended: Set when its answer has ended.
+        work: The object that runs the request, once there is one.
+        interrupted: Whether `interrupt` was called.
+        ended: Set when the handling of the request has ended.
     """
 
-    answer: Watched
+    answer: Response
     scope: anyio.CancelScope = field(factory=anyio.CancelScope)
     work: Interruptible | None = None
     interrupted: bool = False
     ended: anyio.Event = field(factory=anyio.Event)
 
     def begin(self, work: Interruptible) -> None:
-        """Leave the ending to what runs the request from now on.
+        """Set the object that runs the request and ends it if interrupted.
 
         Raises:
-            Refusal: The stop has ended it already; it did not run.
+            Refusal: The request is interrupted already; it did not run.
         """
         if self.interrupted:
-            raise stopped(Ran.NO)
+            raise stop_refusal(Ran.NO)
         self.work = work
 
     def interrupt(self) -> None:
-        """End the request, so that its caller hears what became of it.
+        """End the request with an answer, a refusal or an error event.
 
-        An answer that has begun is left alone, unless what runs it has a way to
-        end it: cut anywhere else it would have no end that a caller can trust.
+        A response that has started without `work` is left to finish: cancelled, it
+        would have no valid end.
         """
         self.interrupted = True
         if self.work is not None:
@@ -77,13 +77,13 @@
             self.scope.cancel()
 
 
-def last_moment() -> Seconds:
-    """Return when a request whose answer comes whole must have ended."""
+def stop_deadline() -> Seconds:
+    """Return when a request without a stream that is interrupted now is cancelled."""
     return anyio.current_time() + LAST_PATIENCE
 
 
-def stopped(ran: Ran, retry_after: Seconds = SOON) -> Refusal:
-    """Return what the caller of a request hears that a stop has ended."""
+def stop_refusal(ran: Ran, retry_after: Seconds = SOON) -> Refusal:
+    """Return the refusal of a request that was ended by the router's stop."""
     if ran is Ran.NO:
         return Refusal(ROUTER_STOPPING, retry_after=retry_after)
     return Refusal(
--- a/ebonyhold/callers/_gate.py
+++ b/ebonyhold/callers/_gate.py
@@ -1,4 +1,4 @@
-"""Waiting for admission: the queue's decisions, carried out."""
+"""Holds requests back until the admission queue starts or refuses them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,13 @@
 
 @define
 class Waiter:
-    """One request that waits."""
+    """One request in the queue of a gate.
+
+    Attributes:
+        ticket: The request's entry in the admission queue.
+        event: Set when the request is admitted or refused.
+        refusal: Why the request is refused, or None.
+    """
 
     ticket: Ticket
     event: anyio.Event = field(factory=anyio.Event)
@@ -30,14 +36,16 @@
 
 @define
 class Gate:
-    """Lets requests of one model or service through, in their turn.
+    """Admits the requests for one model or plain service, in the queue's order.
 
     Attributes:
-        free: Returns how many requests the backend servers could take now.
-        served: Returns whether any backend server may take such requests at all.
-        queue: Who waits.
-        pending: Requests let through that have not chosen a server yet; they
-            are not yet in what `free` counts.
+        free: Returns how many further requests the backend servers can take now.
+        served: Returns whether any backend server accepts such requests.
+        queue: Decides which requests start, wait or are refused.
+        waiters: The waiting requests by their ticket's number.
+        pending: Number of admitted requests that have not chosen a server yet;
+            `free` doesn't count them as running yet.
+        last_number: The number of the last ticket.
     """
 
     free: Callable[[], int]
@@ -45,27 +53,35 @@
     queue: AdmissionQueue = field(factory=AdmissionQueue)
     waiters: dict[int, Waiter] = field(factory=dict)
     pending: int = 0
-    numbers: int = 0
+    last_number: int = 0
 
     def offer(
         self,
         workspace: WorkspaceName,
         share: Share,
         priority: int,
-        patience: Seconds,
+        wait_timeout: Seconds,
         shed_after: Seconds = math.inf,
     ) -> Waiter:
-        """Queue a request, which has its turn at once if its event is set.
+        """Queue a request; it is admitted at once if the waiter's event is set.
 
-        Once it has its turn, `arrived` must follow, then `left`.
+        For each admitted request call `arrived` once, and `left` at its end.
+
+        Args:
+            workspace: The workspace that pays.
+            share: The admission limits of the workspace.
+            priority: Requests with a larger priority start first.
+            wait_timeout: The longest wait, in seconds.
+            shed_after: The longest wait while the queue is standing, in seconds.
 
         Raises:
-            Refusal: It would not begin in time; it did not run.
+            Refusal: The request cannot start in time or the queue is full; it did
+                not run.
         """
         now = anyio.current_time()
-        self.numbers += 1
+        self.last_number += 1
         ticket = Ticket(
-            self.numbers, workspace, priority, now + patience, now, shed_after
+            self.last_number, workspace, priority, now + wait_timeout, now, shed_after
         )
         refused = self.queue.offer(ticket, share, now)
         if refused is not None:
@@ -78,10 +94,12 @@
         return waiter
 
     async def wait(self, waiter: Waiter) -> None:
-        """Wait until a request has its turn.
+        """Wait until a queued request is admitted, at most until its deadline.
+
+        A wait that is cancelled withdraws the request.
 
         Raises:
-            Refusal: It will not begin in time; it did not run.
+            Refusal: The request cannot start in time; it did not run.
         """
         ticket = waiter.ticket
         try:
@@ -98,7 +116,10 @@
             raise waiter.refusal
 
     def give_up(self, waiter: Waiter) -> None:
-        """Take back a request whose caller has gone or cannot wait longer."""
+        """Withdraw a request whose wait was cancelled or timed out.
+
+        A request that was admitted meanwhile is counted as ended.
+        """
         if not waiter.event.is_set():
             del self.waiters[waiter.ticket.number]
             self.queue.leave(waiter.ticket)
@@ -107,22 +128,25 @@
             self.left(waiter.ticket)
 
     def arrived(self) -> None:
-        """Note that a request that was let through is now counted at its server."""
+        """Record that an admitted request is now counted at its backend server."""
         self.pending -= 1
 
     def left(self, ticket: Ticket) -> None:
-        """Note that a request that was let through has ended."""
+        """Record the end of an admitted request, and admit waiting ones."""
         self.queue.finished(ticket, anyio.current_time())
         self.pump()
 
     def pump(self) -> None:
-        """Let through whoever's turn it is."""
+        """Refuse expired requests, and admit as many as the servers have room for.
+
+        If no server accepts such requests, refuse all that wait.
+        """
         now = anyio.current_time()
         for refused in self.queue.expire(now):
             self.wake(refused.ticket, refusal(refused))
         if self.queue.waiting and not self.served():
-            # Nothing will become free.  Whoever waits would otherwise hear so
-            # at its deadline only.
+            # No server accepts such requests.  They are refused now instead of at
+            # their deadlines.
             for ticket in self.queue.clear():
                 self.wake(ticket, Refusal(NO_BACKEND, retry_after=SOON))
         room = self.free() - self.pending if self.queue.waiting else 0
@@ -131,14 +155,14 @@
             self.wake(ticket, None)
 
     def wake(self, ticket: Ticket, refusal: Refusal | None) -> None:
-        """Tell a waiting request what became of it."""
+        """End the wait of a request: refused, or admitted if `refusal` is None."""
         waiter = self.waiters.pop(ticket.number)
         waiter.refusal = refusal
         waiter.event.set()
 
 
 def refusal(refused: Refused) -> Refusal:
-    """Return what the caller is told."""
+    """Return the refusal for a decision of the admission queue."""
     if refused.workspace_bound:
         return Refusal(WORKSPACE_LIMIT, retry_after=refused.retry_after)
     reason = DEADLINE_UNREACHABLE if refused.expired else OVERLOADED
--- a/ebonyhold/callers/_keys.py
+++ b/ebonyhold/callers/_keys.py
@@ -1,4 +1,4 @@
-"""API keys of workspaces: compared as hashes, in constant time."""
+"""API keys of workspaces, compared as hashes in constant time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @frozen
 class Caller:
-    """Who sends a request."""
+    """The sender of a request: the workspace and the identifier of its API key."""
 
     workspace: Workspace
     key: str
@@ -28,9 +28,8 @@
 class KeyRing:
     """The API keys of the document in force, indexed by hash.
 
-    The index is looked up by the SHA-256 of what the caller sent, which tells
-    an attacker nothing about the keys that exist; the match is then compared in
-    constant time.
+    A key is looked up by its SHA-256, so that the time of the look-up reveals nothing
+    about the keys that exist; the match is then compared in constant time.
     """
 
     fleet: FleetView
@@ -38,15 +37,15 @@
     callers: dict[str, Caller] = field(factory=dict)
 
     def caller(self, key: str) -> Caller:
-        """Return whose key this is.
+        """Return the caller that a key belongs to.
 
         Raises:
-            Refusal: There is no key, or nobody's.
+            Refusal: The key is empty, or no workspace has it.
         """
         if not key:
             raise Refusal(KEY_MISSING)
         if self.document is not self.fleet.document:
-            self.index()
+            self.rebuild_index()
         digest = hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
         caller = self.callers.get(digest)
         expected = digest if caller is not None else ""
@@ -54,8 +53,8 @@
             raise Refusal(KEY_UNKNOWN)
         return caller
 
-    def index(self) -> None:
-        """Follow the document."""
+    def rebuild_index(self) -> None:
+        """Rebuild the index from the document in force."""
         self.document = self.fleet.document
         self.callers = {
             key.sha256.lower(): Caller(workspace, key.id)
--- a/ebonyhold/callers/_pipe.py
+++ b/ebonyhold/callers/_pipe.py
@@ -1,4 +1,4 @@
-"""A bounded way for a stream from the engine's side to the caller's."""
+"""A bounded buffer between the engine's stream and the caller's."""
 
 from __future__ import annotations
 
@@ -13,14 +13,18 @@
 
 @define
 class Pipe:
-    """Bytes that the caller has not taken yet, joined while it is slow.
+    """Bytes of a stream that are not sent to the caller yet.
 
     Attributes:
-        most: The most bytes that are held; beyond that the stream ends.
-        error: Why the stream ends without its end, if it does.
+        max_size: Maximum number of buffered bytes.
+        error: The error that ended the stream, or None.
+        parts: The buffered bytes, in order.
+        size: Number of buffered bytes.
+        closed: Whether the stream has ended; `parts` may still hold bytes.
+        ready: Set when bytes are added or the stream is closed.
     """
 
-    most: int
+    max_size: int
     error: Exception | None = None
     parts: list[bytes] = field(factory=list)
     size: int = 0
@@ -31,24 +35,24 @@
         """Add bytes.
 
         Raises:
-            Refusal: The caller is too slow.  Holding more would let a few slow
-                callers take all of the router's memory, which shows as routers
-                that die together; so the stream ends with an error event.
+            Refusal: The buffer would exceed its maximum, because the caller is too
+                slow.  Without this limit a few slow callers could use up the memory
+                of several routers, which would then crash together.
         """
         self.size += len(data)
-        if self.size > self.most:
+        if self.size > self.max_size:
             raise Refusal(CALLER_TOO_SLOW)
         self.parts.append(data)
         self.ready.set()
 
     def close(self, error: Exception | None = None) -> None:
-        """End the stream, after what it holds was taken."""
+        """End the stream; `take` still returns the buffered bytes."""
         self.closed = True
         self.error = error
         self.ready.set()
 
     async def take(self) -> bytes:
-        """Return all bytes there are, waiting for some; empty at the end."""
+        """Wait for bytes and return all that are buffered; empty at the end."""
         while not self.parts and not self.closed:
             self.ready = anyio.Event()
             await self.ready.wait()
--- a/ebonyhold/callers/_refusals.py
+++ b/ebonyhold/callers/_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: one JSON shape, and how errors become one."""
+"""Refusals as JSON bodies and error events, and the mapping of errors to them."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
     """Ends a request with one of the registered codes.
 
     Attributes:
-        reason: The code and what goes with it.
-        retry_after: When to try again, in seconds, or None.
-        param: The parameter at fault, or empty.
-        ran: What is known about the request; a code's own word by default.
+        reason: The refusal code with its status, type and default message.
+        retry_after: After how many seconds to try again, or None.
+        param: The invalid parameter, or empty.
+        ran: Whether the request ran; the value of the code by default.
     """
 
     code = "refusal"
@@ -63,7 +63,7 @@
         self.ran = ran or reason.ran
 
     def value(self, request: RequestId) -> Json:
-        """Return the JSON error, in the one shape that there is."""
+        """Return the JSON body of the refusal."""
         error: dict[str, Json] = {
             "message": str(self),
             "type": self.reason.kind.value,
@@ -80,25 +80,25 @@
         return {"error": error}
 
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """Return the headers that go with it; Retry-After is in whole seconds."""
+        """Return Retry-After, rounded up to whole seconds, or no header without it."""
         if self.retry_after is None:
             return []
         seconds = max(1, math.ceil(self.retry_after))
         return [(b"retry-after", str(seconds).encode())]
 
     def event(self, request: RequestId) -> bytes:
-        """Return the event that ends a stream which cannot be completed."""
+        """Return the error event that ends a stream which cannot be completed."""
         body = json.dumps(self.value(request), separators=(",", ":"))
         return f"event: error\ndata: {body}\n\n".encode()
 
 
 SOON: Seconds = 1.0
-"""When to try again where nothing better is known, in seconds."""
+"""After how long to try again if there is no better estimate."""
 
 
 @frozen
 class Mapping:
-    """How an error of another part becomes a refusal."""
+    """The refusal code and retry time for one class of errors."""
 
     error: type[EbonyholdError]
     reason: RefusalCode
@@ -116,11 +116,11 @@
     Mapping(UnknownOutcomeError, INTERNAL, SOON),
     Mapping(BackendError, BACKEND_FAILED, SOON),
 )
-"""Tried in order; the first class that fits counts."""
+"""The mappings of errors; the first one whose class matches is used."""
 
 
 def refusal_for(error: Exception) -> Refusal:
-    """Return the refusal that tells a caller about an error."""
+    """Return the refusal for an error; `INTERNAL` without its text if none matches."""
     if isinstance(error, Refusal):
         return error
     for mapping in MAPPINGS:
--- a/ebonyhold/callers/_watched.py
+++ b/ebonyhold/callers/_response.py
@@ -1,4 +1,4 @@
-"""Sending an answer while knowing whether it began."""
+"""An ASGI send callable that records when the response started."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 @define
-class Watched:
-    """Passes messages on to the listener, and knows whether an answer began.
+class Response:
+    """Sends the messages of a response, and records when the first one was sent.
 
     Attributes:
-        send: The listener's own callable.
-        request: The request's identifier, once it is known.
-        arrived: When the request came.
-        first: When its answer began, or None.
+        send: The ASGI send callable of the listener.
+        request: The request's identifier, or empty until it is read.
+        arrived: When the request arrived, on the clock of the event loop.
+        first: When the response started, on the same clock, or None.
     """
 
     send: Send
@@ -30,18 +30,18 @@
 
     @property
     def started(self) -> bool:
-        """Whether the answer began."""
+        """Whether the response has started."""
         return self.first is not None
 
     async def __call__(self, message: Message) -> None:
-        """Pass a message on."""
+        """Send a message; the first one starts the response."""
         if self.first is None:
             self.first = anyio.current_time()
         await self.send(message)
 
 
-async def refuse(refusal: Refusal, request: Request, send: Watched) -> None:
-    """Send a refusal."""
+async def refuse(refusal: Refusal, request: Request, send: Response) -> None:
+    """Send a refusal as a JSON response."""
     headers = [*refusal.headers(), header(REQUEST_HEADER, send.request)]
     value = refusal.value(send.request)
     await send_json(send, refusal.reason.status, value, headers, request)
--- a/ebonyhold/callers/_run.py
+++ b/ebonyhold/callers/_run.py
@@ -1,4 +1,4 @@
-"""One chat request: its attempts, and what it costs in the end."""
+"""Runs the attempts of one chat request and computes its cost."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Usage,
     read_usage,
 )
-from ebonyhold.callers._ask import ChatAsk, Identity
+from ebonyhold.callers._ask import ChatRequest, Identity
 from ebonyhold.callers._codes import (
     ANSWER_INCOMPLETE,
     BACKEND_FAILED,
@@ -44,15 +44,21 @@
 from ebonyhold.tracing import context_headers, hop
 from ebonyhold.types import AttemptId, BackendName, RequestId, Tokens, WorkspaceName
 
-MOST_ATTEMPTS = 4
-"""Attempts of one request, however little each of them cost."""
+MAX_ATTEMPTS = 4
+"""Maximum number of attempts of one request, also of those that ran nothing."""
 
 Dispatch = Callable[[BackendState, EngineCall], Awaitable[None]]
 
 
 @frozen
-class Dangling:
-    """An attempt that ended without a whole answer."""
+class UnclosedAttempt:
+    """An attempt to be closed at its engine: it may still run, or its usage is unknown.
+
+    Attributes:
+        backend: The engine.
+        attempt: The attempt's identifier.
+        boot: The engine's boot identifier for which the attempt was made durable.
+    """
 
     backend: BackendName
     attempt: AttemptId
@@ -60,7 +66,7 @@
 
 
 class ReplayedError(Exception):
-    """The request has its answer already."""
+    """An earlier request with the same key has a stored answer."""
 
     def __init__(self, replay: Replay) -> None:
         super().__init__()
@@ -72,21 +78,28 @@
     """Runs a chat request on one engine after another until it has its answer.
 
     Attributes:
-        money: Holds, claims and bills.
+        money: Takes holds and claims, and files bills.
         backends: The engines.
-        retries: Bounds attempts that may repeat work.
-        workspace: Who pays.
+        retries: Limits the attempts that may repeat work.
+        workspace: The workspace that pays.
         identity: The request's identifier.
-        ask: What is asked.
-        priority: Larger is served first.
-        metrics: Counts attempts and times.
-        check: How far a streamed answer has come.
-        tried: Engines that failed an attempt; others come first.
-        barred: Engines that cannot be reached or do not want the request.
-        usage: What a whole answer took, once it is there.
-        ended: Whether the answer is whole.
-        given_up: Whether it was this side that ended an attempt: the caller has
-            gone or is too slow, or the router stops.
+        parsed: The parsed request.
+        priority: Requests with a larger priority start first.
+        metrics: Counts attempts and measures times.
+        on_chosen: Called for each attempt, when its engine is chosen.
+        backoff: Computes the delay before an attempt after one that may have run.
+        check: Checks the events of a streamed answer across attempts.
+        usage: Tokens of a whole answer, if it states them; not set for a stream.
+        boot: The boot identifier of the engine of the last attempt.
+        permit: The permit of the last attempt.
+        unclosed: Attempts whose engines must be asked to close them.
+        tried: Engines that failed an attempt; the others are preferred.
+        excluded: Engines on which an attempt failed that certainly did not run; they
+            are not chosen again.
+        attempts: Number of attempts so far.
+        complete: Whether the answer is complete.
+        aborted: Whether this router ended an attempt because the caller closed the
+            connection or is too slow, or because its stop ended a stream.
     """
 
     money: Money
@@ -94,7 +107,7 @@
     retries: RetryBudget
     workspace: WorkspaceName
     identity: Identity
-    ask: ChatAsk
+    parsed: ChatRequest
     priority: int = 0
     metrics: Metrics = field(factory=Metrics)
     on_chosen: Callable[[], None] = field(default=lambda: None)
@@ -103,16 +116,16 @@
     usage: Usage | None = None
     boot: str = ""
     permit: Permit | None = None
-    dangling: list[Dangling] = field(factory=list)
+    unclosed: list[UnclosedAttempt] = field(factory=list)
     tried: set[BackendName] = field(factory=set)
-    barred: set[BackendName] = field(factory=set)
+    excluded: set[BackendName] = field(factory=set)
     attempts: int = 0
-    ended: bool = False
-    given_up: bool = False
+    complete: bool = False
+    aborted: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Start the answer at its first token."""
-        self.check = StreamCheck(self.ask.usage_wanted)
+        """Create the check of a streamed answer."""
+        self.check = StreamCheck(self.parsed.usage_wanted)
 
     @property
     def request(self) -> RequestId:
@@ -123,78 +136,82 @@
         """Make attempts until one of them completes the answer.
 
         Raises:
-            Refusal: None did, and no further attempt is allowed.
-            ReplayedError: The request has ended before.
+            Refusal: No attempt succeeded, and no further one is allowed.
+            ReplayedError: An earlier request with the same key has an answer.
         """
         while True:
             state = self.choose()
             self.attempts += 1
-            # The engine may be restarted while the intent becomes durable; the
-            # dispatch must name the life that the intent names.
+            # The engine may restart while the intent is written; the dispatch must
+            # name the same boot identifier as the intent.
             boot = self.boot = state.boot
             permit = await self.reserve(state, boot)
             state.started(permit.attempt, self.request, anyio.current_time())
-            state.prefixes.sent(self.ask.hashes)
+            state.prefixes.sent(self.parsed.hashes)
             try:
                 with hop("engine"):
                     await dispatch(state, self.call(permit, boot))
             except BackendError as error:
                 self.count(state, error.code)
-                await self.failed(state, permit, error)
+                await self.handle_failure(state, permit, error)
             except BaseException:
-                self.given_up = True
-                self.dangle(state, permit)
+                self.aborted = True
+                self.add_unclosed(state, permit)
                 raise
             else:
                 self.count(state, "complete")
                 if self.usage is None and self.check.usage is None:
-                    # The usage was left out.  The engine is asked for it, since
-                    # the answer would otherwise have no price.
-                    self.dangle(state, permit)
+                    # The answer states no usage, so that it has no price yet: the
+                    # engine is asked for the usage when the request is settled.
+                    self.add_unclosed(state, permit)
                 self.backends.ejector.succeeded(state.backend.name)
-                self.ended = True
+                self.complete = True
                 return
             finally:
                 state.ended(permit.attempt)
                 self.backends.changed()
 
     def count(self, state: BackendState, result: str) -> None:
-        """Count an attempt."""
+        """Count an attempt by engine and result."""
         self.metrics.attempts.labels(state.backend.name, result).inc()
 
     def choose(self) -> BackendState:
-        """Choose the next engine, best one that was not tried yet.
+        """Choose the next engine, preferably one that has not failed an attempt.
 
         Raises:
-            Refusal: None is left.
+            Refusal: No engine is left.
         """
-        need = Need(self.ask.words, self.ask.most, self.priority)
-        for avoided in (self.tried, self.barred):
+        need = Need(self.parsed.word_count, self.parsed.max_output, self.priority)
+        for avoided in (self.tried, self.excluded):
             state = self.backends.choose(
-                self.ask.route.model, need, self.ask.hashes, avoided
+                self.parsed.route.model, need, self.parsed.hashes, avoided
             )
             if state is not None:
                 return state
         raise self.refusal()
 
     def refusal(self) -> Refusal:
-        """Return why the request cannot go on."""
+        """Return the refusal when no further attempt is made.
+
+        It depends on whether a part of the answer was sent, else on whether an
+        attempt may have run.
+        """
         if self.check.opened:
             return Refusal(ANSWER_INCOMPLETE)
-        if self.dangling:
+        if self.unclosed:
             return Refusal(BACKEND_FAILED, retry_after=SOON)
         return Refusal(NO_BACKEND, retry_after=SOON)
 
     async def reserve(self, state: BackendState, boot: str) -> Permit:
-        """Make the next attempt durable.
+        """Write the intent of the next attempt durably and return its permit.
 
-        It is shielded: a caller that goes away while the money is at work would
-        otherwise leave a hold that nobody knows of, and its tokens would be out
-        of reach until this router stops.
+        The call is shielded from cancellation: if the caller disconnected during
+        it, the hold would stay without a permit to release it, and its tokens
+        could not be used until this router stops.
 
         Raises:
-            ReplayedError: The request has ended before.
-            EbonyholdError: It may not be dispatched.
+            ReplayedError: An earlier request with the same key has an answer.
+            EbonyholdError: The attempt may not be dispatched.
         """
         state.reserved += 1
         self.on_chosen()
@@ -211,7 +228,12 @@
         return permit
 
     async def next_permit(self, state: BackendState, boot: str) -> Permit:
-        """Return leave for an attempt at an engine."""
+        """Return the permit of an attempt; the first one takes the hold and the claim.
+
+        Raises:
+            ReplayedError: An earlier request with the same key has an answer.
+            EbonyholdError: The attempt may not be dispatched.
+        """
         if self.permit is not None:
             return await self.money.again(self.permit, state.backend.name, boot)
         self.retries.first_attempt()
@@ -221,56 +243,62 @@
         return answer
 
     def order(self, state: BackendState, boot: str) -> Order:
-        """Return what is asked of the money."""
+        """Return the order for a hold, a claim and an intent."""
         return Order(
             self.workspace,
             self.request,
             RequestKind.CHAT,
-            self.ask.digest,
+            self.parsed.digest,
             self.identity.keyed,
-            self.ask.hold,
+            self.parsed.hold,
             state.backend.name,
             boot,
         )
 
     def call(self, permit: Permit, boot: str) -> EngineCall:
-        """Return the attempt as the engine gets it."""
+        """Return the call of one attempt, as sent to the engine."""
         return EngineCall(
             permit.attempt,
-            self.ask.body,
-            self.ask.stream,
+            self.parsed.body,
+            self.parsed.stream,
             self.priority,
             self.check.expected,
             context_headers().get("traceparent", ""),
             boot,
         )
 
-    async def failed(
+    async def handle_failure(
         self, state: BackendState, permit: Permit, error: BackendError
     ) -> None:
-        """Note a failed attempt, and return if another one may follow.
+        """Record a failed attempt; return, after a backoff, if another may follow.
+
+        The backoff is left out if the attempt did not run or the caller already
+        has a part of the answer.
 
         Raises:
-            Refusal: None may.
+            Refusal: No further attempt is allowed.
         """
         self.tried.add(state.backend.name)
         if not error.ran:
-            self.barred.add(state.backend.name)
-        self.note(state, error)
+            self.excluded.add(state.backend.name)
+        self.report_error(state, error)
         if error.ran:
-            self.dangle(state, permit)
+            self.add_unclosed(state, permit)
         if isinstance(error, RefusedError) and error.final and not self.check.opened:
             message = error.body.decode("utf-8", "replace")
             raise Refusal(BACKEND_REJECTED, engine_message(message)) from error
-        if self.attempts >= MOST_ATTEMPTS or not self.may_repeat(error):
+        if self.attempts >= MAX_ATTEMPTS or not self.may_repeat(error):
             raise self.refusal() from error
         if error.ran and not self.check.opened:
             await anyio.sleep(
                 self.backoff.wait(self.attempts, self.backends.rng.random())
             )
 
-    def note(self, state: BackendState, error: BackendError) -> None:
-        """Tell the ejector, which judges servers and not requests."""
+    def report_error(self, state: BackendState, error: BackendError) -> None:
+        """Report an error to the ejector.
+
+        Refusals of engines are left out: they may be due to the request.
+        """
         name = state.backend.name
         if isinstance(error, UnreachableError):
             self.backends.ejector.lost(name, anyio.current_time())
@@ -280,11 +308,11 @@
     def may_repeat(self, error: BackendError) -> bool:
         """Return whether another attempt may follow an error.
 
-        What provably did not run costs no engine anything, so it may always be
-        tried elsewhere.  A stream that the caller has begun to read goes on
-        elsewhere, unless its engine did not number its tokens.  All else takes
-        from the retry budget: in an outage every request fails, and unbounded
-        retries would keep the engines too busy to recover.
+        An attempt that certainly did not run cost no engine any work, so it may
+        always be repeated.  A stream of which the caller has a part is resumed at
+        another engine, if the tokens are numbered.  Any other attempt takes from the
+        retry budget: in an outage every request fails, and unlimited retries would
+        keep the engines too busy to recover.
         """
         if not error.ran:
             return True
@@ -292,47 +320,51 @@
             return self.check.resumable
         return self.retries.take()
 
-    def dangle(self, state: BackendState, permit: Permit) -> None:
-        """Remember an attempt whose engine must still be asked."""
-        self.dangling.append(Dangling(state.backend.name, permit.attempt, self.boot))
+    def add_unclosed(self, state: BackendState, permit: Permit) -> None:
+        """Record an attempt that `settle` must close at its engine."""
+        self.unclosed.append(
+            UnclosedAttempt(state.backend.name, permit.attempt, self.boot)
+        )
 
     async def settle(self) -> Ran:
-        """Close what was left open, file the outcome, and say whether it ran.
+        """Close open attempts, settle the request, and return whether it may have run.
 
-        It is shielded: a caller that goes away would otherwise cancel its own
-        bill, and its hold would stay taken for as long as this router lives.
+        The call is shielded from cancellation: a caller that disconnects would
+        otherwise cancel the settlement, and the hold would stay until this router's
+        process ends.
         """
         with anyio.CancelScope(shield=True):
-            truths = await self.close_dangling()
-            ran = Ran.UNKNOWN if self.ended or may_have_run(truths) else Ran.NO
+            statuses = await self.close_attempts()
+            ran = Ran.UNKNOWN if self.complete or may_have_run(statuses) else Ran.NO
             if self.permit is not None:
-                await self.money.finish(self.permit, self.outcome(truths, ran))
+                await self.money.finish(self.permit, self.outcome(statuses, ran))
         return ran
 
-    async def close_dangling(self) -> list[AttemptTruth]:
-        """Ask every engine that may still be at work to stop, all at once."""
-        truths: list[AttemptTruth] = []
+    async def close_attempts(self) -> list[AttemptTruth]:
+        """Close the recorded attempts concurrently; return the reported statuses."""
+        statuses: list[AttemptTruth] = []
 
-        async def close(item: Dangling) -> None:
-            truth = await self.backends.close_attempt(item.backend, item.attempt)
-            truths.append(same_boot(truth, item.boot))
+        async def close(item: UnclosedAttempt) -> None:
+            status = await self.backends.close_attempt(item.backend, item.attempt)
+            statuses.append(trusted_status(status, item.boot))
 
         async with anyio.create_task_group() as group:
-            for item in self.dangling:
+            for item in self.unclosed:
                 group.start_soon(close, item)
-        return truths
+        return statuses
 
-    def outcome(self, truths: list[AttemptTruth], ran: Ran) -> Outcome:
-        """Return what the request costs.
+    def outcome(self, statuses: list[AttemptTruth], ran: Ran) -> Outcome:
+        """Return the outcome of the request with its charge.
 
-        A whole answer costs what its engine says.  A cut one costs what reached
-        the caller, or what the engine ran if the caller went away: tokens that
-        were run twice because an engine died are the operator's.
+        The charge is at most the bounds of prompt and answer; tokens above them are
+        recorded as overshoot.
         """
         assert self.permit is not None
-        prompt, completion = self.ran_tokens(truths)
-        charge = min(self.ask.bound, prompt) + min(self.ask.most, completion)
-        state = RequestState.COMPLETE if self.ended else RequestState.INTERRUPTED
+        prompt, completion = self.ran_tokens(statuses)
+        charge = min(self.parsed.max_prompt, prompt) + min(
+            self.parsed.max_output, completion
+        )
+        state = RequestState.COMPLETE if self.complete else RequestState.INTERRUPTED
         if ran is Ran.NO:
             state = RequestState.NOT_RUN
         return Outcome(
@@ -346,49 +378,56 @@
             prompt + completion - charge,
         )
 
-    def ran_tokens(self, truths: list[AttemptTruth]) -> tuple[Tokens, Tokens]:
-        """Return the prompt's and the answer's tokens that are to be paid."""
+    def ran_tokens(self, statuses: list[AttemptTruth]) -> tuple[Tokens, Tokens]:
+        """Return the tokens of the prompt and of the answer that count for the bill.
+
+        An answer with usage counts as its engine states, and at least the tokens
+        that were sent.  Without usage, a complete answer and one that this router
+        ended count what the engines report, and at least the tokens that were sent.
+        Any other counts the tokens that were sent, and the prompt if anything was:
+        the operator pays for tokens that ran twice after an engine failed.
+        """
         usage = self.usage or self.check.usage
         if usage is not None:
             return usage.prompt_tokens, max(
                 usage.completion_tokens, self.check.expected
             )
-        prompt = max((truth.prompt_tokens for truth in truths), default=0)
-        completion = max((truth.completion_tokens for truth in truths), default=0)
-        if self.ended or self.given_up:
+        prompt = max((status.prompt_tokens for status in statuses), default=0)
+        completion = max((status.completion_tokens for status in statuses), default=0)
+        if self.complete or self.aborted:
             return prompt, max(completion, self.check.expected)
         return (prompt if self.check.opened else 0), self.check.expected
 
 
-def may_have_run(truths: list[AttemptTruth]) -> bool:
-    """Return whether any attempt may have run."""
-    return any(truth.state is not AttemptState.NEVER_RAN for truth in truths)
+def may_have_run(statuses: list[AttemptTruth]) -> bool:
+    """Return whether any attempt may have run: its status is not NEVER_RAN."""
+    return any(status.state is not AttemptState.NEVER_RAN for status in statuses)
 
 
-def same_boot(truth: AttemptTruth, boot: str) -> AttemptTruth:
-    """Trust a server's "never ran" only within the life it was sent to.
+def trusted_status(status: AttemptTruth, boot: str) -> AttemptTruth:
+    """Return the status; unknown if "never ran" comes from a restarted server.
 
-    A server that restarted has forgotten what it ran; its word shows as another
-    boot identifier, and counts as not knowing.
+    A restarted server has lost the record of what it ran.  Its boot identifier
+    differs from the one that the attempt was sent to.
     """
-    if truth.state is AttemptState.NEVER_RAN and truth.boot != boot:
-        return AttemptTruth(AttemptState.UNKNOWN, boot=truth.boot)
-    return truth
+    if status.state is AttemptState.NEVER_RAN and status.boot != boot:
+        return AttemptTruth(AttemptState.UNKNOWN, boot=status.boot)
+    return status
 
 
 def engine_message(body: str) -> str:
-    """Return an engine's own words, out of its JSON if that is what it sent."""
+    """Return the message of an engine's JSON error, else its first 500 characters."""
     try:
         return str(json.loads(body)["error"]["message"])
     except (ValueError, KeyError, TypeError):
         return body[:500]
 
 
-def read_whole(body: bytes) -> Usage | None:
-    """Return the usage of a whole answer, or None where it is left out.
+def read_answer_usage(body: bytes) -> Usage | None:
+    """Return the usage of a whole answer, or None if the answer states none.
 
     Raises:
-        BrokenStreamError: It is not the JSON it should be.
+        BrokenStreamError: The answer is not JSON with choices, or the usage is invalid.
     """
     try:
         value = json.loads(body)
--- a/ebonyhold/callers/_services.py
+++ b/ebonyhold/callers/_services.py
@@ -1,4 +1,4 @@
-"""Passing calls through to plain services."""
+"""Forwards calls to plain services."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     request_headers,
 )
 from ebonyhold.callers._ask import Identity
-from ebonyhold.callers._chat import REQUEST_HEADER, keep, send_kept
+from ebonyhold.callers._chat import REQUEST_HEADER, send_kept, to_kept_answer
 from ebonyhold.callers._codes import (
     BACKEND_FAILED,
     NO_BACKEND,
@@ -27,7 +27,7 @@
     PARAMETER_INVALID,
     Ran,
 )
-from ebonyhold.callers._flight import last_moment, stopped
+from ebonyhold.callers._flight import stop_deadline, stop_refusal
 from ebonyhold.callers._refusals import SOON, Refusal
 from ebonyhold.coordination import (
     Outcome,
@@ -41,21 +41,31 @@
 from ebonyhold.tracing import context_headers, hop
 from ebonyhold.types import AttemptId, BackendName, Seconds, Tokens, WorkspaceName
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
+"""Maximum number of attempts of one call, also of those that were not sent."""
 
-DURABLE_WITHIN: Seconds = 2.0
-"""How long an answer waits for its outcome to be durable."""
+DURABLE_TIMEOUT: Seconds = 2.0
+"""How long the response waits for the outcome to be durable."""
 
 CHARGED_BELOW = 400
-"""Statuses below this mean that the call did what it was for."""
+"""Calls that are answered with a status below this are charged."""
 
-UNRULED = ServiceRule("*", "", repeatable=False)
-"""A call that no rule matches may not be repeated."""
+DEFAULT_RULE = ServiceRule("*", "", repeatable=False)
+"""The rule of a call that no rule of its service matches."""
 
 
 @frozen
-class ServiceAsk:
-    """A call to a plain service, read and bounded."""
+class ServiceRequest:
+    """A parsed call to a plain service.
+
+    Attributes:
+        route: The route of the service.
+        rule: The first rule of the route that matches the call, or `DEFAULT_RULE`.
+        method: The HTTP method.
+        target: Path and query for the service, in the caller's encoding.
+        headers: The headers that are forwarded.
+        body: The body that is forwarded.
+    """
 
     route: ServiceRoute
     rule: ServiceRule
@@ -66,32 +76,33 @@
 
     @property
     def digest(self) -> str:
-        """SHA-256 of method, target and body."""
+        """SHA-256 of method, target and body, in hexadecimal."""
         start = f"{self.method} {self.target}\n".encode()
         return hashlib.sha256(start + self.body).hexdigest()
 
     @property
     def kind(self) -> RequestKind:
-        """What may be repeated."""
+        """REPEATABLE if the call may be repeated, else BOOKING."""
         if self.rule.repeatable:
             return RequestKind.REPEATABLE
         return RequestKind.BOOKING
 
 
 def rule_for(route: ServiceRoute, method: str, path: str) -> ServiceRule:
-    """Return the first rule that matches a call."""
+    """Return the first matching rule of a route, or `DEFAULT_RULE`."""
     for rule in route.rules:
         if rule.method in ("*", method) and path.startswith(rule.path):
             return rule
-    return UNRULED
+    return DEFAULT_RULE
 
 
-def read_service(request: Request, route: ServiceRoute, body: bytes) -> ServiceAsk:
-    """Read a call.
+def read_service(request: Request, route: ServiceRoute, body: bytes) -> ServiceRequest:
+    """Parse a call.
 
     Raises:
-        Refusal: Its path has dot segments.  A service that resolves them could
-            be led from a path that may be repeated to one that may not.
+        Refusal: The path has dot segments.  A service that resolves them could run
+            another path than the rules were matched with: one that may not be
+            repeated instead of one that may.
     """
     path = "/" + request.parameters["path"]
     if any(segment in (".", "..") for segment in path.split("/")):
@@ -101,7 +112,7 @@
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in request.raw_headers
     )
-    return ServiceAsk(
+    return ServiceRequest(
         route,
         rule_for(route, request.method, path),
         request.method,
@@ -112,7 +123,7 @@
 
 
 def raw_target(request: Request) -> str:
-    """Return the path behind the service's name, as the caller encoded it."""
+    """Return the path after the service's name, in the caller's percent-encoding."""
     raw = request.scope.get("raw_path") or quote(request.path).encode()
     return "/" + bytes(raw).decode("latin-1").split("/", 3)[3].partition("?")[0]
 
@@ -122,14 +133,20 @@
     """Runs a call, at most once if it may not be repeated.
 
     Attributes:
-        money: Claims and bills.
-        backends: The servers.
-        retries: Bounds attempts that may repeat work.
-        workspace: Who pays.
+        money: Takes holds and claims, and files bills.
+        backends: The backend servers.
+        retries: Limits the attempts that may repeat work.
+        workspace: The workspace that pays.
         identity: The request's identifier.
-        ask: The call.
-        permit: Leave for the last attempt; None for free calls that may be
+        parsed: The parsed call.
+        on_chosen: Called for each attempt, when its server is chosen.
+        permit: The permit of the last attempt; None for free calls that may be
             repeated, which need neither a claim nor a bill.
+        answer: The answer of the service, once it is complete.
+        tried: Servers that failed an attempt; they are not chosen again.
+        attempts: Number of attempts so far.
+        may_have_run: Whether an attempt without an answer may have run.
+        running: Cancels the attempts.
     """
 
     money: Money
@@ -137,7 +154,7 @@
     retries: RetryBudget
     workspace: WorkspaceName
     identity: Identity
-    ask: ServiceAsk
+    parsed: ServiceRequest
     on_chosen: Callable[[], None] = field(default=lambda: None)
     permit: Permit | None = None
     answer: Answer | None = None
@@ -147,20 +164,20 @@
     running: anyio.CancelScope = field(factory=anyio.CancelScope)
 
     def interrupt(self) -> None:
-        """End the call soon, also one that may not be repeated."""
-        self.running.deadline = last_moment()
+        """Cancel the call at `stop_deadline`, also one that may not be repeated."""
+        self.running.deadline = stop_deadline()
 
     async def respond(self, send: Send) -> None:
         """Run the call and send its answer.
 
-        A call that may not be repeated goes on when its caller goes away: it
-        cannot be taken back, and a retry with its key will want the answer.
+        A call that may not be repeated goes on when its caller disconnects: it
+        cannot be undone, and a retry with the same key gets the stored answer.
 
         Raises:
             Refusal: There is no answer.
-            EbonyholdError: It may not be dispatched.
+            EbonyholdError: The call may not be dispatched.
         """
-        with anyio.CancelScope(shield=not self.ask.rule.repeatable):
+        with anyio.CancelScope(shield=not self.parsed.rule.repeatable):
             replay = await self.complete()
         if replay is not None:
             await send_kept(replay.answer, self.identity.request, send)
@@ -177,7 +194,7 @@
         )
 
     async def complete(self) -> Replay | None:
-        """Make attempts and record the outcome before anything is answered.
+        """Make attempts and settle the call; return a stored answer if there is one.
 
         Raises:
             Refusal: There is no answer.
@@ -194,10 +211,10 @@
         return replay
 
     async def run(self) -> Replay | None:
-        """Make attempts until there is an answer.
+        """Make attempts until there is an answer; return a stored one if there is one.
 
         Raises:
-            Refusal: There is none, and no further attempt is allowed.
+            Refusal: There is no answer, and no further attempt is allowed.
         """
         self.retries.first_attempt()
         while self.answer is None:
@@ -215,20 +232,20 @@
         return None
 
     def refusal_of_stop(self) -> Refusal:
-        """Return what the caller hears when the router's stop has ended the call."""
+        """Return the refusal of a call that was ended by the router's stop."""
         if not self.may_have_run:
-            return stopped(Ran.NO)
-        if not self.ask.rule.repeatable:
+            return stop_refusal(Ran.NO)
+        if not self.parsed.rule.repeatable:
             return Refusal(OUTCOME_UNKNOWN, "this router stopped before the answer")
-        return stopped(Ran.UNKNOWN)
+        return stop_refusal(Ran.UNKNOWN)
 
     def choose(self) -> BackendState:
-        """Choose the next server.
+        """Choose the next server, never one that failed an attempt.
 
         Raises:
-            Refusal: None is left.
+            Refusal: No server is left.
         """
-        state = self.backends.choose_service(self.ask.route.service, self.tried)
+        state = self.backends.choose_service(self.parsed.route.service, self.tried)
         if state is not None:
             return state
         if self.may_have_run:
@@ -236,7 +253,10 @@
         raise Refusal(NO_BACKEND, retry_after=SOON)
 
     async def reserve(self, state: BackendState) -> Replay | None:
-        """Make the next attempt durable, or find that it has its answer."""
+        """Write the intent of the next attempt durably, or return the stored answer.
+
+        A free call needs no intent.
+        """
         if self.is_free:
             return None
         if self.permit is not None:
@@ -254,29 +274,32 @@
     @property
     def is_free(self) -> bool:
         """Whether the call needs neither a claim nor a bill."""
-        return self.ask.rule.repeatable and self.ask.rule.price == 0
+        return self.parsed.rule.repeatable and self.parsed.rule.price == 0
 
     def order(self, state: BackendState) -> Order:
-        """Return what is asked of the money."""
-        honoured = self.identity.keyed and self.ask.route.honours_idempotency_key
-        booking = self.ask.kind is RequestKind.BOOKING
+        """Return the order for a hold, a claim and an intent.
+
+        A booking needs a claim unless the service honours the caller's key.
+        """
+        honoured = self.identity.keyed and self.parsed.route.honours_idempotency_key
+        booking = self.parsed.kind is RequestKind.BOOKING
         return Order(
             self.workspace,
             self.identity.request,
-            self.ask.kind,
-            self.ask.digest,
+            self.parsed.kind,
+            self.parsed.digest,
             self.identity.keyed,
-            self.ask.rule.price,
+            self.parsed.rule.price,
             state.backend.name,
             state.boot,
             claim_needed=booking and not honoured,
         )
 
     async def attempt(self, state: BackendState) -> None:
-        """Make one attempt.
+        """Make one attempt; return without an answer if another one may follow.
 
         Raises:
-            Refusal: It failed, and no further one is allowed.
+            Refusal: The attempt failed, and no further one is allowed.
         """
         name = state.backend.name
         call = self.call()
@@ -287,7 +310,7 @@
         except UnreachableError:
             self.backends.ejector.lost(name, anyio.current_time())
             self.tried.add(name)
-            self.check_bound()
+            self.check_attempts()
         except BackendError as error:
             self.backends.ejector.failed(name, anyio.current_time())
             self.tried.add(name)
@@ -303,62 +326,64 @@
             self.backends.changed()
 
     def check_repeat(self, error: BackendError) -> None:
-        """Let another attempt follow one whose answer was lost, or not.
+        """Check whether another attempt may follow one that may have run.
 
-        The service may have made the booking and its answer was lost on the
-        way; another attempt would make a second one.  So the call ends here,
-        and its record says that nobody knows.
+        A service may have carried out a booking whose answer was lost; another
+        attempt could book twice.  Such a call ends here with an unknown outcome.
 
         Raises:
-            Refusal: No attempt may follow.
+            Refusal: No further attempt is allowed.
         """
-        if not self.ask.rule.repeatable:
+        if not self.parsed.rule.repeatable:
             raise Refusal(OUTCOME_UNKNOWN, str(error)) from error
         if not self.retries.take():
             raise Refusal(BACKEND_FAILED, str(error), retry_after=SOON) from error
-        self.check_bound()
+        self.check_attempts()
 
-    def check_bound(self) -> None:
-        """End the attempts at a bound.
+    def check_attempts(self) -> None:
+        """Check that the maximum number of attempts is not reached.
 
         Raises:
-            Refusal: The bound is reached.
+            Refusal: The maximum is reached.
         """
-        if self.attempts < MOST_ATTEMPTS:
+        if self.attempts < MAX_ATTEMPTS:
             return
         if self.may_have_run:
             raise Refusal(BACKEND_FAILED, retry_after=SOON)
         raise Refusal(NO_BACKEND, retry_after=SOON)
 
     def call(self) -> ServiceCall:
-        """Return the attempt as the service gets it."""
+        """Return the call of one attempt, as sent to the service."""
         return ServiceCall(
             self.attempt_id(),
-            self.ask.method,
-            self.ask.target,
-            (*self.ask.headers, *context_headers().items()),
-            self.ask.body,
-            self.ask.route.timeout,
-            self.ask.route.most_body,
+            self.parsed.method,
+            self.parsed.target,
+            (*self.parsed.headers, *context_headers().items()),
+            self.parsed.body,
+            self.parsed.route.timeout,
+            self.parsed.route.most_body,
             self.identity.request if self.identity.keyed else "",
         )
 
     def attempt_id(self) -> AttemptId:
-        """Return the attempt's identifier."""
+        """Return the permit's attempt identifier, or a new one for a free call."""
         if self.permit is not None:
             return self.permit.attempt
         return f"{self.identity.request}.{self.attempts}"
 
     async def settle(self) -> None:
-        """Record the outcome, durably before the answer if that can be had."""
+        """Settle the call; wait at most `DURABLE_TIMEOUT` for a durable outcome.
+
+        Without a permit there is nothing to settle.
+        """
         if self.permit is None:
             return
         await self.money.finish(
-            self.permit, self.outcome(), durable_within=DURABLE_WITHIN
+            self.permit, self.outcome(), durable_within=DURABLE_TIMEOUT
         )
 
     def outcome(self) -> Outcome:
-        """Return how the call ended."""
+        """Return the outcome of the call, with the answer if the request has a key."""
         assert self.permit is not None
         state = RequestState.COMPLETE
         if self.answer is None:
@@ -372,15 +397,15 @@
             self.permit.attempt,
             state,
             self.charge(),
-            answer=keep(self.answer) if keyed and self.answer else None,
+            answer=to_kept_answer(self.answer) if keyed and self.answer else None,
         )
 
     def charge(self) -> Tokens:
-        """Return the price, if the call did what it was for.
+        """Return the price of a call answered with a status below `CHARGED_BELOW`.
 
-        A call that nobody knows the outcome of is not billed here: recovery or
-        an operator settles it.
+        Any other call is charged 0 tokens; recovery or an operator settles one whose
+        outcome is unknown.
         """
         if self.answer is None or self.answer.status >= CHARGED_BELOW:
             return 0
-        return self.ask.rule.price
+        return self.parsed.rule.price
--- a/ebonyhold/callers/_serving.py
+++ b/ebonyhold/callers/_serving.py
@@ -1,4 +1,4 @@
-"""What an endpoint needs of the application that serves it."""
+"""The part of the application that endpoints use."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Serving(Protocol):
-    """The application's parts, as its endpoints use them.
+    """The application, as its endpoints use it.
 
     Attributes:
-        money: Permits and bills.
-        fleet: The document in force and who is leaving.
-        backends: The backend servers.
-        metrics: Counts requests, attempts and times.
-        retries: The budget of further attempts.
+        money: Issues permits and files bills.
+        fleet: The document in force and the servers that are leaving.
+        backends: The backend servers and their state.
+        metrics: Counts requests and attempts, and measures times.
+        retries: The budget of attempts that may repeat work.
     """
 
     money: Money
--- a/ebonyhold/callers/errors_page.py
+++ b/ebonyhold/callers/errors_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/ERRORS.md from the registry of refusals.
+"""Generates docs/ERRORS.md from the registry of refusal codes.
 
 Run ``python -m ebonyhold.callers.errors_page > docs/ERRORS.md``.
 """
@@ -38,13 +38,13 @@
 
 
 def line(code: RefusalCode) -> str:
-    """Return one line of the table."""
+    """Return the line of the table for one code."""
     ran = "not run" if code.ran is Ran.NO else "unknown"
     return f"| `{code.code}` | {code.status} | {ran} | {code.meaning} | {code.advice} |"
 
 
 def page() -> str:
-    """Return the whole page."""
+    """Return the page, with the codes in alphabetical order."""
     return INTRODUCTION + "\n".join(line(codes[name]) for name in sorted(codes)) + "\n"
 
 
