--- a/ebonyhold/callers/_endpoints.py
+++ b/ebonyhold/callers/_endpoints.py
@@ -62,14 +62,14 @@
 
     Attributes:
         gate: The gate that admitted the request.
-        reported: Whether the gate was informed of the choice.
+        reported: Whether the gate no longer counts the request as pending.
     """
 
     gate: Gate
     reported: bool = False
 
     def server_chosen(self) -> None:
-        """Report to the gate, at the first call only, that a server was chosen."""
+        """Report to the gate, at the first call, that the request is not pending."""
         if not self.reported:
             self.reported = True
             self.gate.arrived()
--- a/tests/callers/__init__.py
+++ b/tests/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the interface to callers."""
+"""Tests of the HTTP interface for callers."""
--- a/tests/callers/conftest.py
+++ b/tests/callers/conftest.py
@@ -1,4 +1,4 @@
-"""All tests here run on a virtual clock."""
+"""Runs the tests of this folder on a virtual clock, unless a file overrides it."""
 
 from tests.virtual import anyio_backend
 
--- a/tests/callers/kit.py
+++ b/tests/callers/kit.py
@@ -1,4 +1,4 @@
-"""A callers' application with fake money in front of scripted servers."""
+"""A `CallersApp` with fake money and scripted backend servers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,18 @@
 
 @define
 class FakeMoney:
-    """Grants everything, unless told otherwise, and keeps what it was told."""
+    """Grants every order, and records the calls.
+
+    Attributes:
+        orders: The orders of first attempts.
+        further: The permits of further attempts.
+        outcomes: The outcomes of finished requests.
+        log: One line for each call, in order.
+        error: Raised by `begin` if set.
+        replay: Returned by `begin` if set.
+        delay: How long `begin` takes, in seconds.
+        finished: Set at the first call of `finish`.
+    """
 
     orders: list[Order] = field(factory=list)
     further: list[Permit] = field(factory=list)
@@ -77,8 +88,12 @@
 
 
 @define
-class Heard:
-    """What a caller heard."""
+class CallerResponse:
+    """The response as the caller received it.
+
+    Attributes:
+        ended: Whether the last part of the body was received.
+    """
 
     status: int = 0
     headers: dict[str, str] = field(factory=dict)
@@ -87,13 +102,13 @@
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a refusal."""
+        """The error object of a refusal."""
         error: dict[str, Any] = json.loads(self.body)["error"]
         return error
 
     @property
     def text(self) -> str:
-        """The text of a stream."""
+        """The text of all tokens of a stream."""
         parts = []
         for line in self.body.splitlines():
             if line.startswith(b"data: {"):
@@ -103,17 +118,22 @@
 
     @property
     def whole(self) -> bool:
-        """Whether a stream ended as whole."""
+        """Whether a stream ended with ``[DONE]``."""
         return self.ended and self.body.endswith(b"data: [DONE]\n\n")
 
 
 @define
 class Bench:
-    """The application and what is around it.
+    """The application, its fake money and its scripted servers.
 
     Attributes:
-        gone_after: Pieces of an answer after which the caller goes away.
-        slow_after: Pieces after which the caller takes nothing more.
+        money: Records orders and outcomes.
+        servers: The scripted servers by name.
+        app: The application.
+        gone_after: Number of body messages after which the caller disconnects;
+            -1 for never.
+        slow_after: Number of body messages after which the caller reads nothing
+            more; -1 for never.
     """
 
     money: FakeMoney
@@ -132,9 +152,19 @@
         gone: anyio.Event | None = None,
         never: bool = False,
         **headers: str,
-    ) -> Heard:
-        """Send one request and hear its answer out."""
-        heard = Heard()
+    ) -> CallerResponse:
+        """Send one request and return its response.
+
+        Args:
+            method: The HTTP method.
+            path: Path and query.
+            body: The request's body.
+            key: The API key; empty for none.
+            gone: The caller disconnects when it is set.
+            never: Whether the body never arrives.
+            headers: Further headers, with underscores instead of hyphens.
+        """
+        response = CallerResponse()
         gone = gone or anyio.Event()
         sent = False
         pieces = 0
@@ -150,15 +180,15 @@
         async def send(message: Message) -> None:
             nonlocal pieces
             if message["type"] == "http.response.start":
-                heard.status = message["status"]
-                heard.headers = {
+                response.status = message["status"]
+                response.headers = {
                     name.decode(): value.decode() for name, value in message["headers"]
                 }
                 return
             if pieces == self.slow_after:
                 await anyio.sleep_forever()
-            heard.body += message.get("body", b"")
-            heard.ended = not message.get("more_body", False)
+            response.body += message.get("body", b"")
+            response.ended = not message.get("more_body", False)
             pieces += 1
             if pieces == self.gone_after:
                 gone.set()
@@ -177,10 +207,10 @@
             "headers": [(k.encode(), v.encode("latin-1")) for k, v in named.items()],
         }
         await self.app(scope, receive, send)
-        return heard
+        return response
 
-    async def chat(self, *, stream: bool = True, **extra: Any) -> Heard:
-        """Send a chat request."""
+    async def chat(self, *, stream: bool = True, **extra: Any) -> CallerResponse:
+        """Send a chat request; `extra` holds arguments of `ask` and JSON fields."""
         headers = {
             name: extra.pop(name)
             for name in (
@@ -199,7 +229,7 @@
 
 
 def make_document(engines: int = 2, service_count: int = 2, **changes: Any) -> Document:
-    """Return a document with so many servers."""
+    """Return a document with so many engines and servers of a plain service."""
     backends = [
         Backend(
             f"e{index}",
@@ -232,7 +262,7 @@
 
 
 def make_bench(document: Document | None = None) -> Bench:
-    """Return an application in front of scripted servers."""
+    """Return an application with scripted servers that follow the document."""
     document = document or make_document()
     servers = {backend.name: Engine() for backend in document.backends}
     transport = Fleet(
--- a/tests/callers/test_chat.py
+++ b/tests/callers/test_chat.py
@@ -1,4 +1,4 @@
-"""Chat requests: whole answers, or the truth about why not."""
+"""Chat requests: answers, bills, waiting in the queue, and refusals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     sends,
     token,
 )
-from tests.callers.kit import Heard, make_bench, make_document
+from tests.callers.kit import CallerResponse, make_bench, make_document
 
 pytestmark = pytest.mark.anyio
 TEXT = "".join(f"t{index} " for index in range(TOKENS))
@@ -27,33 +27,33 @@
 
 async def test_stream_is_whole_and_billed() -> None:
     bench = make_bench()
-    heard = await bench.chat()
-    assert (heard.status, heard.text, heard.whole) == (200, TEXT, True)
-    assert b'"usage"' not in heard.body
+    response = await bench.chat()
+    assert (response.status, response.text, response.whole) == (200, TEXT, True)
+    assert b'"usage"' not in response.body
     (outcome,) = bench.money.outcomes
     assert outcome.state is RequestState.COMPLETE
     assert outcome.charge == PROMPT_TOKENS + TOKENS
 
 
 async def test_usage_event_is_passed_on_when_asked_for() -> None:
-    heard = await make_bench().chat(stream_options={"include_usage": True})
-    assert b'"usage"' in heard.body
-    assert heard.whole
+    response = await make_bench().chat(stream_options={"include_usage": True})
+    assert b'"usage"' in response.body
+    assert response.whole
 
 
 async def test_whole_answer() -> None:
     bench = make_bench()
-    heard = await bench.chat(stream=False)
-    assert heard.status == 200
-    assert TEXT.encode() in heard.body
+    response = await bench.chat(stream=False)
+    assert response.status == 200
+    assert TEXT.encode() in response.body
     assert bench.money.outcomes[0].charge == PROMPT_TOKENS + TOKENS
 
 
-async def test_an_interrupted_stream_says_so() -> None:
-    """A stop's patience is over while a stream is under way.
+async def test_interrupted_stream_ends_with_error_event() -> None:
+    """A stop of the router interrupts a stream.
 
-    The caller reads an explicit error event and no ``[DONE]``; the engine is
-    told, and the request is settled.
+    The caller gets an error event and no ``[DONE]``, the attempt is closed at its
+    engine, and the request is settled.
     """
     bench = make_bench(make_document(engines=1))
     engine = bench.servers["e0"]
@@ -62,25 +62,25 @@
     bench.app.backends.timeouts = bench.app.backends.engines.timeouts = Timeouts(
         stall=900.0, first=900.0
     )
-    heard: list[Heard] = []
+    responses: list[CallerResponse] = []
 
     async def ask() -> None:
-        heard.append(await bench.chat())
+        responses.append(await bench.chat())
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
         await anyio.sleep(1.0)
         await bench.app.interrupt()
-    assert heard[0].ended
-    assert b"event: error" in heard[0].body
-    assert b"[DONE]" not in heard[0].body
+    assert responses[0].ended
+    assert b"event: error" in responses[0].body
+    assert b"[DONE]" not in responses[0].body
     assert bench.money.outcomes[0].charge == 10
     assert len(engine.closes) == 1
 
 
 @pytest.mark.parametrize("left", ["at once", "while it waits"])
-async def test_no_engine_is_said_at_once(left: str) -> None:
-    """All engines leave; nobody waits for a deadline to hear so."""
+async def test_refused_at_once_without_engines(left: str) -> None:
+    """Requests are refused as soon as all engines leave, not at their deadlines."""
     bench = make_bench(make_document(engines=1))
     fleet = bench.app.fleet
     if left == "at once":
@@ -88,11 +88,11 @@
     else:
         bench.app.backends.refresh()
         bench.app.backends.states["e0"].reserved = 100
-    heard: list[Heard] = []
+    responses: list[CallerResponse] = []
 
     async def ask() -> None:
-        heard.append(await bench.chat(x_deadline_ms="60000"))
-        heard[0].headers["at"] = str(anyio.current_time())
+        responses.append(await bench.chat(x_deadline_ms="60000"))
+        responses[0].headers["at"] = str(anyio.current_time())
 
     begun = anyio.current_time()
     async with anyio.create_task_group() as tasks:
@@ -100,25 +100,25 @@
         await anyio.sleep(1.0)
         fleet.leaving = frozenset({"e0"})
         bench.app.pump()
-    assert heard[0].error["code"] == "no_backend"
-    assert heard[0].error["not_run"] is True
-    assert float(heard[0].headers["at"]) <= begun + 1.0
+    assert responses[0].error["code"] == "no_backend"
+    assert responses[0].error["not_run"] is True
+    assert float(responses[0].headers["at"]) <= begun + 1.0
 
 
-async def test_a_deadline_that_passes() -> None:
-    """The engine is full for as long as the caller allows; nothing ran."""
+async def test_deadline_passes_in_queue() -> None:
+    """The engine stays full until the caller's deadline; nothing ran."""
     bench = make_bench(make_document(engines=1))
     bench.app.backends.refresh()
     bench.app.backends.states["e0"].reserved = 100
-    heard = await bench.chat(x_deadline_ms="700")
-    assert heard.error["code"] == "deadline_unreachable"
-    assert heard.error["not_run"] is True
-    assert heard.error["retry_after"] > 0
+    response = await bench.chat(x_deadline_ms="700")
+    assert response.error["code"] == "deadline_unreachable"
+    assert response.error["not_run"] is True
+    assert response.error["retry_after"] > 0
     assert bench.money.log == []
 
 
-async def test_a_caller_that_leaves_the_queue() -> None:
-    """A caller goes away while it waits; its place and its share are free again."""
+async def test_disconnect_in_queue_frees_place() -> None:
+    """A caller that disconnects in the queue leaves nothing behind in its gate."""
     bench = make_bench(make_document(engines=1))
     bench.app.backends.refresh()
     state = bench.app.backends.states["e0"]
@@ -142,8 +142,8 @@
     order: list[str] = []
 
     async def ask(kind: str) -> None:
-        heard = await bench.chat(x_priority=kind, x_deadline_ms="9000")
-        assert heard.whole
+        response = await bench.chat(x_priority=kind, x_deadline_ms="9000")
+        assert response.whole
         order.append(kind)
 
     async with anyio.create_task_group() as tasks:
@@ -168,11 +168,10 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-async def test_overshoot_is_the_operators(stream: bool) -> None:
-    """An engine runs further than it was told to.
+async def test_overshoot_is_not_charged(stream: bool) -> None:
+    """An engine generates more tokens than the request allows.
 
-    The workspace pays what it asked for at most; the rest stands in the bill as
-    overshoot.
+    The workspace pays for the allowed tokens; the others are recorded as overshoot.
     """
     bench = make_bench(make_document(engines=1))
     usage = {"prompt_tokens": 9, "completion_tokens": 50}
@@ -189,8 +188,8 @@
     assert (outcome.charge, outcome.overshoot) == (9 + 8, 42)
 
 
-async def test_an_answer_without_usage_has_its_price() -> None:
-    """An engine leaves the usage out; it is asked for it before the bill."""
+async def test_answer_without_usage_is_billed() -> None:
+    """An engine sends no usage; the bill takes it from the closing of the attempt."""
     bench = make_bench(make_document(engines=1))
     engine = bench.servers["e0"]
     tokens = [token(index) for index in range(TOKENS)]
@@ -202,7 +201,7 @@
     assert (outcome.state, outcome.charge) == (RequestState.COMPLETE, 15)
 
 
-async def test_a_body_that_never_comes() -> None:
-    heard = await make_bench().ask("POST", "/v1/chat/completions", never=True)
-    assert (heard.status, heard.error["code"]) == (408, "body_timeout")
-    assert heard.error["not_run"] is True
+async def test_body_never_arrives() -> None:
+    response = await make_bench().ask("POST", "/v1/chat/completions", never=True)
+    assert (response.status, response.error["code"]) == (408, "body_timeout")
+    assert response.error["not_run"] is True
--- a/tests/callers/test_faults.py
+++ b/tests/callers/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of model engines, in tables: what the caller hears, what is billed."""
+"""Faults of model engines: what the caller gets and what is billed."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 pytestmark = pytest.mark.anyio
 TEXT = "".join(f"t{index} " for index in range(TOKENS))
 RESET = httpx.ReadError("reset")
-HALF = httpx.RemoteProtocolError("closed early")
+CLOSED_EARLY = httpx.RemoteProtocolError("closed early")
 TRICKLE: list[bytes | Exception | float] = [b"d", 1.0] * 30
-NAMED = b'data: {"id":"c-1","choices":[{"delta":{}}]}\n\n'
-MINE = token(0).replace(b"{", b'{"id":"c-1",', 1)
-STRANGE = token(1).replace(b"{", b'{"id":"c-2",', 1)
+OWN_OPENING = b'data: {"id":"c-1","choices":[{"delta":{}}]}\n\n'
+OWN_TOKEN = token(0).replace(b"{", b'{"id":"c-1",', 1)
+FOREIGN_TOKEN = token(1).replace(b"{", b'{"id":"c-2",', 1)
 ALL = [token(index) for index in range(TOKENS)]
 
 
 async def crossed(engine: Engine, request: httpx.Request) -> httpx.Response:
-    """Answer with another attempt's stream."""
+    """Answer with the stream of another attempt."""
     response = engine.stream(request, [opening(), *ALL, *closing()])
     response.headers["X-Attempt-Id"] = "somebody-else"
     return response
@@ -51,12 +51,14 @@
     "attempt closed": answers(409),
     "crossed answer": crossed,
     "reset in the middle": broken_after(3, RESET),
-    "half an answer": broken_after(TOKENS, HALF),
+    "half an answer": broken_after(TOKENS, CLOSED_EARLY),
     "silent in the middle": sends(opening(), *ALL[:2], 60.0, *ALL[2:]),
     "trickled event": sends(opening(), ALL[0], *TRICKLE),
     "ends without its end": sends(opening(), *ALL),
     "ends without finish reason": sends(opening(), *ALL, closing()[2]),
-    "a stranger's token": sends(NAMED, MINE, NAMED, STRANGE, *ALL[2:]),
+    "a stranger's token": sends(
+        OWN_OPENING, OWN_TOKEN, OWN_OPENING, FOREIGN_TOKEN, *ALL[2:]
+    ),
     "a token missing": sends(opening(), *ALL[:2], *ALL[3:], *closing()),
     "malformed event": sends(opening(), ALL[0], b"data: {half\n\n"),
     "malformed index": sends(opening(), b"id: x\ndata: {}\n\n"),
@@ -68,11 +70,11 @@
 
 
 @pytest.mark.parametrize("fault", ONE_FAULT)
-async def test_one_faulty_engine_is_not_noticed(fault: str) -> None:
-    """One engine of two is at fault, before or within an answer.
+async def test_one_faulty_engine_of_two(fault: str) -> None:
+    """One of two engines fails, before or within its answer.
 
-    The caller reads the whole answer, each token once; it is billed once, and
-    the second attempt was durable before it was sent.
+    The caller gets the whole answer, each token once.  The answer is billed once,
+    and the second attempt is durable before it is sent.
     """
     bench = make_bench()
     for name in ("e0", "e1"):
@@ -81,8 +83,8 @@
     first = await chosen_first()
     other = "e1" if first == "e0" else "e0"
     bench.servers[other].scripts = []
-    heard = await bench.chat()
-    assert (heard.status, heard.text, heard.whole) == (200, TEXT, True)
+    response = await bench.chat()
+    assert (response.status, response.text, response.whole) == (200, TEXT, True)
     (outcome,) = bench.money.outcomes
     assert outcome.state is RequestState.COMPLETE
     assert outcome.charge == PROMPT_TOKENS + TOKENS
@@ -92,7 +94,7 @@
 
 
 async def chosen_first() -> str:
-    """Return which engine the bench's seed chooses first."""
+    """Return the engine that is chosen first with the random seed of the bench."""
     bench = make_bench()
     await bench.chat()
     return bench.money.orders[0].backend
@@ -116,20 +118,20 @@
 
 
 @pytest.mark.parametrize("fault", REPEATS)
-async def test_an_engine_that_repeats_itself(fault: str) -> None:
-    """The engine sends an event twice, late, or cut into odd pieces.
+async def test_repeated_or_split_events(fault: str) -> None:
+    """The engine sends events twice, out of order, or cut at odd places.
 
-    The caller reads each token once, in order, from this one engine.
+    The caller gets each token once, in order, and no second attempt is made.
     """
     bench = make_bench(make_document(engines=1))
     bench.servers["e0"].scripts = [sends(*REPEATS[fault])]
-    heard = await bench.chat()
-    assert (heard.text, heard.whole) == (TEXT, True)
+    response = await bench.chat()
+    assert (response.text, response.whole) == (TEXT, True)
     assert len(bench.money.log) == 2
 
 
 @pytest.mark.parametrize(
-    ("fault", "truth", "code", "not_run"),
+    ("fault", "state", "code", "not_run"),
     [
         ("refused", None, "no_backend", True),
         ("busy", None, "no_backend", True),
@@ -140,96 +142,95 @@
         ("crossed answer", "never_ran", "backend_failed", True),
     ],
 )
-async def test_every_engine_at_fault(
-    fault: str, truth: str | None, code: str, not_run: bool
+async def test_all_engines_faulty(
+    fault: str, state: str | None, code: str, not_run: bool
 ) -> None:
-    """All engines are at fault before a token came.
+    """All engines fail before the first token.
 
-    The caller is refused at once, and "not run" stands only where no engine was
-    reached, or where each of them says that it never ran the attempt.
+    The caller is refused.  The refusal says "not run" only if no attempt can have
+    run, or if the engines report that none ran.
     """
     bench = make_bench()
     for name in ("e0", "e1"):
         bench.servers[name].scripts = [ONE_FAULT[fault]]
-        bench.servers[name].truth = {"state": truth} if truth else None
+        bench.servers[name].truth = {"state": state} if state else None
         bench.app.backends.refresh()
         bench.app.backends.states[name].boot = bench.servers[name].boot
-    heard = await bench.chat()
-    assert heard.status >= 500
-    assert heard.error["code"] == code
-    assert heard.error.get("not_run", False) is not_run
-    assert ("outcome" in heard.error) is not not_run
-    assert int(heard.headers["retry-after"]) >= 1
+    response = await bench.chat()
+    assert response.status >= 500
+    assert response.error["code"] == code
+    assert response.error.get("not_run", False) is not_run
+    assert ("outcome" in response.error) is not not_run
+    assert int(response.headers["retry-after"]) >= 1
     (outcome,) = bench.money.outcomes
     assert (outcome.state is RequestState.NOT_RUN) is not_run
     assert outcome.charge == 0
 
 
-async def test_a_restarted_engine_is_not_believed() -> None:
-    """The only engine runs an attempt, dies without an answer and restarts.
+async def test_restarted_engine_reports_never_ran() -> None:
+    """The only engine runs an attempt, crashes without an answer and restarts.
 
-    Asked afterwards, it says that it never ran the attempt, because it has
-    forgotten.  Its boot identifier is another one, so the caller is not told
-    "not run".
+    It has lost its records and reports that it never ran the attempt.  Its boot
+    identifier has changed, so the caller is not refused with "not run".
     """
     bench = make_bench(make_document(engines=1))
     bench.servers["e0"].scripts = [fails(RESET)]
     bench.servers["e0"].truth = {"state": "never_ran", "boot": "boot-2"}
     bench.app.backends.refresh()
     bench.app.backends.states["e0"].boot = "boot-1"
-    heard = await bench.chat()
-    assert heard.error["outcome"] == "unknown"
+    response = await bench.chat()
+    assert response.error["outcome"] == "unknown"
 
 
 @pytest.mark.parametrize("broken", [broken_after(2, RESET), sends(*ALL[:2], 90.0)])
-async def test_a_stream_that_nobody_can_complete(broken: Script) -> None:
-    """Every engine breaks off after two tokens.
+async def test_stream_fails_at_every_engine(broken: Script) -> None:
+    """Every engine fails after two tokens.
 
-    The caller reads a correct beginning and then an explicit error event; there
-    is no ``[DONE]``, so that no client takes it for the whole answer.  It pays
-    for what it got.
+    The caller gets the first tokens and then an error event.  There is no
+    ``[DONE]``, so that no client takes the answer for complete.  The workspace pays
+    for the tokens that were sent.
     """
     bench = make_bench()
     for name in ("e0", "e1"):
         bench.servers[name].scripts = [broken]
-    heard = await bench.chat()
-    assert heard.status == 200
-    assert b"[DONE]" not in heard.body
-    assert b"event: error\ndata: " in heard.body
-    assert b'"code":"answer_incomplete"' in heard.body
-    assert b'"outcome":"unknown"' in heard.body
+    response = await bench.chat()
+    assert response.status == 200
+    assert b"[DONE]" not in response.body
+    assert b"event: error\ndata: " in response.body
+    assert b'"code":"answer_incomplete"' in response.body
+    assert b'"outcome":"unknown"' in response.body
     (outcome,) = bench.money.outcomes
     assert outcome.state is RequestState.INTERRUPTED
-    assert outcome.charge == len(heard.text.split()) >= 2
+    assert outcome.charge == len(response.text.split()) >= 2
 
 
 async def test_resume_asks_for_the_next_token() -> None:
-    """An engine dies after three tokens; the other one is asked for the fourth."""
+    """An engine fails after three tokens; the other one resumes at the fourth."""
     bench = make_bench()
     first = await chosen_first()
     bench.servers[first].scripts = [broken_after(3, RESET)]
-    heard = await bench.chat()
+    response = await bench.chat()
     other = bench.servers["e1" if first == "e0" else "e0"]
-    assert heard.text == TEXT
+    assert response.text == TEXT
     assert other.calls[0].headers["X-Resume-Tokens"] == "3"
 
 
-async def test_a_rejected_request_is_not_tried_elsewhere() -> None:
+async def test_rejected_request_is_not_repeated() -> None:
     bench = make_bench()
     body = b'{"error": {"message": "no such role"}}'
     for name in ("e0", "e1"):
         bench.servers[name].scripts = [answers(422, body)]
-    heard = await bench.chat()
-    assert (heard.status, heard.error["code"]) == (400, "backend_rejected")
-    assert heard.error["message"] == "no such role"
-    assert heard.error["not_run"] is True
+    response = await bench.chat()
+    assert (response.status, response.error["code"]) == (400, "backend_rejected")
+    assert response.error["message"] == "no such role"
+    assert response.error["not_run"] is True
     assert len(bench.servers["e0"].calls) + len(bench.servers["e1"].calls) == 1
 
 
-async def test_retries_of_lost_work_are_bounded() -> None:
-    """Every engine loses every answer, as in an outage, and many callers ask.
+async def test_retries_are_limited() -> None:
+    """Every attempt may run but gives no answer, as in an outage.
 
-    Attempts stay within the retry budget, so that the outage is not amplified.
+    The retry budget limits the attempts, so that retries don't add to the overload.
     """
     bench = make_bench()
     for name in ("e0", "e1"):
@@ -241,19 +242,19 @@
     assert 50 <= attempts <= 50 * 1.1 + 2
 
 
-async def test_caller_that_goes_away_cancels_the_engine() -> None:
-    """A caller reads two pieces and closes its connection.
+async def test_disconnect_closes_attempt() -> None:
+    """A caller reads two parts of a stream and closes its connection.
 
-    The engine's stream is closed and its attempt ended; the bill says what the
-    engine ran, and nothing stays held.
+    The engine's stream and its attempt are closed, the bill counts what the engine
+    ran, and no request stays in progress.
     """
     bench = make_bench(make_document(engines=1))
     engine = bench.servers["e0"]
     engine.scripts = [sends(opening(), *ALL[:2], 1.0, *ALL[2:4], 1.0)]
     engine.truth = {"state": "cancelled", "prompt_tokens": 9, "completion_tokens": 3}
     bench.gone_after = 2
-    heard = await bench.chat()
-    assert not heard.ended
+    response = await bench.chat()
+    assert not response.ended
     assert engine.closed == 1
     (outcome,) = bench.money.outcomes
     assert engine.closes == [outcome.attempt]
@@ -261,11 +262,11 @@
     assert bench.app.backends.in_progress() == []
 
 
-async def test_a_slow_caller_is_bounded() -> None:
-    """A caller takes one piece and then nothing, while its engine goes on.
+async def test_slow_caller_is_cut() -> None:
+    """A caller reads one part of a stream and then nothing, while its engine goes on.
 
-    What is held for it stays below the bound; then its stream ends without an
-    end, the engine is told, and the request is settled.
+    When the buffer is full, the response is cut, the attempt is closed at its
+    engine, and the request is settled.
     """
     limits = Limits(stream_buffer=300)
     bench = make_bench(make_document(engines=1, limits=limits))
@@ -274,7 +275,7 @@
     engine.scripts = [sends(opening(), *slowly, *closing())]
     engine.truth = {"state": "cancelled", "prompt_tokens": 9, "completion_tokens": 4}
     bench.slow_after = 1
-    heard = await bench.chat()
-    assert not heard.ended
+    response = await bench.chat()
+    assert not response.ended
     assert len(bench.money.outcomes) == 1
     assert len(engine.closes) == 1
--- a/tests/callers/test_loopback.py
+++ b/tests/callers/test_loopback.py
@@ -1,4 +1,4 @@
-"""The whole request path over real sockets: unmodified client, router, engine."""
+"""Requests over real sockets: unmodified client, router, stand-in servers."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Hypercorn needs asyncio."""
+    """Use asyncio and its clock, which hypercorn needs."""
     return "asyncio"
 
 
 @frozen
 class Served:
-    """An application as the stand-ins' server wants it."""
+    """An application in the form that `running` of the stand-ins serves."""
 
     app: CallersApp
     background: Sequence[Any] = field(factory=tuple)
@@ -53,7 +53,7 @@
 
 @frozen
 class Rig:
-    """A router in front of stand-ins, on loopback."""
+    """A router with stand-in backend servers, on loopback."""
 
     url: str
     engines: tuple[str, ...]
@@ -62,26 +62,26 @@
     app: CallersApp
 
     def client(self, key: str = KEY) -> openai.AsyncOpenAI:
-        """Return an unmodified client of the protocol."""
+        """Return an unmodified client of the chat-completions protocol."""
         return openai.AsyncOpenAI(
             api_key=key, base_url=f"{self.url}/v1", max_retries=0, timeout=10.0
         )
 
     async def control(self, engine: int, **switches: Any) -> None:
-        """Set switches of an engine."""
+        """Set fault and speed switches of a stand-in engine."""
         async with httpx.AsyncClient() as client:
             url = f"{self.engines[engine]}/control"
             (await client.post(url, json=switches)).raise_for_status()
 
     async def records(self, url: str) -> Any:
-        """Return a stand-in's records."""
+        """Return the records of a stand-in."""
         async with httpx.AsyncClient() as client:
             return (await client.get(f"{url}/records")).json()
 
 
 @asynccontextmanager
 async def rig(engines: int = 2) -> AsyncIterator[Rig]:
-    """Serve a router in front of stand-in engines and one plain service."""
+    """Serve a router with stand-in engines and one plain service."""
     async with AsyncExitStack() as stack:
         urls = [
             await stack.enter_async_context(running(build_engine(QUICK)))
@@ -102,7 +102,7 @@
 
 
 def with_addresses(engines: Sequence[str], service: str) -> Document:
-    """Return a document whose servers are at these URLs."""
+    """Return a document whose servers have these URLs."""
     document = make_document(engines=len(engines), service_count=1)
     urls = {f"e{index}": url for index, url in enumerate(engines)} | {"s0": service}
     placed = tuple(
@@ -117,7 +117,7 @@
 
 
 async def test_unmodified_client_streams() -> None:
-    async with rig() as here, here.client() as client:
+    async with rig() as router, router.client() as client:
         stream = await client.chat.completions.create(
             model="assistant",
             messages=MESSAGES,
@@ -132,11 +132,11 @@
     assert text == TEXT
     assert usage is not None
     assert usage.completion_tokens == len(TEXT.split())
-    assert here.money.outcomes[0].charge == usage.total_tokens
+    assert router.money.outcomes[0].charge == usage.total_tokens
 
 
 async def test_unmodified_client_whole() -> None:
-    async with rig() as here, here.client() as client:
+    async with rig() as router, router.client() as client:
         answer = await client.chat.completions.create(
             model="assistant", messages=MESSAGES, max_tokens=5
         )
@@ -157,7 +157,7 @@
 async def test_unmodified_client_understands_refusals(
     kind: type[openai.APIStatusError], key: str, model: str, code: str
 ) -> None:
-    async with rig(engines=1) as here, here.client(key) as client:
+    async with rig(engines=1) as router, router.client(key) as client:
         with pytest.raises(kind) as caught:
             await client.chat.completions.create(model=model, messages=MESSAGES)
     assert caught.value.code == code
@@ -168,15 +168,15 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-async def test_a_faulty_engine_over_sockets(fault: str) -> None:
-    """An engine's answer goes wrong after three tokens.
+async def test_faulty_engines_over_sockets(fault: str) -> None:
+    """The first answer of each engine is faulty after three tokens.
 
-    The client reads the whole answer, from the other engine where it must.
+    The client gets the whole answer, resumed at another engine if necessary.
     """
-    async with rig() as here, here.client() as client:
+    async with rig() as router, router.client() as client:
         for engine in (0, 1):
             trouble = {"kind": fault, "after": 3, "count": 1}
-            await here.control(engine, stream=trouble)
+            await router.control(engine, stream=trouble)
         for _ in range(3):
             answer = await client.chat.completions.create(
                 model="assistant", messages=MESSAGES, stream=True
@@ -186,20 +186,20 @@
                 for choice in chunk.choices:
                     text += choice.delta.content or ""
             assert text == TEXT
-    assert len(here.money.outcomes) == 3
+    assert len(router.money.outcomes) == 3
 
 
-async def test_caller_that_goes_away_over_sockets() -> None:
+async def test_disconnect_over_sockets() -> None:
     """A client closes its connection in the middle of a slow stream.
 
-    The engine's attempt ends as cancelled, and the bill says what it ran.
+    The engine records the attempt as cancelled, and a part of the answer is billed.
     """
-    async with rig(engines=1) as here:
-        await here.control(0, slowdown=20.0)
+    async with rig(engines=1) as router:
+        await router.control(0, slowdown=20.0)
         async with httpx.AsyncClient() as client:
             request = client.build_request(
                 "POST",
-                f"{here.url}/v1/chat/completions",
+                f"{router.url}/v1/chat/completions",
                 json={"model": "assistant", "messages": MESSAGES, "stream": True},
                 headers={"Authorization": f"Bearer {KEY}"},
             )
@@ -207,32 +207,32 @@
             await anext(response.aiter_raw())
             await response.aclose()
         with anyio.fail_after(5):
-            await here.money.finished.wait()
-        records = await here.records(here.engines[0])
-    (outcome,) = here.money.outcomes
+            await router.money.finished.wait()
+        records = await router.records(router.engines[0])
+    (outcome,) = router.money.outcomes
     assert "cancelled" in str(records)
     assert 0 < outcome.charge < len(TEXT.split())
 
 
 async def test_booking_over_sockets() -> None:
-    async with rig(engines=1) as here, httpx.AsyncClient() as client:
+    async with rig(engines=1) as router, httpx.AsyncClient() as client:
         headers = {"Authorization": f"Bearer {KEY}", "Idempotency-Key": "k-1"}
-        url = f"{here.url}/services/booking"
+        url = f"{router.url}/services/booking"
         answer = await client.post(f"{url}/bookings", json={"slot": 1}, headers=headers)
         stock = await client.get(f"{url}/stock", headers=headers)
     assert (answer.status_code, answer.json()["booking"]) == (201, 1)
     assert stock.json()["booked"] == 1
-    assert here.money.outcomes[0].charge == 5
+    assert router.money.outcomes[0].charge == 5
 
 
-async def test_unmodified_client_hears_that_a_stream_is_cut() -> None:
-    """The only engine dies after two tokens, each time that it is asked.
+async def test_unmodified_client_raises_for_cut_stream() -> None:
+    """The only engine fails after two tokens, at every attempt.
 
-    The client's loop over the answer ends in an error and not as if the answer
-    were whole.
+    The client's loop over the answer raises an error instead of ending as if the
+    answer were complete.
     """
-    async with rig(engines=1) as here, here.client() as client:
-        await here.control(0, stream={"kind": "die", "after": 2, "count": 99})
+    async with rig(engines=1) as router, router.client() as client:
+        await router.control(0, stream={"kind": "die", "after": 2, "count": 99})
         answer = await client.chat.completions.create(
             model="assistant", messages=MESSAGES, stream=True
         )
@@ -241,8 +241,8 @@
             async for chunk in answer:
                 text += chunk.choices[0].delta.content or ""
         with anyio.fail_after(5):
-            await here.money.finished.wait()
+            await router.money.finished.wait()
     assert TEXT.startswith(text)
     assert text != TEXT
     assert caught.value.code == "answer_incomplete"
-    assert here.money.outcomes[0].charge >= len(text.split())
+    assert router.money.outcomes[0].charge >= len(text.split())
--- a/tests/callers/test_storm.py
+++ b/tests/callers/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Everything goes wrong at once, by seeds; what is promised holds all the same."""
+"""Many requests to engines that fail at random, with several random seeds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ebonyhold.coordination import RequestState
 from tests.backends.kit import PROMPT_TOKENS, TOKENS, Engine, Script, good, sends
-from tests.callers.kit import Bench, Heard, make_bench, make_document
+from tests.callers.kit import Bench, CallerResponse, make_bench, make_document
 from tests.callers.test_faults import ONE_FAULT, REPEATS, TEXT
 
 pytestmark = pytest.mark.anyio
@@ -18,18 +18,23 @@
 CALLERS = 40
 
 
-def stormy(chance: random.Random, share: float) -> Script:
-    """Return a script that does something else with each call."""
+def random_script(rng: random.Random, fault_share: float) -> Script:
+    """Return a script that answers each call correctly or with a random fault.
+
+    Args:
+        rng: The source of randomness.
+        fault_share: The share of calls with a fault, from 0 to 1.
+    """
 
     async def run(engine: Engine, request: httpx.Request) -> httpx.Response:
         attempt = request.headers["X-Attempt-Id"]
-        if chance.random() >= share:
+        if rng.random() >= fault_share:
             engine.ran.add(attempt)
             return await good(engine, request)
-        if "X-Resume-Tokens" not in request.headers and chance.random() < 0.2:
+        if "X-Resume-Tokens" not in request.headers and rng.random() < 0.2:
             engine.ran.add(attempt)
-            return await sends(*REPEATS[chance.choice(list(REPEATS))])(engine, request)
-        fault = chance.choice(list(ONE_FAULT))
+            return await sends(*REPEATS[rng.choice(list(REPEATS))])(engine, request)
+        fault = rng.choice(list(ONE_FAULT))
         if fault not in NEVER_RUN:
             engine.ran.add(attempt)
         return await ONE_FAULT[fault](engine, request)
@@ -37,43 +42,45 @@
     return run
 
 
-async def storm(seed: int, share: float) -> tuple[Bench, list[Heard]]:
-    """Let many callers ask at once while every engine misbehaves."""
+async def run_with_faults(
+    seed: int, fault_share: float
+) -> tuple[Bench, list[CallerResponse]]:
+    """Send `CALLERS` requests within 5 seconds to four engines with random faults."""
     bench = make_bench(make_document(engines=4))
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for name in ("e0", "e1", "e2", "e3"):
-        bench.servers[name].scripts = [stormy(chance, share)]
+        bench.servers[name].scripts = [random_script(rng, fault_share)]
         bench.servers[name].tells = True
     bench.app.backends.refresh()
     for state in bench.app.backends.states.values():
         state.boot = "boot-1"
-    heard: list[Heard] = []
+    responses: list[CallerResponse] = []
 
     async def ask(index: int) -> None:
-        await anyio.sleep(chance.random() * 5)
-        heard.append(await bench.chat(idempotency_key=f"k-{index}"))
+        await anyio.sleep(rng.random() * 5)
+        responses.append(await bench.chat(idempotency_key=f"k-{index}"))
 
     async with anyio.create_task_group() as tasks:
         for index in range(CALLERS):
             tasks.start_soon(ask, index)
-    return bench, heard
+    return bench, responses
 
 
-@pytest.mark.parametrize("share", [0.2, 0.6, 1.0])
+@pytest.mark.parametrize("fault_share", [0.2, 0.6, 1.0])
 @pytest.mark.parametrize("seed", range(4))
-async def test_storm(seed: int, share: float) -> None:
-    """Engines fail a part of all attempts, in every way there is.
+async def test_random_faults(seed: int, fault_share: float) -> None:
+    """Engines fail a share of all attempts, with every kind of fault.
 
-    Each caller reads its whole answer, or a correct beginning with an explicit
-    error, or a refusal.  Who hears "not run" ran nowhere; each request has one
-    outcome, and pays no more than its answer.
+    Each caller gets its whole answer, or the start of it with an error event, or a
+    refusal.  A request that is refused as "not run" ran at no engine.  Each request
+    has at most one outcome, and is charged for the tokens that were sent.
     """
-    bench, heard = await storm(seed, share)
-    assert len(heard) == CALLERS
+    bench, responses = await run_with_faults(seed, fault_share)
+    assert len(responses) == CALLERS
     outcomes = {outcome.request: outcome for outcome in bench.money.outcomes}
     assert len(outcomes) == len(bench.money.outcomes)
     ran = set().union(*(server.ran for server in bench.servers.values()))
-    for answer in heard:
+    for answer in responses:
         outcome = outcomes.get(answer.headers["x-request-id"])
         if answer.status != 200:
             assert answer.error.get("not_run") is True or "outcome" in answer.error
@@ -97,7 +104,7 @@
     assert all(state.reserved == 0 for state in bench.app.backends.states.values())
 
 
-async def test_a_calm_fleet_answers_everyone() -> None:
-    bench, heard = await storm(1, 0.0)
-    assert all(answer.whole for answer in heard)
+async def test_no_faults_all_complete() -> None:
+    bench, responses = await run_with_faults(1, 0.0)
+    assert all(answer.whole for answer in responses)
     assert len(bench.money.log) == 2 * CALLERS
--- a/tests/callers/test_refusals.py
+++ b/tests/callers/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: one shape, one table, and the page that is generated from it."""
+"""Refusals: their JSON form, their codes, and the generated page docs/ERRORS.md."""
 
 from __future__ import annotations
 
@@ -83,12 +83,12 @@
     bench = make_bench()
     if isinstance(body, dict):
         body = json.dumps({**GOOD, **body}).encode()
-    heard = await bench.ask("POST", "/v1/chat/completions", body)
+    response = await bench.ask("POST", "/v1/chat/completions", body)
     if code is None:
-        assert heard.status == 200
+        assert response.status == 200
         return
-    assert (heard.error["code"], heard.error["param"]) == (code, param)
-    assert heard.error["not_run"] is True
+    assert (response.error["code"], response.error["param"]) == (code, param)
+    assert response.error["not_run"] is True
     assert bench.money.orders == []
 
 
@@ -120,8 +120,8 @@
 async def test_requests(
     method: str, path: str, headers: dict[str, Any], status: int, code: str
 ) -> None:
-    heard = await make_bench().ask(method, path, **headers)
-    assert (heard.status, heard.error["code"]) == (status, code)
+    response = await make_bench().ask(method, path, **headers)
+    assert (response.status, response.error["code"]) == (status, code)
 
 
 @pytest.mark.anyio
@@ -134,13 +134,13 @@
     ],
 )
 async def test_headers(headers: dict[str, Any], param: str) -> None:
-    heard = await make_bench().chat(**headers)
-    assert heard.error["param"] == param
+    response = await make_bench().chat(**headers)
+    assert response.error["param"] == param
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("reason", ["stopping", "no version", "stale"])
-async def test_router_that_takes_nothing(reason: str) -> None:
+async def test_router_refuses_all_requests(reason: str) -> None:
     bench = make_bench()
     if reason == "stopping":
         bench.app.stopping = True
@@ -148,13 +148,13 @@
         bench.app.fleet.version = 0
     else:
         bench.app.may_serve = lambda: False
-    heard = await bench.chat()
-    assert heard.status == 503
-    assert heard.error["not_run"] is True
-    assert "retry-after" in heard.headers
+    response = await bench.chat()
+    assert response.status == 503
+    assert response.error["not_run"] is True
+    assert "retry-after" in response.headers
 
 
 @pytest.mark.anyio
 async def test_models() -> None:
-    heard = await make_bench().ask("GET", "/v1/models")
-    assert [item["id"] for item in json.loads(heard.body)["data"]] == ["assistant"]
+    response = await make_bench().ask("GET", "/v1/models")
+    assert [item["id"] for item in json.loads(response.body)["data"]] == ["assistant"]
--- a/tests/callers/test_services.py
+++ b/tests/callers/test_services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: passed through, and run at most once where it matters."""
+"""Calls to plain services: forwarding, bills, and calls that run at most once."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def with_scripts(*scripts: Script) -> Bench:
-    """Return a bench whose two services do the same."""
+    """Return a bench whose two service servers follow the same scripts."""
     bench = make_bench()
     for name in ("s0", "s1"):
         bench.servers[name].scripts = list(scripts)
@@ -35,16 +35,16 @@
 
 
 def calls(bench: Bench) -> int:
-    """Return how many calls reached the services."""
+    """Return the number of calls that reached the service's servers."""
     return sum(len(bench.servers[name].calls) for name in ("s0", "s1"))
 
 
-async def test_a_booking_is_claimed_run_and_billed_before_its_answer() -> None:
+async def test_booking_is_claimed_and_billed_before_answer() -> None:
     bench = with_scripts(BOOKED)
-    heard = await bench.ask(
+    response = await bench.ask(
         "POST", "/services/booking/bookings", BOOKING, idempotency_key="k-1"
     )
-    assert (heard.status, heard.body) == (201, b'{"slot": 7}')
+    assert (response.status, response.body) == (201, b'{"slot": 7}')
     (order,) = bench.money.orders
     assert (order.request, order.keyed, order.claim_needed) == ("k-1", True, True)
     assert (order.kind, order.hold) == (RequestKind.BOOKING, 5)
@@ -64,27 +64,27 @@
 
 
 @pytest.mark.parametrize("fault", LOST)
-async def test_a_booking_whose_answer_is_lost_runs_once(fault: str) -> None:
-    """A booking reaches its service and the answer does not come back whole.
+async def test_booking_with_lost_answer_runs_once(fault: str) -> None:
+    """A booking reaches its service, and its answer is lost or invalid.
 
-    The caller hears that the outcome is unknown, never "not run"; the booking is
-    not sent again, and the record says that nobody knows.
+    The caller is refused with an unknown outcome, never with "not run".  The booking
+    is not sent again, and its recorded state is unknown.
     """
     bench = with_scripts(LOST[fault])
-    heard = await bench.ask(
+    response = await bench.ask(
         "POST", "/services/booking/bookings", BOOKING, idempotency_key="k-1"
     )
-    assert heard.error["code"] == "outcome_unknown"
-    assert heard.error["outcome"] == "unknown"
-    assert "not_run" not in heard.error
+    assert response.error["code"] == "outcome_unknown"
+    assert response.error["outcome"] == "unknown"
+    assert "not_run" not in response.error
     assert calls(bench) == 1
     (outcome,) = bench.money.outcomes
     assert (outcome.state, outcome.charge) == (RequestState.UNKNOWN, 0)
 
 
 @pytest.mark.parametrize("fault", LOST)
-async def test_a_repeatable_call_is_repeated(fault: str) -> None:
-    """A question for the stock loses its first answer; another server answers."""
+async def test_repeatable_call_is_repeated(fault: str) -> None:
+    """The first answer to a repeatable call is lost; another server answers."""
     bench = with_scripts(LOST[fault], answers(200, b"12"))
     for name in ("s0", "s1"):
         bench.servers[name].scripts = [LOST[fault]]
@@ -93,28 +93,28 @@
     assert first is not None
     other = "s1" if first.backend.name == "s0" else "s0"
     bench.servers[other].scripts = [answers(200, b"12")]
-    heard = await bench.ask("GET", "/services/booking/stock?wood=oak")
-    assert (heard.status, heard.body) == (200, b"12")
+    response = await bench.ask("GET", "/services/booking/stock?wood=oak")
+    assert (response.status, response.body) == (200, b"12")
     assert bench.money.log == []
 
 
 @pytest.mark.parametrize("path", ["/stock", "/bookings"])
-async def test_what_was_not_sent_goes_to_the_next_server(path: str) -> None:
-    """One server refuses connections: nothing ran, so any call may go elsewhere."""
+async def test_unsent_call_goes_to_next_server(path: str) -> None:
+    """A call refused at connecting did not run; any call may go to another server."""
     bench = make_bench()
     bench.servers["s0"].scripts = [fails(httpx.ConnectError("refused"))]
     bench.servers["s1"].scripts = [BOOKED]
     method = "GET" if path == "/stock" else "POST"
     for _ in range(4):
-        heard = await bench.ask(method, f"/services/booking{path}", BOOKING)
-        assert heard.status == 201
+        response = await bench.ask(method, f"/services/booking{path}", BOOKING)
+        assert response.status == 201
 
 
-async def test_no_server_at_all_is_not_run() -> None:
+async def test_all_servers_unreachable() -> None:
     bench = with_scripts(fails(httpx.ConnectError("refused")))
-    heard = await bench.ask("POST", "/services/booking/bookings", BOOKING)
-    assert heard.error["code"] == "no_backend"
-    assert heard.error["not_run"] is True
+    response = await bench.ask("POST", "/services/booking/bookings", BOOKING)
+    assert response.error["code"] == "no_backend"
+    assert response.error["not_run"] is True
     assert bench.money.outcomes[0].state is RequestState.NOT_RUN
 
 
@@ -125,14 +125,12 @@
         (OutcomeUnknownError("running elsewhere"), "outcome_unknown", False),
     ],
 )
-async def test_a_claim_that_is_not_had(
-    error: Exception, code: str, not_run: bool
-) -> None:
+async def test_claim_fails(error: Exception, code: str, not_run: bool) -> None:
     bench = with_scripts(BOOKED)
     bench.money.error = error
-    heard = await bench.ask("POST", "/services/booking/bookings", BOOKING)
-    assert heard.error["code"] == code
-    assert heard.error.get("not_run", False) is not_run
+    response = await bench.ask("POST", "/services/booking/bookings", BOOKING)
+    assert response.error["code"] == code
+    assert response.error.get("not_run", False) is not_run
     assert calls(bench) == 0
 
 
@@ -147,7 +145,7 @@
         ),
     ],
 )
-async def test_a_retry_hears_the_kept_answer(
+async def test_retry_gets_stored_answer(
     kept: KeptAnswer, body: bytes, kind: str
 ) -> None:
     bench = with_scripts(BOOKED)
@@ -155,11 +153,11 @@
         RequestState.COMPLETE, RequestKind.BOOKING, "r", "a", "s0", "d", answer=kept
     )
     bench.money.replay = Replay(row, kept)
-    heard = await bench.ask(
+    response = await bench.ask(
         "POST", "/services/booking/bookings", BOOKING, idempotency_key="k-1"
     )
-    assert (heard.status, heard.body) == (201, body)
-    assert heard.headers["content-type"] == kind
+    assert (response.status, response.body) == (201, body)
+    assert response.headers["content-type"] == kind
     assert calls(bench) == 0
     assert bench.money.outcomes == []
 
@@ -188,7 +186,7 @@
     assert bench.money.outcomes[0].charge == price
 
 
-async def test_a_service_that_honours_keys_needs_no_claim() -> None:
+async def test_no_claim_if_service_honours_keys() -> None:
     route = ServiceRoute("booking", RULES, honours_idempotency_key=True)
     bench = make_bench(make_document(services=(route,), engines=0))
     bench.servers["s0"].scripts = bench.servers["s1"].scripts = [BOOKED]
@@ -198,8 +196,8 @@
     assert [order.claim_needed for order in bench.money.orders] == [False, True]
 
 
-async def test_headers_and_target_pass_through() -> None:
-    """Hop-by-hop headers and the API key stay here; the rest goes through."""
+async def test_headers_and_target_are_forwarded() -> None:
+    """Hop-by-hop headers and the API key are not forwarded; all else is."""
     seen: list[httpx.Request] = []
 
     async def echo(engine: Engine, request: httpx.Request) -> httpx.Response:
@@ -208,7 +206,7 @@
         return httpx.Response(200, headers=headers, content=b"ok")
 
     bench = with_scripts(echo)
-    heard = await bench.ask(
+    response = await bench.ask(
         "GET",
         "/services/booking/stock/a%2Fb?x=1&y=%20",
         connection="x-mine, close",
@@ -222,8 +220,8 @@
     assert {"accept", "x-attempt-id"} <= names
     assert TRACE in request.headers["traceparent"]
     assert not {"authorization", "x-mine", "te"} & names
-    assert heard.headers["etag"] == "e"
-    assert "x-inner" not in heard.headers
+    assert response.headers["etag"] == "e"
+    assert "x-inner" not in response.headers
 
 
 @pytest.mark.parametrize(
@@ -238,27 +236,27 @@
     path: str, body: bytes, code: str
 ) -> None:
     bench = with_scripts(BOOKED)
-    heard = await bench.ask("POST", path, body)
-    assert heard.error["code"] == code
-    assert heard.error["not_run"] is True
+    response = await bench.ask("POST", path, body)
+    assert response.error["code"] == code
+    assert response.error["not_run"] is True
     assert calls(bench) == 0
 
 
-async def test_servers_are_bounded() -> None:
-    """Forty callers book at once at servers that take sixteen each.
+async def test_concurrency_per_server_is_limited() -> None:
+    """Forty callers book at once at two servers with 16 slots each.
 
-    No server ever runs more than that; the others wait their turn, and all are
+    No server runs more than 16 calls at once; the others wait, and all are
     answered.
     """
     bench = make_bench()
     running: dict[str, int] = {}
-    most = 0
+    max_running = 0
 
     async def slowly(engine: Engine, request: httpx.Request) -> httpx.Response:
-        nonlocal most
+        nonlocal max_running
         host = request.url.host
         running[host] = running.get(host, 0) + 1
-        most = max(most, running[host])
+        max_running = max(max_running, running[host])
         await anyio.sleep(0.1)
         running[host] -= 1
         return httpx.Response(201, content=b"{}")
@@ -268,20 +266,21 @@
     statuses: list[int] = []
 
     async def book() -> None:
-        heard = await bench.ask("POST", "/services/booking/bookings", BOOKING)
-        statuses.append(heard.status)
+        response = await bench.ask("POST", "/services/booking/bookings", BOOKING)
+        statuses.append(response.status)
 
     async with anyio.create_task_group() as tasks:
         for _ in range(40):
             tasks.start_soon(book)
     assert statuses == [201] * 40
-    assert most == 16
+    assert max_running == 16
 
 
-async def test_a_service_that_comes_back_is_used_again() -> None:
-    """One server of a service is gone for a while and comes back; nobody polls it.
+async def test_reachable_server_is_used_again() -> None:
+    """One server of a service is unreachable for a while; services aren't polled.
 
-    Later the other one goes.  Callers are served by the first one again.
+    After 10 seconds the first server is reachable again and the other one is not:
+    callers are served by the first.
     """
     bench = make_bench()
     gone = fails(httpx.ConnectError("refused"))
--- a/tests/callers/test_stops.py
+++ b/tests/callers/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: no new work for a leaving server, and no request cut."""
+"""Planned stops: leaving servers get no new requests, and no request is cut."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ebonyhold.document import Stop
 from tests.backends.kit import TOKENS, answers, opening, sends, token
 from tests.backends.kit import closing as ending
-from tests.callers.kit import Bench, Heard, make_bench, make_document
+from tests.callers.kit import Bench, CallerResponse, make_bench, make_document
 
 pytestmark = pytest.mark.anyio
 START = datetime(2026, 12, 2, 5, 0, tzinfo=UTC)
@@ -20,27 +20,27 @@
 
 
 def calls(bench: Bench, name: str) -> int:
-    """Return how many requests reached a server."""
+    """Return the number of requests that reached a server."""
     return len(bench.servers[name].calls)
 
 
 async def ask_many(bench: Bench, count: int = 12) -> None:
-    """Send requests of both kinds."""
+    """Send so many chats and so many bookings; all must succeed."""
     for _ in range(count):
         assert (await bench.chat()).whole
-        heard = await bench.ask("POST", "/services/booking/bookings")
-        assert heard.status == 201
+        response = await bench.ask("POST", "/services/booking/bookings")
+        assert response.status == 201
 
 
 def with_services(bench: Bench) -> Bench:
-    """Let the plain services answer."""
+    """Let the servers of the plain service answer with 201."""
     for name in ("s0", "s1"):
         bench.servers[name].scripts = [answers(201)]
     return bench
 
 
 @pytest.mark.parametrize(
-    ("news", "left"),
+    ("source", "left"),
     [
         ("planned for a server", {"e0"}),
         ("planned for a domain", {"e0", "s0"}),
@@ -48,23 +48,22 @@
         ("load report", {"e0"}),
     ],
 )
-async def test_a_leaving_server_gets_nothing_new(news: str, left: set[str]) -> None:
-    """A server is about to stop; the news comes by any one of four ways.
+async def test_leaving_server_gets_no_new_requests(source: str, left: set[str]) -> None:
+    """A server is about to stop, which the router learns from one of four sources.
 
-    From then on it gets no new work, the others take all of it, and no caller
-    notices.
+    The server gets no new requests; the others answer all of them.
     """
     stops = {
         "planned for a server": Stop("s", START, END, backend="e0"),
         "planned for a domain": Stop("s", START, END, domain="d0"),
     }
-    planned = (stops[news],) if news in stops else ()
+    planned = (stops[source],) if source in stops else ()
     bench = with_services(make_bench(make_document(stops=planned)))
     fleet = bench.app.fleet
     fleet.wall_clock = lambda: START.timestamp()
-    if news == "membership list":
+    if source == "membership list":
         fleet.leaving = frozenset({"e0", "s0"})
-    if news == "load report":
+    if source == "load report":
         bench.servers["e0"].load["leaving"] = True
         bench.app.backends.refresh()
         await bench.app.backends.poll(bench.app.backends.states["e0"])
@@ -74,10 +73,10 @@
     assert len(served) >= 2
 
 
-async def test_a_stop_that_ends_or_is_cancelled() -> None:
-    """A stop is cancelled by the next version of the document; another ends.
+async def test_stop_is_cancelled_or_ends() -> None:
+    """A new version of the document cancels a stop; later another stop ends.
 
-    The servers get work again at once.
+    In both cases the server gets requests again at once.
     """
     stop = Stop("s", START, END, backend="e0")
     bench = with_services(make_bench(make_document(stops=(stop,))))
@@ -95,18 +94,18 @@
     assert calls(bench, "e0") > cancelled
 
 
-async def test_what_is_in_progress_ends_and_is_shown() -> None:
-    """A server's stop begins while it streams an answer.
+async def test_request_in_progress_completes_and_is_listed() -> None:
+    """A server starts to leave while it streams an answer.
 
-    The stream ends whole; until then operators see what holds the server, and
-    afterwards that nothing does.
+    The stream completes.  Until then the request is listed as open at the server;
+    afterwards none is.
     """
     bench = make_bench(make_document(engines=1, service_count=0))
     bench.servers["e0"].scripts = [sends(opening(), *SLOWLY, *ending())]
-    heard: list[Heard] = []
+    responses: list[CallerResponse] = []
 
     async def ask() -> None:
-        heard.append(await bench.chat())
+        responses.append(await bench.chat())
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
@@ -116,14 +115,14 @@
         assert [item.request for item in held.requests] == [
             bench.money.orders[0].request
         ]
-    assert heard[0].whole
+    assert responses[0].whole
     assert bench.app.backends.holdings()[0].requests == ()
 
 
-async def test_a_router_that_missed_the_news() -> None:
-    """This router has no news of a stop; the engine refuses what it sends.
+async def test_engine_refuses_while_leaving() -> None:
+    """An engine is leaving, and this router doesn't know; the engine refuses requests.
 
-    The caller notices nothing; the request went elsewhere, truthfully not run.
+    The refused attempts did not run, so the other engine answers the requests.
     """
     bench = make_bench(make_document(service_count=0))
     for name in ("e0", "e1"):
