--- a/ebonyhold/callers/_app.py
+++ b/ebonyhold/callers/_app.py
@@ -50,7 +50,7 @@
 logger = logging.getLogger(__name__)
 
 INTERRUPT_WITHIN: Seconds = LAST_PATIENCE + 3.0
-"""How long `CallersApp.interrupt` waits for the interrupted requests to end."""
+"""How long `CallersApp.interrupt` waits: 3 s longer than requests may still run."""
 
 
 @define
@@ -62,7 +62,7 @@
             incarnation starts.
         fleet: The document in force, its version, and the servers that are leaving.
         backends: The backend servers and their state.
-        may_serve: Whether the configuration may be served.
+        may_serve: Returns whether the configuration in force may be served.
         stopping: Whether new requests are refused because the router stops.
         metrics: Counts requests and attempts, and measures times.
         open_requests: Requests that passed `check_accepting` and have not ended,
@@ -181,13 +181,12 @@
             open_request.ended.set()
 
     async def interrupt(self) -> None:
-        """End all open requests with an explicit refusal or error event.
+        """Interrupt all open requests; wait for them at most `INTERRUPT_WITHIN`.
 
-        Called when a stop can wait no longer; returns when all have ended, at the
-        latest after `INTERRUPT_WITHIN`.  A request that goes on while bills are filed
-        and grants returned is cut when the listener closes: its caller gets a bare
-        500 or no answer and does not learn whether it ran, and its bill has to be
-        recovered.
+        A stop calls this before it files the last bills and returns the grants.  A
+        request that went on would be cut when the listener closes: its caller would
+        get a bare 500 or no answer and not learn whether the request ran, and its
+        bill would have to be recovered.
         """
         open_requests = tuple(self.open_requests)
         for open_request in open_requests:
--- a/ebonyhold/callers/_ask.py
+++ b/ebonyhold/callers/_ask.py
@@ -255,7 +255,7 @@
 
 
 def message_texts(messages: object) -> Iterator[str]:
-    """Yield the texts of all messages; contents of other types are skipped.
+    """Yield the texts of all messages; a content that is no string or list is skipped.
 
     Raises:
         Refusal: The messages are not a list of at least one object.
--- a/ebonyhold/callers/_chat.py
+++ b/ebonyhold/callers/_chat.py
@@ -51,7 +51,7 @@
         self.producing.deadline = stop_deadline()
 
     async def respond(self, request: Request, send: Send) -> None:
-        """Run the request, settle it, and send its answer.
+        """Run the request, settle it, and send its answer or a stored one.
 
         Nothing is sent if the caller has closed the connection.
 
@@ -121,7 +121,7 @@
     producing: anyio.CancelScope = field(factory=anyio.CancelScope)
 
     async def respond(self, request: Request, send: Send) -> None:
-        """Run the request, stream its answer, and settle the request.
+        """Run the request, settle it, and stream its answer or send a stored one.
 
         Raises:
             Refusal: There is no answer, and the response has not started.
--- a/ebonyhold/callers/_codes.py
+++ b/ebonyhold/callers/_codes.py
@@ -33,7 +33,7 @@
         code: The name that is sent; never changes.
         status: The HTTP status.
         kind: The error type for clients of the chat-completions protocol.
-        ran: Whether the request ran, unless the refusal names another value.
+        ran: The default of `Refusal.ran`.
         meaning: One sentence; the message of a refusal without its own message.
         advice: What the caller should do.
     """
--- a/ebonyhold/callers/_flight.py
+++ b/ebonyhold/callers/_flight.py
@@ -17,10 +17,10 @@
 from ebonyhold.types import Seconds
 
 LAST_PATIENCE: Seconds = 5.0
-"""How long a request without a stream may still run after a stop interrupted it.
+"""How long a request whose answer is not streamed may still run after `interrupt`.
 
-Most such requests take less.  If it is cut, its caller gets nothing, and the outcome
-of a call that may not be repeated has to be looked up.
+Most such requests need less.  The caller of a request that is cut gets no answer, and
+the outcome of a call that may not be repeated has to be looked up.
 """
 
 
@@ -78,7 +78,7 @@
 
 
 def stop_deadline() -> Seconds:
-    """Return when a request without a stream that is interrupted now is cancelled."""
+    """Return when a request that is interrupted now and not streamed is cancelled."""
     return anyio.current_time() + LAST_PATIENCE
 
 
--- a/ebonyhold/callers/_gate.py
+++ b/ebonyhold/callers/_gate.py
@@ -132,7 +132,7 @@
         self.pending -= 1
 
     def left(self, ticket: Ticket) -> None:
-        """Record the end of an admitted request, and admit waiting ones."""
+        """Record the end of an admitted request, and admit waiting ones if possible."""
         self.queue.finished(ticket, anyio.current_time())
         self.pump()
 
--- a/ebonyhold/callers/_refusals.py
+++ b/ebonyhold/callers/_refusals.py
@@ -93,7 +93,7 @@
 
 
 SOON: Seconds = 1.0
-"""After how long to try again if there is no better estimate."""
+"""After how many seconds to try again if there is no better estimate."""
 
 
 @frozen
--- a/ebonyhold/callers/_run.py
+++ b/ebonyhold/callers/_run.py
@@ -57,7 +57,7 @@
     Attributes:
         backend: The engine.
         attempt: The attempt's identifier.
-        boot: The engine's boot identifier for which the attempt was made durable.
+        boot: The engine's boot identifier that the attempt was sent with.
     """
 
     backend: BackendName
@@ -124,7 +124,7 @@
     aborted: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Create the check of a streamed answer."""
+        """Create the `StreamCheck` that follows the answer across attempts."""
         self.check = StreamCheck(self.parsed.usage_wanted)
 
     @property
@@ -310,7 +310,7 @@
 
         An attempt that certainly did not run cost no engine any work, so it may
         always be repeated.  A stream of which the caller has a part is resumed at
-        another engine, if the tokens are numbered.  Any other attempt takes from the
+        another engine, if its tokens are numbered.  Any other attempt takes from the
         retry budget: in an outage every request fails, and unlimited retries would
         keep the engines too busy to recover.
         """
@@ -405,7 +405,7 @@
 
 
 def trusted_status(status: AttemptTruth, boot: str) -> AttemptTruth:
-    """Return the status; unknown if "never ran" comes from a restarted server.
+    """Return the status, or UNKNOWN if a restarted server reports NEVER_RAN.
 
     A restarted server has lost the record of what it ran.  Its boot identifier
     differs from the one that the attempt was sent to.
@@ -416,7 +416,7 @@
 
 
 def engine_message(body: str) -> str:
-    """Return the message of an engine's JSON error, else its first 500 characters."""
+    """Return an engine's JSON error message, or the body's first 500 characters."""
     try:
         return str(json.loads(body)["error"]["message"])
     except (ValueError, KeyError, TypeError):
--- a/ebonyhold/callers/_services.py
+++ b/ebonyhold/callers/_services.py
@@ -45,7 +45,7 @@
 """Maximum number of attempts of one call, also of those that were not sent."""
 
 DURABLE_TIMEOUT: Seconds = 2.0
-"""How long the response waits for the outcome to be durable."""
+"""How long a response waits for a durable outcome; then it is sent anyway."""
 
 CHARGED_BELOW = 400
 """Calls that are answered with a status below this are charged."""
@@ -100,9 +100,8 @@
     """Parse a call.
 
     Raises:
-        Refusal: The path has dot segments.  A service that resolves them could run
-            another path than the rules were matched with: one that may not be
-            repeated instead of one that may.
+        Refusal: The path has dot segments.  A service that resolves them could run a
+            path that may not be repeated, although the rules matched one that may.
     """
     path = "/" + request.parameters["path"]
     if any(segment in (".", "..") for segment in path.split("/")):
--- a/tests/callers/kit.py
+++ b/tests/callers/kit.py
@@ -229,7 +229,10 @@
 
 
 def make_document(engines: int = 2, service_count: int = 2, **changes: Any) -> Document:
-    """Return a document with so many engines and servers of a plain service."""
+    """Return a document with the given numbers of engines and of service servers.
+
+    `changes` replace further attributes of the document.
+    """
     backends = [
         Backend(
             f"e{index}",
@@ -262,7 +265,7 @@
 
 
 def make_bench(document: Document | None = None) -> Bench:
-    """Return an application with scripted servers that follow the document."""
+    """Return an application with a scripted server for each one of the document."""
     document = document or make_document()
     servers = {backend.name: Engine() for backend in document.backends}
     transport = Fleet(
--- a/tests/callers/test_services.py
+++ b/tests/callers/test_services.py
@@ -27,7 +27,7 @@
 
 
 def with_scripts(*scripts: Script) -> Bench:
-    """Return a bench whose two service servers follow the same scripts."""
+    """Return a bench with the same scripts at both servers of the plain service."""
     bench = make_bench()
     for name in ("s0", "s1"):
         bench.servers[name].scripts = list(scripts)
--- a/tests/callers/test_stops.py
+++ b/tests/callers/test_stops.py
@@ -25,7 +25,7 @@
 
 
 async def ask_many(bench: Bench, count: int = 12) -> None:
-    """Send so many chats and so many bookings; all must succeed."""
+    """Send `count` chats and `count` bookings; all must succeed."""
     for _ in range(count):
         assert (await bench.chat()).whole
         response = await bench.ask("POST", "/services/booking/bookings")
