--- a/ebonyhold/configuration/__init__.py
+++ b/ebonyhold/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration versions: publishing, distributing and adopting them."""
+"""Publish, distribute and adopt versions of the configuration document."""
 
 from ebonyhold.configuration._keeper import (
     ConfigurationKeeper,
--- a/ebonyhold/configuration/_keeper.py
+++ b/ebonyhold/configuration/_keeper.py
@@ -1,4 +1,4 @@
-"""The task that keeps a router's configuration up to date."""
+"""The task that adopts new configuration versions in a router."""
 
 from __future__ import annotations
 
@@ -35,22 +35,26 @@
 NEVER = -math.inf
 
 DEFAULT_POLL = 4.0
-"""Mean seconds between reads of the head: 330 routers read 83 rows a second."""
+"""Mean seconds between reads of the head row: 330 routers read 83 rows a second."""
 
-LONGEST_COPY_DELAY = 5.0
-"""Seconds over which routers spread the look whether a head has its copy."""
+MAX_COPY_DELAY = 5.0
+"""Maximum random delay in seconds before a router checks that a head has a copy.
+
+The delays differ, so that routers don't all list the object store at once.
+"""
 
 logger = logging.getLogger(__name__)
 
 
 @frozen
 class Evidence:
-    """What another router knows about the configuration.
+    """The configuration version of another router, and when it was confirmed.
 
     Attributes:
-        version: Its version.
-        digest: That version's digest.
-        confirmed_age: Seconds since the table confirmed it; negative for never.
+        version: The version in force at that router.
+        digest: The digest of that version.
+        confirmed_age: Seconds since a read of the table last showed this version
+            as the newest; negative if none did.
     """
 
     version: int
@@ -59,31 +63,36 @@
 
 
 class EvidenceSource(Protocol):
-    """Asks the other routers."""
+    """Requests evidence from other routers."""
 
     async def ask(self) -> tuple[Evidence, ...]:
-        """Return the answers of a few routers; empty when none answers."""
+        """Return the evidence of a few other routers; empty if none answers."""
         ...
 
 
 @define
 class ConfigurationKeeper:
-    """Owns the document in force in this router.
+    """Holds the configuration in force in this router and keeps it up to date.
 
     Attributes:
         table: The platform's table.
         store: Where versions are kept.
-        random: Spreads what all routers do.
-        poll: Mean seconds between two reads of the head.
+        random: Draws delays, so that routers don't act at the same time.
+        poll: Mean seconds between two reads of the head row.
         clock: The wall clock, in seconds since the epoch.
-        evidence: The other routers, or None.
-        document: The document in force, or None before the first.
-        version: Its version; 0 before the first.
-        head: Its head row, or None before the first.
-        state: Its parts.
-        confirmed_at: When the table last confirmed that this is the newest
-            version, on the clock of `anyio.current_time`.
-        regressed: Whether the table showed an older head than this one.
+        evidence: Requests evidence from other routers; None for no requests.
+        document: The document in force; None before the first version.
+        version: The version in force; 0 before the first.
+        head: The head row of the version in force; None before the first.
+        state: The parts of the version in force.
+        confirmed_at: When this router or a peer last read from the table that
+            this version is the newest, on the clock of `anyio.current_time`.
+        regressed: Whether the last read of the table showed an older head than
+            the version in force.
+        lock: Held while a version is read and put into force.
+        changed: Set, and replaced, when a version is put into force.
+        announced: Set when a peer has announced a newer version.
+        announced_version: The newest version that a peer has announced.
     """
 
     table: Table
@@ -100,29 +109,35 @@
     regressed: bool = False
     lock: anyio.Lock = field(factory=anyio.Lock)
     changed: anyio.Event = field(factory=anyio.Event)
-    noticed: anyio.Event = field(factory=anyio.Event)
-    noticed_version: int = 0
+    announced: anyio.Event = field(factory=anyio.Event)
+    announced_version: int = 0
 
     async def run(
         self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Follow the head until cancelled; started after the first attempt."""
+        """Adopt new versions until cancelled.
+
+        Reports itself as started after the first attempt, even if that failed.
+        """
         await self.follow()
         task_status.started()
         async with anyio.create_task_group() as group:
             group.start_soon(self.keep_copies)
             while True:
-                await self.wait_for_turn()
+                await self.wait_for_poll()
                 await self.follow()
 
-    async def wait_for_turn(self) -> None:
-        """Wait for the next poll, or for news of a newer version."""
+    async def wait_for_poll(self) -> None:
+        """Wait until the next poll is due or a peer announces a newer version."""
         with anyio.move_on_after(self.poll * self.random.uniform(0.5, 1.5)):
-            await self.noticed.wait()
-        self.noticed = anyio.Event()
+            await self.announced.wait()
+        self.announced = anyio.Event()
 
     async def follow(self) -> None:
-        """Catch up with the head as far as the platform allows it now."""
+        """Adopt the newest version that can be reached; failures are logged.
+
+        Without the table, uses head copies and the evidence of other routers.
+        """
         try:
             await self.refresh()
         except EbonyholdError as error:
@@ -130,18 +145,19 @@
             await self.follow_without_table()
 
     async def refresh(self) -> None:
-        """Read the head and adopt what is newer.
+        """Read the head row and adopt its version if that is newer.
 
         Raises:
             UnavailableError: The table or the object store cannot be reached.
-            ConfigurationError: What they hold cannot be used.
+            ConfigurationError: The head or an object is unusable, or the head is
+                older than the version in force.
         """
         async with self.lock:
             await self.refresh_locked()
 
     async def refresh_locked(self) -> Row | None:
-        """Refresh while the lock is held, and return the head row as read."""
-        asked_at = anyio.current_time()
+        """Refresh and return the head row as read; the caller holds the lock."""
+        requested_at = anyio.current_time()
         row = (await self.table.read((CONFIG_HEAD,)))[0]
         head = read_head(row)
         if head is not None and may_adopt(self.version, head.version):
@@ -151,16 +167,16 @@
                     head, self.state if self.version else None, self.version
                 ),
             )
-        # A table that was restored from an old copy shows an older head.  The
-        # version here was accepted, so it stays; operators see `regressed`.
+        # A table restored from an old backup has an older head.  The version in
+        # force was accepted, so it is kept; `regressed` is shown to operators.
         self.regressed = (head.version if head else 0) < self.version
         if self.regressed:
             raise ConfigurationError("the table's head is older than the one in force")
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+        self.confirmed_at = max(self.confirmed_at, requested_at)
         return row
 
     def install(self, head: HeadRow, state: DocumentState) -> None:
-        """Put a version into force."""
+        """Put a version into force, unless it is not newer than the current one."""
         if not may_adopt(self.version, head.version):
             return
         self.document = state.document()
@@ -172,36 +188,46 @@
         self.changed = anyio.Event()
 
     async def wait_changed(self, after: int) -> int:
-        """Return the version in force once it is larger than `after`."""
+        """Wait until the version in force is larger than `after`, and return it."""
         while self.version <= after:
             await self.changed.wait()
         return self.version
 
     def notice(self, version: int) -> None:
-        """Take a peer's word that there is a newer version; it only wakes a read."""
+        """Handle a peer's announcement of a version.
+
+        If the version is newer, the next poll starts at once; nothing is adopted
+        on the announcement alone.
+        """
         if may_adopt(self.version, version):
-            self.noticed_version = max(self.noticed_version, version)
-            self.noticed.set()
+            self.announced_version = max(self.announced_version, version)
+            self.announced.set()
 
     async def follow_without_table(self) -> None:
-        """Learn what can be learnt from the object store and the other routers."""
+        """Adopt a head copy if possible, and request evidence from other routers."""
         try:
             async with self.lock:
                 await self.adopt_copy()
         except EbonyholdError as error:
-            logger.warning("no configuration copy", extra={"reason": str(error)})
-        await self.ask_others()
+            logger.warning(
+                "configuration copy not adopted", extra={"reason": str(error)}
+            )
+        await self.request_evidence()
 
     async def adopt_copy(self) -> None:
-        """Adopt an accepted head from its copy in the object store.
+        """Adopt a version by its head copy in the object store.
+
+        Without a document, tries the newest copy, unless its policy refuses to
+        serve a stale configuration.  With a document, only tries the version
+        that a peer announced.
 
-        A copy is written only after its version was accepted, so that a newer
-        one may be adopted at any time.  It does not confirm anything: the
-        newest copy need not be the newest version.
+        Copies are written only after a version was accepted, so adopting a newer
+        one is always safe.  `confirmed_at` is unchanged, since an even newer
+        version may have no copy yet.
         """
-        if self.document is not None and self.noticed_version <= self.version:
+        if self.document is not None and self.announced_version <= self.version:
             return
-        wanted = self.noticed_version if self.document is not None else 0
+        wanted = self.announced_version if self.document is not None else 0
         head = await self.store.read_head_copy(wanted)
         if head is None or not may_adopt(self.version, head.version):
             return
@@ -212,24 +238,24 @@
             return
         self.install(head, state)
 
-    async def ask_others(self) -> None:
-        """Let other routers confirm the version, or tell of a newer one.
+    async def request_evidence(self) -> None:
+        """Request evidence that confirms the version in force or announces a newer.
 
-        A router that is cut off from the table alone stays fresh in this way.
-        The time counts from before the question, so that an answer that was
-        long under way cannot make a version look fresher than it is.
+        This keeps the configuration from going stale in a router that alone has
+        lost the table.  Ages count back from the time before the request, so that
+        a delayed answer doesn't make the confirmation look more recent.
         """
         if self.evidence is None:
             return
-        asked_at = anyio.current_time()
+        requested_at = anyio.current_time()
         for found in await self.evidence.ask():
             self.notice(found.version)
-            if found.confirmed_age >= 0 and self.is_own(found):
-                fresh_at = asked_at - found.confirmed_age
-                self.confirmed_at = max(self.confirmed_at, fresh_at)
+            if found.confirmed_age >= 0 and self.matches_own(found):
+                at = requested_at - found.confirmed_age
+                self.confirmed_at = max(self.confirmed_at, at)
 
-    def is_own(self, found: Evidence) -> bool:
-        """Tell whether evidence is about the version in force here."""
+    def matches_own(self, found: Evidence) -> bool:
+        """Return whether evidence is about the version in force in this router."""
         return (
             self.head is not None
             and found.version == self.version
@@ -237,51 +263,59 @@
         )
 
     def own_evidence(self) -> Evidence:
-        """Return what this router can tell another."""
+        """Return the evidence that this router sends to others."""
         digest = self.head.digest if self.head else ""
         age = anyio.current_time() - self.confirmed_at
         return Evidence(self.version, digest, age if math.isfinite(age) else -1.0)
 
     @property
     def stale(self) -> bool:
-        """Whether the version was not confirmed for longer than the policy says."""
+        """Whether the last confirmation is older than the policy's `stale_after`.
+
+        Also true without a document.
+        """
         if self.document is None:
             return True
         age = anyio.current_time() - self.confirmed_at
         return age > self.document.policy.stale_after
 
     def may_serve(self) -> bool:
-        """Tell whether the policy lets this router take requests now."""
+        """Return whether this router may serve requests.
+
+        False without a document, or if it is stale and the policy refuses that.
+        """
         if self.document is None:
             return False
         policy = self.document.policy.stale_configuration
         return policy is StaleConfiguration.SERVE or not self.stale
 
     async def keep_copies(self) -> None:
-        """Write copies of heads whose operator did not get to write them.
+        """Write missing head copies, until cancelled.
 
-        The publisher writes the copy after its version was accepted.  If it
-        dies in between, routers that start while the table is down would miss
-        that version; so each router looks after it, at a time of its own.
+        The publisher writes the copy after its version was accepted.  If its
+        process exits in between, routers that start while the table is down would
+        miss that version.  So each router checks the copy of each version that it
+        adopts, after a random delay, and writes it if it is missing.
         """
         copied = 0
         while True:
             await self.wait_changed(copied)
-            await anyio.sleep(self.random.uniform(0, LONGEST_COPY_DELAY))
+            await anyio.sleep(self.random.uniform(0, MAX_COPY_DELAY))
             head = self.head
             try:
                 if head and await self.store.newest_head_copy() < head.version:
                     await self.store.write_head_copy(head)
                 copied = head.version if head else copied
             except EbonyholdError as error:
-                logger.warning("no copy of the head", extra={"reason": str(error)})
+                logger.warning("head copy not written", extra={"reason": str(error)})
                 await anyio.sleep(self.poll)
 
     async def read_version(self, version: int) -> DocumentState:
-        """Read the parts of any version that is kept.
+        """Read the parts of the version in force or of an older one.
 
         Raises:
-            ConfigurationError: That version is not kept.
+            ConfigurationError: That version was deleted or never accepted, or this
+                release cannot read it.
             UnavailableError: The platform cannot be reached.
         """
         if version == self.version:
@@ -293,9 +327,11 @@
         return await self.store.read_state(head)
 
     async def history(self, limit: int) -> tuple[HeadRow, ...]:
-        """Return the newest versions, the newest first.
+        """Return the heads of at most `limit` versions, newest first.
 
         Raises:
+            ConfigurationError: A head cannot be read, or the newest one is older
+                than the version in force.
             UnavailableError: The table cannot be reached.
         """
         async with self.lock:
@@ -309,18 +345,20 @@
         """Publish a checked document and put it into force here.
 
         Returns:
-            The version in force; that of `based_on` if nothing differs.
+            The version in force; no new one is made if nothing differs.
 
         Raises:
             LostRaceError: Another version was accepted since `based_on`.
-            UnavailableError: It was not accepted.
-            UnknownOutcomeError: It may have been accepted, or some first top-ups
-                are not made; publish it again.
+            UnavailableError: The document was not accepted.
+            UnknownOutcomeError: The document may have been accepted, or was
+                accepted but some first top-ups are missing; publish it again.
+            ConfigurationError: The version in force cannot be read, or the
+                table's head is older than the version in force.
         """
         publisher = Publisher(self, document, based_on, author)
         async with self.lock:
             version = await publisher.publish()
-        await publisher.fill_budgets()
+        await publisher.make_topups()
         return version
 
 
@@ -328,7 +366,7 @@
     """Decode a head row or a history row.
 
     Raises:
-        ConfigurationError: This release cannot read it.
+        ConfigurationError: This release cannot read the row.
     """
     try:
         return head_of(row)
@@ -337,5 +375,5 @@
 
 
 def make_keeper(table: Table, objects: Objects) -> ConfigurationKeeper:
-    """Return a keeper on the platform's table and object store."""
+    """Make a keeper that reads versions from this table and object store."""
     return ConfigurationKeeper(table, VersionStore(objects))
--- a/ebonyhold/configuration/_parts.py
+++ b/ebonyhold/configuration/_parts.py
@@ -1,8 +1,8 @@
-"""A document as parts: what is sent when one thing changes.
+"""Splits a document into parts, so that a version sends only the changed ones.
 
-Each workspace, route, backend server and stop is a part of its own.  A state
-is all parts of one version; it has a digest that changes with each of them and
-that costs the same to keep up however many there are.
+Each workspace, route, backend server and stop is a separate part.  A document
+state holds all parts of one version.  Its digest covers every part, and updating
+it for one changed part takes the same time however many parts there are.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 @frozen
 class ListPart:
-    """One of the document's lists.
+    """The item type of one of the document's lists.
 
     Attributes:
-        item: The class of its items.
-        name: The attribute that names an item.
+        item: The class of the items.
+        name: The attribute of an item that holds its unique name.
     """
 
     item: type[Any]
@@ -54,14 +54,14 @@
     "backends": ListPart(Backend, "name"),
     "stops": ListPart(Stop, "name"),
 }
-"""The document's lists, by the attribute that holds them."""
+"""The item types, by the attribute of `Document` that holds the list."""
 
 SINGLE_PARTS: Mapping[str, type] = {"policy": Policy, "limits": Limits}
 
 
 @frozen
 class FleetPart:
-    """What belongs to no list."""
+    """The fleet name and failure domains: attributes of the document, not lists."""
 
     fleet: str
     domains: tuple[str, ...]
@@ -69,12 +69,12 @@
 
 @frozen
 class Change:
-    """What one version changed.
+    """The difference between a version and the one before it.
 
     Attributes:
-        version: The version.
-        upserts: New or changed parts, by key.
-        deletes: The keys of parts that are gone.
+        version: The version that the change leads to.
+        upserts: JSON values of added or changed parts, by key.
+        deletes: Keys of removed parts.
     """
 
     version: int
@@ -83,12 +83,12 @@
 
 
 def encode_part(value: Json) -> bytes:
-    """Return the one JSON form of a part."""
+    """Encode a part as canonical JSON: sorted keys, no white space."""
     return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
 
 
 def part_digest(key: str, body: bytes) -> int:
-    """Return the number that a part adds to its state's digest."""
+    """Return the integer that a part adds to the digest of its document state."""
     return int.from_bytes(hashlib.sha256(key.encode() + b"\0" + body).digest())
 
 
@@ -96,13 +96,13 @@
 class DocumentState:
     """All parts of one version, as JSON and as model objects.
 
-    The JSON is kept because it may hold what only a newer release knows; it is
-    kept encoded, which takes less memory than its values.
+    The JSON is kept because it may contain attributes that only a newer release
+    knows.  It stays encoded, since bytes take less memory than parsed values.
 
     Attributes:
-        values: The parts as JSON, by key.
-        objects: The parts as model objects, by list and name.
-        total: The sum of the parts' digests.
+        values: The parts as encoded JSON, by key.
+        objects: The parts as model objects, by section and name.
+        total: The sum of the digests of all parts, modulo 2**256.
     """
 
     values: dict[str, bytes] = field(factory=dict)
@@ -111,10 +111,11 @@
 
     @property
     def digest(self) -> str:
-        """The digest of the whole state, hexadecimal.
+        """The hexadecimal digest of all parts.
 
-        A sum of hashes guards against lost or doubled parts, not against a
-        forger: whoever may write the head row may write the parts as well.
+        A sum of hashes detects missing, duplicated and altered parts.  It does
+        not resist forgery, which is not needed: a client that can write the head
+        row can write the parts as well.
         """
         return f"{self.total:064x}"
 
@@ -122,51 +123,52 @@
         """Add or replace a part.
 
         Raises:
-            ConfigurationError: This release cannot read the part.
+            ConfigurationError: This release cannot read the part; the state is
+                unchanged.
         """
         section, _, name = key.partition("/")
         structured = structure_part(section, value)
         if key in self.values:
-            self.add_digest(-part_digest(key, self.values[key]))
+            self.add_to_digest(-part_digest(key, self.values[key]))
         body = encode_part(value)
         self.values[key] = body
-        self.add_digest(part_digest(key, body))
+        self.add_to_digest(part_digest(key, body))
         self.objects.setdefault(section, {})[name] = structured
 
     def remove(self, key: str) -> None:
-        """Remove a part, if it is there."""
+        """Remove a part; do nothing if there is none with this key."""
         if key not in self.values:
             return
-        self.add_digest(-part_digest(key, self.values.pop(key)))
+        self.add_to_digest(-part_digest(key, self.values.pop(key)))
         section, _, name = key.partition("/")
         self.objects.get(section, {}).pop(name, None)
 
     def find(self, key: str) -> Any:
-        """Return a part as a model object, or None."""
+        """Return a part as a model object, or None if there is no such part."""
         section, _, name = key.partition("/")
         return self.objects.get(section, {}).get(name)
 
-    def add_digest(self, amount: int) -> None:
-        """Move the digest."""
+    def add_to_digest(self, amount: int) -> None:
+        """Add an amount, which may be negative, to the digest sum."""
         self.total = (self.total + amount) % DIGEST_MODULUS
 
     def apply(self, change: Change) -> None:
-        """Apply what one version changed."""
+        """Apply the deletes and upserts of one version, in place."""
         for key in change.deletes:
             self.remove(key)
         for key, value in change.upserts.items():
             self.put(key, value)
 
     def copy(self) -> DocumentState:
-        """Return a state that can change by itself."""
+        """Return a copy that can be changed without affecting this state."""
         objects = {section: dict(named) for section, named in self.objects.items()}
         return DocumentState(dict(self.values), objects, self.total)
 
     def document(self) -> Document:
-        """Assemble the document.
+        """Assemble the document; a missing policy or limits part means defaults.
 
         Raises:
-            ConfigurationError: The part that every document has is missing.
+            ConfigurationError: The state has no fleet part.
         """
         fleet: FleetPart | None = self.find(FLEET_PART)
         if fleet is None:
@@ -181,14 +183,14 @@
 
 
 def structure_part(section: str, value: Json) -> Any:
-    """Turn a part's JSON value into its model object.
+    """Convert a part's JSON value to its model object.
 
-    While routers are replaced by a newer release, a document may hold what an
-    older one cannot read.  That must end as an error which its keeper survives
-    with the version it has, not as the end of the router.
+    During a rolling upgrade, a document may contain values that the older release
+    cannot read.  All such failures raise ConfigurationError, which the keeper
+    handles by keeping its current version; any other error would end the router.
 
     Raises:
-        ConfigurationError: The value does not have the part's form.
+        ConfigurationError: The value cannot be converted.
     """
     kind: type = SINGLE_PARTS.get(section, FleetPart)
     if section in LIST_PARTS:
@@ -201,7 +203,7 @@
 
 
 def named_parts(document: Document) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Yield each section of a document with its parts, as model objects, by name."""
+    """Yield each section of a document with its model objects by name."""
     yield FLEET_PART, {"": FleetPart(document.fleet, document.domains)}
     for section in SINGLE_PARTS:
         yield section, {"": getattr(document, section)}
@@ -211,16 +213,16 @@
 
 
 def part_key(section: str, name: str) -> str:
-    """Return the key of a part."""
+    """Return the key of a part: ``section/name``, or ``section`` without a name."""
     return f"{section}/{name}" if name else section
 
 
 def find_change(before: DocumentState, document: Document, version: int) -> Change:
-    """Return what a document changes of a state.
+    """Return the change that leads from a state to a document.
 
-    Objects are compared, by identity first: turning all of them into JSON, or
-    only comparing all of them by value, takes most of the time of a change to
-    a large document.
+    Compares model objects, by identity before equality: encoding all of them as
+    JSON, or comparing all of them by value, would take most of the time of a
+    change to a large document.
     """
     upserts: dict[str, Any] = {}
     deletes: list[str] = []
@@ -236,7 +238,11 @@
 
 
 def find_changed_paths(before: DocumentState, after: DocumentState) -> tuple[str, ...]:
-    """Name what differs between two states, down to the attribute."""
+    """Return the paths of all attributes that differ between two states.
+
+    An added or removed part gives one path with the suffix ``(added)`` or
+    ``(removed)``.
+    """
     paths: list[str] = []
     for key in dict.fromkeys((*before.values, *after.values)):
         old, new = before.values.get(key, b"null"), after.values.get(key, b"null")
--- a/ebonyhold/configuration/_publisher.py
+++ b/ebonyhold/configuration/_publisher.py
@@ -1,4 +1,4 @@
-"""Publishing one version, whatever happens to its answers."""
+"""Publishes one version exactly once, even if answers of the table are lost."""
 
 from __future__ import annotations
 
@@ -48,45 +48,49 @@
 )
 from ebonyhold.types import Seconds, Tokens
 
-MOST_ATTEMPTS = 8
-"""Commits of one version before its publisher gives up."""
+MAX_ATTEMPTS = 8
+"""Maximum number of attempts of a commit, a write of objects or a top-up."""
 
 KEPT_VERSIONS = 20_000
-"""Versions that can be read and rolled back to: four days at 4,800 a day."""
+"""Versions that can be read and rolled back to: 4 days at 4,800 versions a day."""
 
-MOST_OLD = 4
-"""History rows that one publication looks at; it deletes all but the last."""
+MAX_OLD_VERSIONS = 4
+"""History rows that one publication reads for deletion; it deletes all but the last."""
 
-MOST_TOPUPS = 40
-"""First top-ups in one transaction; the first of them go with their version."""
+MAX_TOPUPS = 40
+"""Maximum number of first top-ups in one transaction.
+
+The transaction that accepts a version includes its first ones.
+"""
 
 WRITE_PAUSE: Seconds = 0.5
-"""Between two transactions of first top-ups: 160 row writes a second at most, so
-that a large import leaves the table's ceiling to the bills."""
+"""Pause after a transaction of first top-ups: at most 160 row writes a second, so
+that a large import leaves most of the table's write rate to the bills."""
 
 READ_PAUSE: Seconds = 0.1
-"""Between two looks for first top-ups: 800 row reads a second at most."""
+"""Pause after a read that found no first top-up missing: at most 800 rows a second."""
 
 RETRY_DELAY = 0.25
-"""Seconds before the first retry; it doubles with each."""
+"""Delay in seconds before the first retry; it doubles with each further one."""
 
-LONGEST_DELAY = 4.0
+MAX_DELAY = 4.0
+"""Maximum delay in seconds between two retries."""
 
 Answer = TypeVar("Answer")
 
 logger = logging.getLogger(__name__)
 
 
-class Adopting(Protocol):
-    """What a publication needs of the keeper that it belongs to.
+class PublishingKeeper(Protocol):
+    """The keeper as seen by a publisher.
 
     Attributes:
-        table: Where versions are accepted.
-        store: Where their parts are.
-        clock: Tells the time, in seconds since the epoch.
-        version: The version in force here.
-        head: Its head row; None before the first.
-        state: Its parts.
+        table: Contains the head row and the history rows.
+        store: Contains the objects of versions.
+        clock: Returns the wall-clock time, in seconds since the epoch.
+        version: The version in force in this router; 0 before the first.
+        head: The head row of the version in force; None before the first.
+        state: The parts of the version in force.
     """
 
     table: Table
@@ -97,15 +101,15 @@
     state: DocumentState
 
     async def refresh_locked(self) -> Row | None:
-        """Refresh while the lock is held, and return the head row as read."""
+        """Refresh and return the head row as read; the caller holds the lock."""
         ...
 
     async def read_version(self, version: int) -> DocumentState:
-        """Read the parts of any version that is kept."""
+        """Read the parts of the version in force or of an older one."""
         ...
 
     def install(self, head: HeadRow, state: DocumentState) -> None:
-        """Put a version into force."""
+        """Put a version into force, unless it is not newer than the current one."""
         ...
 
 
@@ -114,56 +118,60 @@
     """Publishes one document.
 
     Attributes:
-        keeper: Whose state it builds on.
+        keeper: Holds the state that the document is compared with.
         document: The document, already checked.
         based_on: The version that the operator had seen.
         author: The operator.
-        publication: Unique for this publication.
-        doubtful: Whether a commit may have taken effect unseen.
-        unfilled: Workspaces whose first top-up may still be missing.
-        forgotten: Old versions whose objects are deleted.
+        publication: The unique identifier of this publication.
+        in_doubt: Whether the outcome of a commit is unknown.
+        without_topup: Workspaces whose first top-up may still be missing.
+        deleted: Old versions whose objects were deleted; the commit deletes
+            their history rows.
         amounts: The first top-up of each workspace, in tokens.
     """
 
-    keeper: Adopting
+    keeper: PublishingKeeper
     document: Document
     based_on: int
     author: str
     publication: str = field(factory=lambda: uuid4().hex)
-    doubtful: bool = False
-    unfilled: tuple[str, ...] = ()
-    forgotten: tuple[int, ...] = ()
+    in_doubt: bool = False
+    without_topup: tuple[str, ...] = ()
+    deleted: tuple[int, ...] = ()
     amounts: dict[str, Tokens] = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Look up what each workspace gets first."""
+        """Read the first top-up of each workspace from the document."""
         self.amounts = {each.name: each.prepaid for each in self.document.workspaces}
 
     async def publish(self) -> int:
-        """Publish, and return the version in force; the keeper's lock is held.
+        """Publish and return the version in force; the caller holds the lock.
 
-        A document that is in force already is not published again, whatever
-        it was based on: that is how an operator repeats a command whose
-        answer was lost between router and command line.  The repeat also makes
-        first top-ups that the lost one did not get to.
+        A document that is already in force is not published again, whatever it
+        was based on, so that an operator whose command got no answer can repeat
+        it.  The repetition also makes the first top-ups that are missing.
         """
         row = await self.keeper.refresh_locked()
         change = find_change(self.keeper.state, self.document, self.based_on + 1)
         if not change.upserts and not change.deletes:
-            self.unfilled = tuple(self.amounts)
+            self.without_topup = tuple(self.amounts)
             return self.keeper.version
         await self.check_base(row)
         state = self.keeper.state.copy()
         state.apply(change)
         head = await self.write_objects(state, change)
-        self.forgotten = await self.delete_oldest(head.version - KEPT_VERSIONS)
-        self.unfilled = await self.commit(head, self.added_workspaces(change))
+        self.deleted = await self.delete_oldest(head.version - KEPT_VERSIONS)
+        self.without_topup = await self.commit(head, self.added_workspaces(change))
         self.keeper.install(head, state)
         await self.write_copy(head)
         return head.version
 
     async def check_base(self, row: Row | None) -> None:
-        """Refuse when the version in force is not the one this was based on."""
+        """Check that the accepted version is the one this publication is based on.
+
+        Raises:
+            LostRaceError: It is another version.
+        """
         head = head_of(row)
         version = head.version if head else 0
         if version == self.based_on:
@@ -174,7 +182,10 @@
         raise LostRaceError(message, version, author, changed)
 
     async def changed_since_base(self) -> tuple[str, ...]:
-        """Name what differs between the base and the version in force."""
+        """Return the paths that differ between `based_on` and the version in force.
+
+        Empty if the version `based_on` cannot be read.
+        """
         if not self.based_on:
             return find_changed_paths(DocumentState(), self.keeper.state)
         try:
@@ -184,10 +195,10 @@
         return find_changed_paths(base, self.keeper.state)
 
     async def write_objects(self, state: DocumentState, change: Change) -> HeadRow:
-        """Write the version's objects and return the head that refers to them.
+        """Write the objects of the version and return a head that refers to them.
 
-        They are content-addressed, so that writing them again after a lost
-        answer changes nothing, and nothing refers to them before the commit.
+        The objects are content-addressed, so writing them again after a lost
+        answer is harmless.  They are unused until the head is committed.
         """
         store = self.keeper.store
         before = self.keeper.head
@@ -196,7 +207,7 @@
             previous = await store.read_manifest(before) if before else None
             return await store.write_version(state, change, previous)
 
-        manifest = await self.insist(write)
+        manifest = await self.retry(write)
         return HeadRow(
             version=change.version,
             digest=state.digest,
@@ -208,41 +219,50 @@
         )
 
     async def delete_oldest(self, newest: int) -> tuple[int, ...]:
-        """Delete the objects of old versions; their rows go with the commit.
+        """Delete the objects of old versions.
 
-        The rows go last: if this router dies in between, or the object store
-        fails, the next publication finds them still there and does it again.
+        The commit deletes their history rows afterwards.  If this process exits
+        or the object store fails before that, the next publication finds the rows
+        and repeats the deletion.  Errors are logged and end the deletion.
 
         Args:
-            newest: The newest version that may go.
+            newest: The newest version that may be deleted.
+
+        Returns:
+            The versions whose objects were deleted.
         """
-        forgotten: list[int] = []
+        deleted: list[int] = []
         if newest < 1:
             return ()
         try:
-            rows = await self.keeper.table.scan(CONFIG_VERSION_PREFIX, "", MOST_OLD)
+            rows = await self.keeper.table.scan(
+                CONFIG_VERSION_PREFIX, "", MAX_OLD_VERSIONS
+            )
             heads = [head for row in rows if (head := head_of(row)) is not None]
             for old, following in pairwise(heads):
                 if old.version > newest:
                     break
                 await self.keeper.store.delete_version(old, following)
-                forgotten.append(old.version)
+                deleted.append(old.version)
         except EbonyholdError as error:
             logger.warning("old version not deleted", extra={"reason": str(error)})
-        return tuple(forgotten)
+        return tuple(deleted)
 
-    async def insist(self, step: Callable[[], Awaitable[Answer]]) -> Answer:
-        """Repeat a step that may be repeated without harm."""
-        for attempt in range(MOST_ATTEMPTS - 1):
+    async def retry(self, step: Callable[[], Awaitable[Answer]]) -> Answer:
+        """Run an idempotent step, retrying failures and unknown outcomes.
+
+        The error of the last attempt is raised.
+        """
+        for attempt in range(MAX_ATTEMPTS - 1):
             try:
                 return await step()
             except (UnavailableError, UnknownOutcomeError) as error:
-                logger.warning("publishing again", extra={"reason": str(error)})
-                await anyio.sleep(delay_of(attempt))
+                logger.warning("retrying publication", extra={"reason": str(error)})
+                await anyio.sleep(retry_delay(attempt))
         return await step()
 
     def added_workspaces(self, change: Change) -> tuple[str, ...]:
-        """Name the workspaces that were not there before."""
+        """Return the workspaces that the change adds."""
         prefix = "workspaces/"
         return tuple(
             key.removeprefix(prefix)
@@ -251,41 +271,50 @@
         )
 
     async def commit(self, head: HeadRow, added: tuple[str, ...]) -> tuple[str, ...]:
-        """Commit the head and the first top-ups, and return those left over.
+        """Commit the head and first top-ups.
 
-        A lost answer shows as UnknownOutcomeError.  The history row tells
-        whether the write took effect; if it did not, the same transaction is
-        sent again: since both move the head from the same version, only one
-        of them can take effect, also when the first arrives late.
+        A lost answer is reported as UnknownOutcomeError.  The next attempt reads
+        from the history row whether the commit took effect, and sends it again if
+        not.  Both commits require the same version of the head row, so only one
+        can take effect, even if the first one arrives late.
+
+        Returns:
+            The added workspaces whose first top-ups did not fit in.
+
+        Raises:
+            LostRaceError: Another version was accepted instead.
+            UnavailableError: No attempt took effect.
+            UnknownOutcomeError: An attempt may still take effect.
+            ConfigurationError: The table's head is older than `based_on`.
         """
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 row = (await self.keeper.table.read((CONFIG_HEAD,)))[0]
                 if await self.is_accepted(row, head.version):
-                    return added[MOST_TOPUPS:]
-                topups = await self.missing_topups(added[:MOST_TOPUPS])
-                transaction = plan_apply(row, head, topups, self.forgotten)
+                    return added[MAX_TOPUPS:]
+                topups = await self.missing_topups(added[:MAX_TOPUPS])
+                transaction = plan_apply(row, head, topups, self.deleted)
                 if transaction is None:
                     raise ConfigurationError("the head moved while it was read")
                 await self.keeper.table.commit(transaction)
-                return added[MOST_TOPUPS:]
+                return added[MAX_TOPUPS:]
             except ConflictError:
                 continue
             except UnknownOutcomeError:
-                self.doubtful = True
+                self.in_doubt = True
             except UnavailableError as error:
-                logger.warning("publishing again", extra={"reason": str(error)})
-            await anyio.sleep(delay_of(attempt))
-        if self.doubtful:
+                logger.warning("retrying publication", extra={"reason": str(error)})
+            await anyio.sleep(retry_delay(attempt))
+        if self.in_doubt:
             message = f"version {head.version} may have been accepted"
             raise UnknownOutcomeError(message)
         raise UnavailableError("the table did not take the new version")
 
     async def is_accepted(self, row: Row | None, version: int) -> bool:
-        """Tell whether this publication was accepted already.
+        """Return whether this publication was accepted.
 
         Raises:
-            LostRaceError: Another was accepted instead.
+            LostRaceError: Another publication was accepted instead.
         """
         head = head_of(row)
         if head is None or head.version < version:
@@ -299,7 +328,7 @@
         return False
 
     async def missing_topups(self, workspaces: tuple[str, ...]) -> tuple[TopUp, ...]:
-        """Return the first top-ups that have not been made yet."""
+        """Return the first top-ups that are missing, each with its budget row."""
         made_keys = tuple(topup_key(each, INITIAL_TOPUP) for each in workspaces)
         keys = (*made_keys, *map(budget_key, workspaces))
         rows = await self.keeper.table.read(keys) if keys else ()
@@ -311,41 +340,45 @@
         )
 
     async def write_copy(self, head: HeadRow) -> None:
-        """Copy the head; if that fails, the routers' keepers see to it."""
+        """Write a copy of the head; if that fails, a router writes it later."""
         try:
             await self.keeper.store.write_head_copy(head)
         except EbonyholdError as error:
-            logger.warning("no copy of the head", extra={"reason": str(error)})
+            logger.warning("head copy not written", extra={"reason": str(error)})
 
-    async def fill_budgets(self) -> None:
+    async def make_topups(self) -> None:
         """Make the first top-ups that did not fit into the version's transaction.
 
-        There may be minutes of them, so the keeper's lock is not held.
+        The keeper's lock is not held, since this can take minutes.
 
         Raises:
             UnknownOutcomeError: Some could not be made; publish again.
         """
         pause = 0.0
-        for first in range(0, len(self.unfilled), MOST_TOPUPS):
-            some = self.unfilled[first : first + MOST_TOPUPS]
+        for first in range(0, len(self.without_topup), MAX_TOPUPS):
+            some = self.without_topup[first : first + MAX_TOPUPS]
             await anyio.sleep(pause)
             try:
-                wrote = await self.insist(partial(self.fill_some_budgets, some))
+                wrote = await self.retry(partial(self.make_topup_batch, some))
                 pause = WRITE_PAUSE if wrote else READ_PAUSE
             except PlatformError as error:
                 message = f"accepted, but not all first top-ups are made: {error}"
                 raise UnknownOutcomeError(message) from error
 
-    async def fill_some_budgets(self, workspaces: tuple[str, ...]) -> bool:
-        """Make some first top-ups; the rows of the top-ups make it idempotent.
+    async def make_topup_batch(self, workspaces: tuple[str, ...]) -> bool:
+        """Make the first top-ups of some workspaces, in one transaction.
+
+        This is idempotent: the row of a top-up shows that it was made.
 
         Returns:
             Whether any was missing.
 
         Raises:
-            UnavailableError: Other writers were faster each time.
+            UnavailableError: The table cannot be reached, or each attempt
+                conflicted with another writer.
+            UnknownOutcomeError: The transaction may have taken effect.
         """
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             topups = await self.missing_topups(workspaces)
             if not topups:
                 return False
@@ -359,6 +392,6 @@
         raise UnavailableError("first top-ups met other writers")
 
 
-def delay_of(attempt: int) -> Seconds:
-    """Return the pause after a failed attempt, counted from 0."""
-    return min(LONGEST_DELAY, RETRY_DELAY * 2.0**attempt)
+def retry_delay(attempt: int) -> Seconds:
+    """Return the delay after a failed attempt; attempts count from 0."""
+    return min(MAX_DELAY, RETRY_DELAY * 2.0**attempt)
--- a/ebonyhold/configuration/_store.py
+++ b/ebonyhold/configuration/_store.py
@@ -1,10 +1,10 @@
-"""Where versions are kept: manifests and packs, content-addressed.
+"""Stores versions as content-addressed manifests and packs.
 
-A manifest carries the latest changes itself and refers to a base for all that
-is older.  A router that is a few versions behind reads one small object; only
-a router that starts reads the base, whose packs are few and large.  A new base
-rewrites only the packs that its changes touch, since a part stays in the pack
-that its key's hash chooses.
+A manifest contains the latest changes and refers to a base, which is a complete
+older version.  A router that is a few versions behind reads only the manifest.
+A router that starts or is far behind also reads the base, which consists of a
+few large packs.  The hash of a part's key selects its pack, so a new base
+rewrites only the packs with changed parts, unless the number of packs changes.
 """
 
 from __future__ import annotations
@@ -24,35 +24,36 @@
 
 OBJECT_PREFIX = "config/object/"
 HEAD_PREFIX = "config/heads/"
-HEAD_NUMBERS = 10**10
-"""Copies of heads are numbered down from this, so that the newest lists first."""
+HEAD_NUMBER_BASE = 10**10
+"""Keys of head copies contain this minus the version: the newest is listed first."""
 
-MOST_INLINE = 16_384
-"""Bytes of a manifest, beyond which a new base is written."""
+MAX_INLINE = 16_384
+"""Largest size of a manifest in bytes; a larger one gets a new base."""
 
-KEPT_INLINE = MOST_INLINE // 2
-"""Bytes of changes that stay in a manifest beside a new base, so that a router
-that is some versions behind need not read the base."""
+KEPT_INLINE = MAX_INLINE // 2
+"""Bytes of changes that a manifest keeps when it gets a new base, so that a router
+that is a few versions behind need not read the base."""
 
 PACK_BYTES = 131_072
-"""The size that packs of a base aim at."""
+"""Largest mean size in bytes of the packs of a base."""
 
 Form = TypeVar("Form")
 
-MOST_FETCHES = 8
-"""Objects that one router fetches at once."""
+MAX_FETCHES = 8
+"""Maximum number of packs that one read of a base fetches concurrently."""
 
 
 @frozen
 class Manifest:
-    """How to get one version.
+    """The objects and changes that make up one version.
 
     Attributes:
         version: The version.
         base: SHA-256 of the index of the base.
-        base_version: The version that the base holds.
-        changes: The latest changes, the oldest first, without a gap up to
-            `version`; they reach back to the base, and mostly further.
+        base_version: The version that the base contains.
+        changes: The latest changes, oldest first and without a gap up to
+            `version`.  They include all changes since the base, and usually
+            some older ones.
     """
 
     version: int
@@ -61,18 +62,18 @@
     changes: tuple[Change, ...] = ()
 
     @property
-    def reaches_back_to(self) -> int:
-        """The oldest version from which the changes alone lead here."""
+    def oldest_start(self) -> int:
+        """The oldest version that `changes` alone can bring up to this one."""
         return self.changes[0].version - 1 if self.changes else self.version
 
 
 @frozen
 class PackEntry:
-    """One pack in an index.
+    """A reference to one pack.
 
     Attributes:
-        digest: SHA-256 of the pack's object.
-        content: SHA-256 of its parts alone.
+        digest: SHA-256 of the stored pack object, which is its key.
+        content: SHA-256 of the parts, without `Pack.since`.
     """
 
     digest: str
@@ -81,7 +82,7 @@
 
 @frozen
 class BaseIndex:
-    """The packs that together hold one version; a pack may be empty."""
+    """The packs that together contain all parts of one version; some may be empty."""
 
     version: int
     packs: tuple[PackEntry, ...]
@@ -89,13 +90,13 @@
 
 @frozen
 class Pack:
-    """Parts whose keys have the same hash, modulo the number of packs.
+    """Parts whose key hashes are equal modulo the number of packs.
 
     Attributes:
-        since: The base that it was written for.  It makes the object unique, so
-            that a pack which one base leaves out is never used again and can
-            be deleted with that base's predecessor.
-        parts: The parts by key.
+        since: The version of the first base that used the pack.  It makes the
+            object unique: once a base no longer uses the pack, no later base
+            does, so the pack can be deleted together with the previous base.
+        parts: JSON values of the parts, by key.
     """
 
     since: int
@@ -113,7 +114,7 @@
     objects: Objects
 
     async def put(self, body: bytes) -> str:
-        """Write an object under its own hash; writing it again changes nothing."""
+        """Write an object under its SHA-256 and return that; idempotent."""
         digest = hashlib.sha256(body).hexdigest()
         try:
             await self.objects.put(OBJECT_PREFIX + digest, body, if_absent=True)
@@ -122,11 +123,11 @@
         return digest
 
     async def get(self, digest: str) -> bytes:
-        """Read an object and check it against its hash.
+        """Read an object and verify its SHA-256.
 
         Raises:
             UnavailableError: The store cannot be reached.
-            ConfigurationError: There is no such object, or it is damaged.
+            ConfigurationError: The object is missing or damaged.
         """
         body = await self.objects.get(OBJECT_PREFIX + digest)
         if body is None:
@@ -136,25 +137,29 @@
         return body
 
     async def read_manifest(self, head: HeadRow) -> Manifest:
-        """Read the manifest of a version."""
+        """Read the manifest that a head refers to."""
         return _decode(await self.get(head.manifest), Manifest)
 
     async def read_state(
         self, head: HeadRow, own: DocumentState | None = None, own_version: int = 0
     ) -> DocumentState:
-        """Read a version, from the changes alone where that is enough.
+        """Read a version, without its base if the manifest's changes suffice.
+
+        Falls back to the base if applying the changes to `own` gives another
+        digest than that of the head.
 
         Args:
             head: The version to read.
-            own: The state that is here already; it stays as it is.
-            own_version: That state's version.
+            own: A state that the caller has already; it is not modified.
+            own_version: The version of `own`.
 
         Raises:
             UnavailableError: The store cannot be reached.
-            ConfigurationError: What the store holds does not fit the head.
+            ConfigurationError: An object is missing or damaged, cannot be read by
+                this release, or does not match the head's digest.
         """
         manifest = await self.read_manifest(head)
-        if own is not None and own_version >= manifest.reaches_back_to:
+        if own is not None and own_version >= manifest.oldest_start:
             state = own.copy()
             apply_changes(state, manifest, own_version)
             if state.digest == head.digest:
@@ -166,11 +171,11 @@
         return state
 
     async def read_index(self, manifest: Manifest) -> BaseIndex:
-        """Read the index of a version's base."""
+        """Read the index of the manifest's base."""
         return _decode(await self.get(manifest.base), BaseIndex)
 
     async def read_base(self, manifest: Manifest) -> DocumentState:
-        """Read a whole base."""
+        """Read all packs of the manifest's base and return the state they contain."""
         index = await self.read_index(manifest)
         packs = await self.read_packs(tuple(each.digest for each in index.packs))
         state = DocumentState()
@@ -180,10 +185,13 @@
         return state
 
     async def read_packs(self, digests: tuple[str, ...]) -> dict[str, Pack]:
-        """Read packs, a few at a time; the first failure ends it."""
+        """Fetch packs concurrently and return them by digest.
+
+        The first failure cancels the other fetches and is raised.
+        """
         packs: dict[str, Pack] = {}
         failures: list[EbonyholdError] = []
-        limiter = anyio.CapacityLimiter(MOST_FETCHES)
+        limiter = anyio.CapacityLimiter(MAX_FETCHES)
 
         async def fetch(digest: str) -> None:
             try:
@@ -203,12 +211,14 @@
     async def write_version(
         self, state: DocumentState, change: Change, previous: Manifest | None
     ) -> str:
-        """Write a version's objects.
+        """Write the manifest of a version, and a new base if it needs one.
+
+        The first version and one whose manifest would be too large get a base.
 
         Args:
             state: All parts, with the change applied.
-            change: What the version changes.
-            previous: The manifest of the version before it.
+            change: The difference from the previous version.
+            previous: The manifest of the previous version; None for the first.
 
         Returns:
             The manifest's SHA-256, for the head row.
@@ -219,7 +229,7 @@
                 change.version, previous.base, previous.base_version, changes
             )
             body = to_bytes(manifest)
-            if len(body) <= MOST_INLINE:
+            if len(body) <= MAX_INLINE:
                 return await self.put(body)
         base = await self.write_base(state, change.version, previous)
         kept = newest_changes(changes, KEPT_INLINE)
@@ -229,7 +239,7 @@
     async def write_base(
         self, state: DocumentState, version: int, previous: Manifest | None
     ) -> str:
-        """Write a base, leaving out the packs that the last one has already."""
+        """Write a base, reusing unchanged packs; return the SHA-256 of its index."""
         present: dict[str, PackEntry] = {}
         if previous is not None:
             last = await self.read_index(previous)
@@ -246,11 +256,12 @@
         return await self.put(to_bytes(BaseIndex(version, tuple(packs))))
 
     async def delete_version(self, old: HeadRow, following: HeadRow) -> None:
-        """Delete the objects of the oldest version that the next one can miss.
+        """Delete the objects of the oldest version that the next one doesn't use.
 
-        Versions refer to bases in order, so that a base which the next version
-        leaves is used by no later one.  The manifest goes last: if this ends
-        half-way, doing it again finds what is left; doing it twice is harmless.
+        Versions refer to bases in order: a base that the next version doesn't use
+        is not used by any later one.  The manifest is deleted last, so that a call
+        that failed part-way can be repeated.  Does nothing if the manifest is
+        missing or unreadable.
         """
         try:
             manifest = await self.read_manifest(old)
@@ -258,16 +269,19 @@
             return
         next_manifest = await self.read_manifest(following)
         if manifest.base != next_manifest.base:
-            for digest in await self.packs_left_out(manifest, next_manifest):
+            for digest in await self.unused_packs(manifest, next_manifest):
                 await self.objects.delete(OBJECT_PREFIX + digest)
             await self.objects.delete(OBJECT_PREFIX + manifest.base)
         await self.objects.delete(head_copy_key(old.version))
         await self.objects.delete(OBJECT_PREFIX + old.manifest)
 
-    async def packs_left_out(
+    async def unused_packs(
         self, manifest: Manifest, following: Manifest
     ) -> tuple[str, ...]:
-        """Name the packs of a base that the next base left out."""
+        """Return the digests of the base's packs that the following base doesn't use.
+
+        Empty if the index of the base was already deleted.
+        """
         if await self.objects.get(OBJECT_PREFIX + manifest.base) is None:
             return ()
         kept = {entry.digest for entry in (await self.read_index(following)).packs}
@@ -275,7 +289,10 @@
         return tuple(each.digest for each in packs if each.digest not in kept)
 
     async def write_head_copy(self, head: HeadRow) -> None:
-        """Keep a copy of an accepted head, for routers that miss the table."""
+        """Write a copy of an accepted head, unless there is one.
+
+        Routers that cannot reach the table read the copy instead.
+        """
         try:
             await self.objects.put(
                 head_copy_key(head.version), to_bytes(head), if_absent=True
@@ -284,9 +301,10 @@
             return
 
     async def read_head_copy(self, version: int = 0) -> HeadRow | None:
-        """Read the copy of one accepted head, or else of the newest.
+        """Return the copy of the head of a version, or None if there is none.
 
-        It is advisory: a newer head may have been accepted without a copy.
+        Version 0 stands for the newest copy.  A newer version than that may have
+        been accepted, since its copy may not have been written yet.
         """
         key = head_copy_key(version)
         if not version:
@@ -298,37 +316,41 @@
         return None if body is None else _decode(body, HeadRow)
 
     async def newest_head_copy(self) -> int:
-        """Return the version of the newest copied head, or 0."""
+        """Return the version of the newest head copy, or 0 if there is none."""
         keys = await self.objects.keys(HEAD_PREFIX, limit=1)
         if not keys:
             return 0
-        return HEAD_NUMBERS - int(keys[0].removeprefix(HEAD_PREFIX))
+        return HEAD_NUMBER_BASE - int(keys[0].removeprefix(HEAD_PREFIX))
 
 
 def head_copy_key(version: int) -> str:
-    """Return the key of the copy of an accepted head."""
-    return f"{HEAD_PREFIX}{HEAD_NUMBERS - version:011d}"
+    """Return the object key of the head copy of a version."""
+    return f"{HEAD_PREFIX}{HEAD_NUMBER_BASE - version:011d}"
 
 
-def newest_changes(changes: tuple[Change, ...], most: int) -> tuple[Change, ...]:
-    """Return the newest changes that fit into a number of bytes."""
+def newest_changes(changes: tuple[Change, ...], max_bytes: int) -> tuple[Change, ...]:
+    """Return the newest changes whose encoded sizes add up to at most `max_bytes`."""
     size = 0
     for index in range(len(changes) - 1, -1, -1):
         size += len(to_bytes(changes[index]))
-        if size > most:
+        if size > max_bytes:
             return changes[index + 1 :]
     return changes
 
 
 def apply_changes(state: DocumentState, manifest: Manifest, version: int) -> None:
-    """Apply the manifest's changes that are newer than a version."""
+    """Apply those changes of a manifest to `state` that are newer than `version`."""
     for change in manifest.changes:
         if change.version > version:
             state.apply(change)
 
 
 def pack_parts(values: Mapping[str, bytes]) -> list[dict[str, bytes]]:
-    """Distribute parts over packs by the hash of their key."""
+    """Distribute parts over packs by the hashes of their keys.
+
+    The number of packs is the smallest power of two that gives a mean size of at
+    most `PACK_BYTES`, so it rarely changes as the document grows.
+    """
     size = sum(map(len, values.values()))
     count = 1
     while count * PACK_BYTES < size:
@@ -340,7 +362,7 @@
 
 
 def content_digest(parts: Mapping[str, bytes]) -> str:
-    """Return the digest of a pack's parts, whatever their order."""
+    """Return the SHA-256 of a pack's parts, independent of their order."""
     hasher = hashlib.sha256()
     for key, body in sorted(parts.items()):
         hasher.update(key.encode() + b"\0" + body + b"\0")
@@ -348,7 +370,7 @@
 
 
 def pack_number(key: str, count: int) -> int:
-    """Return the pack that a part belongs to."""
+    """Return the index of the pack for a key, among `count` packs."""
     digest = hashlib.sha256(key.encode()).digest()
     return int.from_bytes(digest[:8]) % count
 
--- a/tests/configuration/conftest.py
+++ b/tests/configuration/conftest.py
@@ -1,4 +1,4 @@
-"""Tests here run on trio with a virtual clock."""
+"""Runs the tests of this folder on trio with a virtual clock."""
 
 from __future__ import annotations
 
--- a/tests/configuration/test_chaos.py
+++ b/tests/configuration/test_chaos.py
@@ -1,4 +1,4 @@
-"""Operators race while table and object store fail in every way, on fixed seeds."""
+"""Concurrent publications with random table and object store faults, by fixed seeds."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 
 @define
-class World:
-    """Routers and operators on one failing platform.
+class Simulation:
+    """Routers and operators on one platform with random faults.
 
-    Each task draws from a stream of its own: with a shared one the order in which
-    tasks wake, which hangs on their addresses, would decide what each of them draws,
-    and one seed would play several histories.
+    Each task has a random generator of its own.  The order in which tasks wake
+    depends on their memory addresses, so with a shared generator one seed would
+    give different histories.
 
     Attributes:
-        seed: Decides all streams.
-        accepted: Content by the version that its operator was told.
-        refused: Content whose operator was told that it is not in force.
-        seen: The digest that routers had in force, by version.
+        seed: Determines all random generators.
+        accepted: Published content, by the version that `publish` returned.
+        refused: Content whose publication was refused: it must not be in force.
+        observed: The digest that routers had in force, by version.
     """
 
     seed: int
@@ -47,28 +47,28 @@
     keepers: list[ConfigurationKeeper] = field(factory=list)
     accepted: dict[int, str] = field(factory=dict)
     refused: set[str] = field(factory=set)
-    seen: dict[int, str] = field(factory=dict)
+    observed: dict[int, str] = field(factory=dict)
     running: bool = True
 
-    def stream(self, task: str) -> Random:
-        """Return the chances of one task."""
+    def make_random(self, task: str) -> Random:
+        """Return the random generator of one task."""
         return Random(f"{self.seed} {task}")
 
     async def run(self) -> None:
         self.keepers = [keeper_on(self.table, self.objects) for _ in range(ROUTERS)]
-        async with anyio.create_task_group() as everything:
+        async with anyio.create_task_group() as background:
             for index in range(ROUTERS):
-                everything.start_soon(self.route, index)
-            everything.start_soon(self.break_things)
+                background.start_soon(self.route, index)
+            background.start_soon(self.inject_faults)
             async with anyio.create_task_group() as group:
                 for index in range(OPERATORS):
                     group.start_soon(self.operate, index)
             self.running = False
-            everything.cancel_scope.cancel()
+            background.cancel_scope.cancel()
 
     async def route(self, index: int) -> None:
-        """Follow versions, restart at times, and never go back."""
-        chances = self.stream(f"route {index}")
+        """Follow versions, with random restarts, and check that none is reverted."""
+        random = self.make_random(f"route {index}")
         version = 0
         while True:
             keeper = self.keepers[index]
@@ -76,19 +76,19 @@
             assert keeper.version >= version
             version = keeper.version
             if keeper.head is not None:
-                digest = self.seen.setdefault(version, keeper.head.digest)
+                digest = self.observed.setdefault(version, keeper.head.digest)
                 assert digest == keeper.head.digest
-            await anyio.sleep(chances.uniform(0, 5))
-            if chances.random() < 0.1:
+            await anyio.sleep(random.uniform(0, 5))
+            if random.random() < 0.1:
                 self.keepers[index] = keeper_on(self.table, self.objects)
                 version = 0
 
     async def operate(self, operator: int) -> None:
-        """Publish changes on top of whatever some router has."""
-        chances = self.stream(f"operate {operator}")
+        """Publish changes based on the version of a randomly chosen router."""
+        random = self.make_random(f"operate {operator}")
         for step in range(STEPS):
-            await anyio.sleep(chances.uniform(0, 4))
-            keeper = chances.choice(self.keepers)
+            await anyio.sleep(random.uniform(0, 4))
+            keeper = random.choice(self.keepers)
             content = f"o{operator}-{step}"
             base = keeper.version
             try:
@@ -101,53 +101,56 @@
             except EbonyholdError as error:
                 raise AssertionError(f"unexpected: {error}") from error
 
-    async def break_things(self) -> None:
-        """Break and mend table and object store."""
-        chances = self.stream("break")
+    async def inject_faults(self) -> None:
+        """Set random faults of the table and the object store."""
+        random = self.make_random("break")
         while True:
-            await anyio.sleep(chances.uniform(0, 3))
+            await anyio.sleep(random.uniform(0, 3))
             await self.table.faults.flush()
             self.table.faults = Faults(
-                down=chances.random() < 0.25,
-                delay=chances.uniform(0.001, 0.2),
-                answer_delay=chances.uniform(0, 0.2),
-                lose_answers=chances.choice((0, 0, 1, 2)),
-                lose_requests=chances.choice((0, 0, 1, 3)),
-                late=chances.choice((0, 0, 1)),
-                duplicates=chances.choice((0, 1)),
+                down=random.random() < 0.25,
+                delay=random.uniform(0.001, 0.2),
+                answer_delay=random.uniform(0, 0.2),
+                lose_answers=random.choice((0, 0, 1, 2)),
+                lose_requests=random.choice((0, 0, 1, 3)),
+                late=random.choice((0, 0, 1)),
+                duplicates=random.choice((0, 1)),
             )
-            self.objects.faults.down = chances.random() < 0.25
+            self.objects.faults.down = random.random() < 0.25
 
 
 @pytest.mark.parametrize("seed", range(8))
 async def test_no_version_is_lost_doubled_or_reverted(seed: int) -> None:
-    """What an operator is told is true, whatever failed while it was told.
+    """Guards against wrong results of publications when calls fail or are delayed.
 
-    An accepted content has its version for ever, a refused one has none, no
-    two routers have different contents of one version, and no router goes back.
+    Each content reported as accepted keeps its version, and each refused one has
+    none.  Routers agree on the content of a version and never adopt an older one.
     """
-    world = World(seed)
-    await world.run()
-    await world.table.faults.flush()
-    rows = world.table.rows
+    simulation = Simulation(seed)
+    await simulation.run()
+    await simulation.table.faults.flush()
+    rows = simulation.table.rows
     heads = [head_of(row) for key, row in rows.items() if "config/version/" in key]
     contents = {head.version: head.author for head in heads if head}
-    assert world.accepted.items() <= contents.items()
-    assert world.refused.isdisjoint(contents.values())
+    assert simulation.accepted.items() <= contents.items()
+    assert simulation.refused.isdisjoint(contents.values())
     assert len(set(contents.values())) == len(contents)
     assert sorted(contents) == list(range(1, len(contents) + 1))
     assert len(contents) > 5
-    for version, digest in world.seen.items():
+    for version, digest in simulation.observed.items():
         head = head_of(rows[config_version_key(version)])
         assert head is not None
         assert head.digest == digest
 
 
-async def test_a_seed_plays_one_history() -> None:
-    """A seed that found a fault must find it again, wherever tasks lie in memory."""
+async def test_a_seed_gives_one_history() -> None:
+    """Guards against histories that depend on the memory addresses of tasks.
+
+    A seed that has found a fault must reproduce it.
+    """
     ends = []
     for _ in range(3):
-        world = World(0)
-        await world.run()
-        ends.append((world.accepted, world.refused, world.seen))
+        simulation = Simulation(0)
+        await simulation.run()
+        ends.append((simulation.accepted, simulation.refused, simulation.observed))
     assert ends[0] == ends[1] == ends[2]
--- a/tests/configuration/test_keeper.py
+++ b/tests/configuration/test_keeper.py
@@ -1,4 +1,4 @@
-"""Accepted versions are in force everywhere and never revert."""
+"""Routers adopt each accepted version and never revert to an older one."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
 
 @attrs.define
-class FakeOthers:
-    """Other routers that answer with what a test sets."""
+class FixedEvidence:
+    """An evidence source that returns fixed evidence."""
 
     answers: tuple[Evidence, ...] = ()
 
@@ -62,10 +62,10 @@
 
 
 async def test_an_older_version_is_never_adopted() -> None:
-    """A table restored from an old copy shows version 1 while 2 is in force.
+    """Guards against reverting when the table is restored from an old backup.
 
-    The router must keep version 2, tell operators, and refuse to publish on
-    top of the old head, which would revert what was accepted.
+    The table shows version 1 while 2 is in force.  The router must keep version 2,
+    set `regressed`, and not publish on top of the old head.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
@@ -83,9 +83,9 @@
 
 
 async def test_a_delayed_read_does_not_revert() -> None:
-    """A router reads version 1, is paused, and goes on after version 2 came.
+    """Guards against reverting when a read of version 1 ends after version 2.
 
-    The old answer arrives last; installing it would revert the configuration.
+    It happens when a router is paused between reading a version and installing it.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
@@ -98,7 +98,7 @@
 
 
 async def test_a_restart_finds_the_newest_version() -> None:
-    """A router restarts with nothing on disk, long after its peers moved on."""
+    """A router without any state reads the newest of 200 versions."""
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
     for version in range(200):
@@ -110,11 +110,11 @@
 
 
 async def test_a_cold_start_without_the_table() -> None:
-    """All routers are replaced while the table is down.
+    """Guards against routers that cannot start, or serve wrongly, without the table.
 
-    With the policy to serve, they take the newest copy of an accepted head;
-    with the policy to refuse, they stay unready.  Once the table answers, both
-    have the newest version, also one whose copy was never written.
+    If the policy allows a stale configuration, a new router adopts the newest head
+    copy; otherwise it doesn't serve.  Once the table answers, it has the newest
+    version, whose head copy is missing here.
     """
     for document, serves in ((DOCUMENT, True), (REFUSING, False)):
         table, objects = MemoryTable(), MemoryObjects()
@@ -145,10 +145,10 @@
     ],
 )
 async def test_a_version_of_a_newer_release(section: str, value: Json) -> None:
-    """Half of the routers run a newer release, whose document says more.
+    """Guards against a router that fails on a version of a newer release.
 
-    An older router cannot read it: it must go on with the version it has, not
-    end, and follow again once it can.
+    In a rolling upgrade, an older router may be unable to read a new part or the
+    head row.  It must keep its version, not count as confirmed, and not raise.
     """
     table, objects = MemoryTable(), MemoryObjects()
     newer, older = keeper_on(table, objects), keeper_on(table, objects)
@@ -171,10 +171,10 @@
 
 
 async def test_a_missing_copy_of_the_head_is_written() -> None:
-    """The publisher's router dies after its version was accepted.
+    """Guards against routers that start in a table outage and miss a version.
 
-    The head's copy was not written, so that a router that starts in the next
-    table outage would miss the version; the surviving routers write it.
+    The publishing router exits after its version was accepted and before it wrote
+    the head copy; another router must write the copy.
     """
     table, objects = MemoryTable(), MemoryObjects()
     await keeper_on(table, objects).publish(DOCUMENT, 0, "ana")
@@ -188,11 +188,11 @@
     assert copies[0] in objects.objects
 
 
-async def test_a_notice_brings_a_version_while_the_table_is_down() -> None:
-    """Version 2 was accepted just before the table went down.
+async def test_a_notice_leads_to_a_version_while_the_table_is_down() -> None:
+    """Guards against missing a version that is accepted just before an outage.
 
-    A router that missed it hears of it from a peer, fetches the copy by its
-    number, and does not count it as confirmed.
+    A peer announces version 2; the router adopts it by its head copy and doesn't
+    count it as confirmed.  An announcement of its own version has no effect.
     """
     table, objects = MemoryTable(), MemoryObjects()
     first, second = keeper_on(table, objects), keeper_on(table, objects)
@@ -203,7 +203,7 @@
     table.faults.down = True
     await anyio.sleep(10)
     second.notice(1)
-    assert not second.noticed.is_set()
+    assert not second.announced.is_set()
     second.notice(2)
     await second.follow()
     assert (second.version, second.confirmed_at) == (2, confirmed_at)
@@ -220,14 +220,13 @@
         (REFUSING, (("other", 5.0),), False),
     ],
 )
-async def test_a_long_outage(
+async def test_staleness_in_a_long_outage(
     document: Document, answers: tuple[tuple[str, float], ...], serves: bool
 ) -> None:
-    """A router has not reached the table for longer than `stale_after`.
+    """Guards against serving against the policy, or refusing without need.
 
-    Whether callers are refused is the policy's choice.  A router that is cut
-    off alone stays fresh by the word of peers that reach the table, if they
-    have the same version.
+    The table cannot be reached for longer than `stale_after`.  Recent evidence of a
+    peer with the same version and digest keeps the configuration from being stale.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
@@ -235,7 +234,7 @@
     assert keeper.may_serve()
     assert keeper.head is not None
     digests = {"own": keeper.head.digest, "other": "0" * 64}
-    keeper.evidence = FakeOthers(
+    keeper.evidence = FixedEvidence(
         tuple(Evidence(1, digests[whose], age) for whose, age in answers)
     )
     table.faults.down = objects.faults.down = True
@@ -248,32 +247,32 @@
     assert not keeper.stale
 
 
-async def test_evidence_counts_from_before_the_question() -> None:
-    """A peer's answer was under way for a minute before it arrived.
+async def test_evidence_counts_from_before_the_request() -> None:
+    """Guards against a late answer that makes a confirmation look more recent.
 
-    It must not make the version look fresher than the table's last word.
+    A peer's answer takes 60 s; its age must count from before the request.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
     await keeper.publish(REFUSING, 0, "ana")
 
-    class SlowOthers:
+    class SlowEvidence:
         async def ask(self) -> tuple[Evidence, ...]:
             await anyio.sleep(60)
             return (keeper_evidence,)
 
     keeper_evidence = attrs.evolve(keeper.own_evidence(), confirmed_age=0.0)
-    keeper.evidence = SlowOthers()
-    asked_at = anyio.current_time()
-    await keeper.ask_others()
-    assert keeper.confirmed_at <= asked_at
+    keeper.evidence = SlowEvidence()
+    requested_at = anyio.current_time()
+    await keeper.request_evidence()
+    assert keeper.confirmed_at <= requested_at
 
 
-async def test_every_router_has_a_version_within_seconds() -> None:
-    """Nine routers follow the head; an operator publishes through one of them.
+async def test_every_router_adopts_a_version_within_8_seconds() -> None:
+    """Guards against routers that adopt a version late, even after an outage.
 
-    The table fails for a while in between; afterwards all have the version
-    within two polls.
+    Nine routers poll the head every 4 s on average.  Each must have a published
+    version after 8 s, also after the table was down for 300 s.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keepers = [keeper_on(table, objects, seed) for seed in range(9)]
@@ -292,7 +291,7 @@
         group.cancel_scope.cancel()
 
 
-async def test_a_notice_wakes_the_reader() -> None:
+async def test_a_notice_starts_a_poll_at_once() -> None:
     table, objects = MemoryTable(), MemoryObjects()
     first, second = keeper_on(table, objects), keeper_on(table, objects)
     async with anyio.create_task_group() as group:
@@ -306,9 +305,9 @@
 
 
 async def test_damaged_objects_are_not_adopted() -> None:
-    """An object of the new version is damaged in the store.
+    """Guards against adopting a version whose manifest is damaged or missing.
 
-    The router keeps the version it has, and does not count as confirmed.
+    The router must raise ConfigurationError and keep its version.
     """
     table, objects = MemoryTable(), MemoryObjects()
     first, second = keeper_on(table, objects), keeper_on(table, objects)
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -1,4 +1,4 @@
-"""A publication is accepted once or refused, whatever happens to its answers."""
+"""A publication is accepted once or refused, even if answers are lost."""
 
 from __future__ import annotations
 
@@ -27,11 +27,12 @@
 
 @define
 class ScriptedTable(MemoryTable):
-    """A table that refuses commits, or loses one answer after something else.
+    """A table that refuses commits, or loses an answer after a callback.
 
     Attributes:
-        refusals: Commits that are refused without effect.
-        after_commit: Run between the next commit and the loss of its answer.
+        refusals: The number of next commits that are refused without effect.
+        after_commit: Called after the next commit took effect; then the answer
+            of that commit is lost.
     """
 
     refusals: int = 0
@@ -48,7 +49,7 @@
             raise UnknownOutcomeError("no answer")
 
 
-async def test_publishing_the_same_again_changes_nothing() -> None:
+async def test_publishing_the_same_document_again_changes_nothing() -> None:
     keeper = keeper_on(MemoryTable(), MemoryObjects())
     await keeper.publish(DOCUMENT, 0, "ana")
     assert await keeper.publish(DOCUMENT, 0, "ana") == 1
@@ -69,12 +70,11 @@
     ids=repr,
 )
 async def test_a_lost_answer_is_resolved(faults: Faults) -> None:
-    """The table accepts a version, but its answer never reaches the router.
+    """Guards against wrong results when the answer to a commit is lost.
 
-    The operator must neither be told of a failure that was a success, nor get
-    a second version, nor a second first top-up for the new workspace; not even
-    when a commit that was given up takes effect late.  Whether it arrived
-    cannot be told from the error; its history row tells.
+    The publisher must read the outcome from the history row.  It must not report
+    a failure, publish a second version or top up the new workspace twice, even
+    if a commit takes effect after its timeout.
     """
     table = MemoryTable(attrs.evolve(faults))
     keeper = keeper_on(table, MemoryObjects())
@@ -93,11 +93,11 @@
 
 
 async def test_a_lost_answer_is_resolved_after_the_next_version() -> None:
-    """Ana's version is accepted, its answer is lost, and Ben publishes on top.
+    """Guards against reporting an accepted publication as a lost race.
 
-    When Ana's router reads back, the head is Ben's.  It would look like a lost
-    race, and Ana would publish her change again; her own history row says that
-    it was accepted.
+    Ana's version is accepted and its answer is lost; then Ben publishes the next
+    version.  Ana's publisher finds Ben's head, but the history row of her version
+    shows that hers was accepted.
     """
     table, objects = ScriptedTable(), MemoryObjects()
     ana, ben = keeper_on(table, objects), keeper_on(table, objects)
@@ -112,10 +112,11 @@
     assert (ana.version, ana.document) == (2, named("ben"))
 
 
-async def test_the_table_stays_silent() -> None:
-    """No answer comes for so long that the router gives up on a publication.
+async def test_an_unanswered_publication_has_an_unknown_outcome() -> None:
+    """Guards against reporting an unanswered commit as refused.
 
-    It must say that the outcome is unknown: the commits may still arrive.
+    No commit is answered until the publisher gives up; they may still take effect.
+    Only if the table certainly did nothing is the publication unavailable.
     """
     table, objects = MemoryTable(Faults(lose_requests=100)), MemoryObjects()
     with pytest.raises(UnknownOutcomeError):
@@ -127,10 +128,11 @@
 
 
 async def test_racing_operators() -> None:
-    """Five operators publish on the same version at the same moment.
+    """Guards against accepting more than one of five concurrent publications.
 
-    One is accepted; each other one is told the version in force, its author
-    and what changed, and nothing of theirs is in force.
+    All are based on the same version.  The four others raise LostRaceError with
+    the accepted version, its author and the changed paths; none of their content
+    is in force.
     """
     table, objects = MemoryTable(Faults(delay=0.01)), MemoryObjects()
     await keeper_on(table, objects).publish(DOCUMENT, 0, "ana")
@@ -156,11 +158,11 @@
         assert keeper.document == named(f"f{winner}")
 
 
-async def test_many_new_workspaces_are_filled_once() -> None:
-    """A document adds more workspaces than fit into one transaction.
+async def test_many_new_workspaces_are_topped_up_once() -> None:
+    """Guards against missing or repeated first top-ups of a large document.
 
-    An answer is lost while their first top-ups are made one by one; each must
-    have its prepaid tokens exactly once.
+    The document adds more workspaces than fit into one transaction, and three
+    answers are lost.  Removing and adding workspaces again tops none up twice.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
@@ -176,10 +178,10 @@
 
 
 async def test_first_top_ups_that_failed_are_made_by_a_repeat() -> None:
-    """The table goes down between a large document and its first top-ups.
+    """Guards against workspaces that stay without their first top-up.
 
-    The operator is told that not all is done and applies the same document
-    again; it is in force, but its workspaces must not stay without tokens.
+    The table fails after a large document was accepted and before all first
+    top-ups are made; publishing the same document again makes the missing ones.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
@@ -189,13 +191,13 @@
     assert await publisher.publish() == 1
     table.faults.down = True
     with pytest.raises(UnknownOutcomeError):
-        await publisher.fill_budgets()
+        await publisher.make_topups()
     table.faults.down = False
     assert await keeper.publish(many, 0, "ana") == 1
     assert table.rows[budget_key("w59")].value == {"prepaid": 60}
 
 
-async def test_a_workspace_topped_up_before_its_document_keeps_that() -> None:
+async def test_a_first_top_up_adds_to_an_existing_budget() -> None:
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
     await keeper.publish(attrs.evolve(DOCUMENT, workspaces=()), 0, "ana")
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -1,4 +1,4 @@
-"""Versions travel as small changes, and arrive whole from any older version."""
+"""Versions are sent as small changes and can be read from any older version."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     return Document("f", ("a",), tuple(map(workspace, range(workspaces))))
 
 
-def in_order(document: Document) -> dict[str, object]:
-    """Return a document's attributes; the order of its lists means nothing."""
+def sorted_attributes(document: Document) -> dict[str, object]:
+    """Return the attributes of a document with its lists sorted, for comparison."""
     return {
         field.name: sorted(value, key=repr) if isinstance(value, tuple) else value
         for field in attrs.fields(Document)
@@ -44,8 +44,8 @@
     }
 
 
-def changed(document: Document, random: Random) -> Document:
-    """Add, change or remove one workspace."""
+def change_randomly(document: Document, random: Random) -> Document:
+    """Return a copy with one workspace added, change_randomly or removed at random."""
     workspaces = list(document.workspaces)
     index = random.randrange(len(workspaces))
     match random.randrange(4):
@@ -54,15 +54,19 @@
         case 1:
             workspaces.append(workspace(random.randrange(10**6, 10**9)))
         case _:
-            fresh = random.randrange(1, 10**5)
-            workspaces[index] = attrs.evolve(workspaces[index], concurrency=fresh)
+            other = random.randrange(1, 10**5)
+            workspaces[index] = attrs.evolve(workspaces[index], concurrency=other)
     return attrs.evolve(document, workspaces=tuple(workspaces))
 
 
 async def test_followers_at_any_distance_arrive_at_the_same_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Routers that read each version, some versions, or start anew, agree."""
+    """Guards against states that depend on which versions a router has read.
+
+    Followers read every version, every 10th, 100th or only the first; a new one
+    reads only the last.
+    """
     monkeypatch.setattr(_store, "PACK_BYTES", 2000)
     random = Random(5)
     table, objects = MemoryTable(), MemoryObjects()
@@ -75,7 +79,7 @@
         for index, follower in enumerate(followers):
             if version % (10**index) == 0:
                 await follower.refresh()
-        document = changed(document, random)
+        document = change_randomly(document, random)
     for follower in (*followers, ConfigurationKeeper(table, store)):
         await follower.refresh()
         assert follower.state.digest == publisher.state.digest
@@ -87,7 +91,11 @@
 
 
 async def test_a_change_costs_a_follower_one_small_object() -> None:
-    """Also when the publisher writes a new base, and when a poll was missed."""
+    """Guards against followers that read a whole base for a few changes.
+
+    It must not happen after a new base, nor if the follower reads only every
+    third version.
+    """
     random = Random(5)
     table, objects = MemoryTable(), CountingObjects()
     store = VersionStore(objects)
@@ -98,19 +106,19 @@
     await follower.refresh()
     assert objects.bytes_read > 150_000
     for version in range(1, 300):
-        document = changed(document, random)
+        document = change_randomly(document, random)
         await publisher.publish(document, version, "ana")
         if version % 3:
             continue
         objects.reset()
         await follower.refresh()
         assert objects.calls_read == 1
-        assert objects.bytes_read <= _store.MOST_INLINE
+        assert objects.bytes_read <= _store.MAX_INLINE
 
 
 @define
-class DeletesFail(MemoryObjects):
-    """An object store where each second delete fails, when told to."""
+class FailingDeletes(MemoryObjects):
+    """An object store where every other delete fails while `failing` is set."""
 
     failing: bool = False
     deletes: int = 0
@@ -125,24 +133,24 @@
 async def test_old_versions_leave_nothing_behind(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Thousands of changes a day must not fill the object store.
+    """Guards against an object store that fills up at thousands of changes a day.
 
-    Versions beyond those that are kept go with all their objects, also when a
-    deletion ends half-way, while each kept version can still be read.
+    Versions beyond the kept ones are deleted with all their objects, even if a
+    deletion fails part-way; each kept version can still be read.
     """
     kept = 12
     monkeypatch.setattr(_store, "PACK_BYTES", 2000)
-    monkeypatch.setattr(_store, "MOST_INLINE", 1200)
+    monkeypatch.setattr(_store, "MAX_INLINE", 1200)
     monkeypatch.setattr(_store, "KEPT_INLINE", 600)
     monkeypatch.setattr(_publisher, "KEPT_VERSIONS", kept)
     random = Random(5)
-    table, objects = MemoryTable(), DeletesFail()
+    table, objects = MemoryTable(), FailingDeletes()
     keeper = ConfigurationKeeper(table, VersionStore(objects))
     document = large(60)
     for version in range(120):
         objects.failing = version < 110 and version % 7 == 0
         await keeper.publish(document, version, "ana")
-        document = changed(document, random)
+        document = change_randomly(document, random)
     versions = await keeper.history(100)
     assert len(versions) == kept
     used: set[str] = set()
@@ -156,7 +164,7 @@
     assert set(objects.objects) == used
 
 
-async def test_every_part_of_a_document_travels() -> None:
+async def test_every_part_of_a_document_is_published() -> None:
     table, objects = MemoryTable(), MemoryObjects()
     store = VersionStore(objects)
     document = load(EXAMPLES / "bagmati-dhoka.yaml")
@@ -167,7 +175,7 @@
     follower = ConfigurationKeeper(table, store)
     await follower.refresh()
     assert follower.document is not None
-    assert in_order(follower.document) == in_order(document)
+    assert sorted_attributes(follower.document) == sorted_attributes(document)
 
 
 async def test_changed_paths_name_parts_and_attributes() -> None:
