--- a/ebonyhold/daemon/__init__.py
+++ b/ebonyhold/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon ``ebonyholdd``: one router process."""
+"""The daemon ``ebonyholdd``, which runs one router per process."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def serve(
     config: Annotated[Path, typer.Option(help="The daemon's settings file.")],
 ) -> None:
-    """Run one ebonyhold router until a signal stops it."""
+    """Run one ebonyhold router until a signal or a failed task stops it."""
     try:
         settings = load_settings(config)
         check_listener("callers", settings.callers)
@@ -41,12 +41,12 @@
     anyio.run(daemon.run)
     if provider is not None:
         provider.shutdown()
-    if daemon.parts.failure is not None:
-        # The log has the error.  A traceback here would keep the process for most
-        # of a second longer, with its listeners closed.
+    if daemon.background.failure is not None:
+        # The error is already logged. Printing a traceback here would delay the
+        # exit by most of a second, with the listeners already closed.
         sys.exit(EXIT_FAILED)
 
 
 def main() -> None:
-    """Run the daemon's command line."""
+    """Parse the command line and run the daemon."""
     typer.run(serve)
--- a/ebonyhold/daemon/_daemon.py
+++ b/ebonyhold/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""One router process, put together from its parts."""
+"""The router process: creates its components, starts them and stops them."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from ebonyhold.backends import Backends, PlacementHolder
 from ebonyhold.callers import CallersApp
 from ebonyhold.configuration import ConfigurationKeeper, make_keeper
-from ebonyhold.daemon._door import Visits
-from ebonyhold.daemon._help import VersionHelp
+from ebonyhold.daemon._door import RequestCounter
 from ebonyhold.daemon._lifecycle import Lifecycle
 from ebonyhold.daemon._members import MemberFeed
 from ebonyhold.daemon._messages import StatusRequest
-from ebonyhold.daemon._parts import Parts
 from ebonyhold.daemon._recoveries import Recoveries
 from ebonyhold.daemon._servers import serve_listener
 from ebonyhold.daemon._settlements import Settlements
 from ebonyhold.daemon._status import FleetStatusSource
+from ebonyhold.daemon._tasks import BackgroundTasks
+from ebonyhold.daemon._versions import VersionExchange
 from ebonyhold.document import Document, Limits, Policy
 from ebonyhold.exceptions import EbonyholdError
 from ebonyhold.fleet import FleetView
@@ -54,41 +54,50 @@
 
 logger = logging.getLogger(__name__)
 
-OPEN_PAUSE: Seconds = 1.0
-"""Mean time between tries to register while the table is away; it is spread, since
-after a power cut all routers would else try in step."""
+REGISTER_RETRY_DELAY: Seconds = 1.0
+"""Mean delay between attempts to register while the table is unavailable.
+
+Each delay is random, from half to one and a half times the mean, so that routers that
+start together after a power cut don't all retry at the same time.
+"""
 
 AT_START = GuardPolicy(writes=Limits().table_writes, reads=Limits().table_reads)
-"""The ceilings until the first document, and those of the object store."""
+"""Rate limits of platform calls.
+
+They apply to the table until the first document is in force, and to the object store
+for as long as the process runs.
+"""
 
-NO_DOCUMENT = Document(fleet="", domains=())
-"""Stands in until the first version is adopted; it serves nobody."""
+EMPTY_DOCUMENT = Document(fleet="", domains=())
+"""In force until the first version is adopted; it has no workspaces or backends."""
 
 
 @define
 class Daemon:
-    """Everything of one router process.
+    """The components of one router process.
 
     Attributes:
         settings: The daemon's own settings.
-        metrics: What is counted.
-        table_client: The platform's table service.
-        objects_client: The platform's object store.
-        table_guard: Ceilings, breaker and retries of the table.
-        objects_guard: The same of the object store.
-        table: The table as the parts use it.
-        objects: The object store as the parts use it.
-        members: The platform's membership list.
-        fleet: The document in force and who is leaving.
-        keeper: Follows configuration versions.
-        network: The other routers.
-        backends: The backend servers.
-        money: Grants, journal, claims and bills.
+        metrics: The metrics that the process exports.
+        table_client: Client of the platform's table service.
+        objects_client: Client of the platform's object store.
+        table_guard: Rate limits, circuit breaker and retries of table calls.
+        objects_guard: Rate limits, circuit breaker and retries of object store calls.
+        table: The guarded table; its calls are queued by class of importance.
+        objects: The guarded object store; its calls are queued by class of importance.
+        members: Polls the platform's membership list.
+        fleet: The document in force and the names of leaving backend servers.
+        keeper: Reads and adopts configuration versions.
+        network: The connections to the other routers, and their membership.
+        backends: The backend servers and their state.
+        money: Grants, journal, claims and bills of the current incarnation.
         callers: The callers' application.
-        recoveries: Recovers routers that are gone.
-        lifecycle: The router's own stop.
-        parts: Runs everything beside the requests.
-        visits: The requests on both listeners, which close together.
+        recoveries: Recovers the incarnations of failed routers.
+        upkeep: Returns lost transfers and deletes expired rows.
+        placement: Places models on engines while this router holds the lease.
+        lifecycle: Runs the stop of this router.
+        background: Runs the background tasks.
+        requests: Counts the requests on both listeners, which close together.
     """
 
     settings: Settings
@@ -110,11 +119,11 @@
     upkeep: Upkeep = field(init=False)
     placement: PlacementHolder = field(init=False)
     lifecycle: Lifecycle = field(init=False)
-    parts: Parts = field(init=False)
-    visits: Visits = field(factory=Visits)
+    background: BackgroundTasks = field(init=False)
+    requests: RequestCounter = field(factory=RequestCounter)
 
     def __attrs_post_init__(self) -> None:
-        """Make the parts; nothing is opened yet."""
+        """Create the components; no socket is opened and no task is started."""
         platform = self.settings.platform
         self.table_client = TableClient(platform.table, platform.timeout)
         self.objects_client = ObjectClient(platform.objects, platform.timeout)
@@ -122,7 +131,7 @@
         self.objects_guard = GuardedObjects(self.objects_client, Guard(AT_START))
         self.table = ClassifiedTable(self.table_guard)
         self.objects = ClassifiedObjects(self.objects_guard)
-        self.fleet = FleetView(NO_DOCUMENT, domain=self.settings.domain)
+        self.fleet = FleetView(EMPTY_DOCUMENT, domain=self.settings.domain)
         self.members = MemberFeed(self.members_client(), self.fleet)
         self.keeper = make_keeper(self.table, self.objects)
         self.backends = Backends(self.fleet)
@@ -134,7 +143,9 @@
             KeyRing.load(Path(self.settings.peer_keys)),
             self.members.entries,
         )
-        self.money = Incarnations(Names(self.settings.name, first), self.make_treasury)
+        self.money = Incarnations(
+            IncarnationNames(self.settings.name, first), self.make_grant_manager
+        )
         self.callers = CallersApp(
             self.money,
             self.fleet,
@@ -168,21 +179,21 @@
             self.network,
             lambda: self.fleet.document.limits.drain,
         )
-        self.parts = Parts(self.lifecycle.asked)
+        self.background = BackgroundTasks(self.lifecycle.stop_requested)
 
     def members_client(self) -> MembersClient | None:
-        """Return the client of the membership list, if the settings name one."""
+        """Return the client of the membership list; None if the settings name none."""
         platform = self.settings.platform
         if not platform.members:
             return None
         return MembersClient(platform.members, platform.timeout)
 
     def policy(self) -> Policy:
-        """Return the policy in force."""
+        """Return the policy of the document in force."""
         return self.fleet.document.policy
 
-    def make_treasury(self, router: RouterId) -> Treasury:
-        """Make the money side of one incarnation, and be that incarnation."""
+    def make_grant_manager(self, router: RouterId) -> Treasury:
+        """Return the grant manager of an incarnation that this router now runs as."""
         if self.network.membership.me.router != router:
             self.network.become(router)
         return Treasury(
@@ -197,7 +208,7 @@
         )
 
     def make_recovery(self) -> Recovery:
-        """Make a recovery on behalf of the present incarnation."""
+        """Return a recovery that acts for the current incarnation."""
         return Recovery(
             self.table,
             self.objects,
@@ -207,7 +218,13 @@
         )
 
     def operators_app(self) -> OperatorsApp:
-        """Make the operators' application."""
+        """Return the operators' application, with the operator keys loaded.
+
+        Other routers' status requests are answered from then on.
+
+        Raises:
+            SettingsError: The file of operator keys cannot be used.
+        """
         status = FleetStatusSource(
             self.settings.domain,
             self.money,
@@ -221,21 +238,21 @@
         self.network.handle(StatusRequest, status.answer)
         keys = OperatorKeys(Path(self.settings.operator_keys))
         keys.reload()
-        books = TableAccounts(self.table)
+        accounts = TableAccounts(self.table)
         return OperatorsApp(
             OperatorsContext(
                 keys,
                 self.keeper,
                 status,
-                books,
-                books,
+                accounts,
+                accounts,
                 self.render_metrics,
                 Settlements(self.table, self.make_recovery),
             )
         )
 
     async def run(self) -> None:
-        """Serve until a signal, or a part that fails, asks for the stop.
+        """Serve until a signal or a failed task requests the stop, and then stop.
 
         Raises:
             SettingsError: A key file cannot be used.
@@ -243,9 +260,9 @@
         operators = self.operators_app()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.lifecycle.follow_signals)
-            # The listeners get their own group: their connections may still hold
-            # the last bytes of answers when the bills are filed, and leaving the
-            # process then would cut those answers.
+            # The listeners have their own task group. When the bills are filed, their
+            # connections may still have unsent bytes of answers, which would be lost
+            # if the process exited at that point.
             async with anyio.create_task_group() as listeners:
                 starting = anyio.CancelScope()
                 listeners.start_soon(self.start, operators, tasks, listeners, starting)
@@ -261,67 +278,73 @@
         listeners: TaskGroup,
         scope: anyio.CancelScope,
     ) -> None:
-        """Start the parts in order; a signal may come before the last.
+        """Start the components in order; the stop may cancel this at any point.
+
+        The start waits without a time limit for an unavailable table. `run` therefore
+        handles signals beside it, so that a router can be stopped while it waits.
 
-        While the table is away the start waits for it without a bound, and a
-        signal that is only followed once the router serves would be lost.
+        Args:
+            operators: The operators' application.
+            tasks: Runs the background tasks.
+            listeners: Runs the listeners.
+            scope: Cancels the start.
         """
         stop = self.lifecycle.ended
-        with scope, self.parts.noting():
-            tasks.start_soon(self.parts.run, self.table_guard.run)
-            tasks.start_soon(self.parts.run, self.objects_guard.run)
-            tasks.start_soon(self.parts.run, self.members.run)
-            await tasks.start(self.parts.start, self.network.run)
+        with scope, self.background.stop_on_error():
+            tasks.start_soon(self.background.run, self.table_guard.run)
+            tasks.start_soon(self.background.run, self.objects_guard.run)
+            tasks.start_soon(self.background.run, self.members.run)
+            await tasks.start(self.background.start, self.network.run)
             await listeners.start(
                 serve_listener,
                 operators,
                 self.settings.operators,
                 stop,
-                self.visits,
+                self.requests,
             )
             await self.network.wait_for_start()
-            tasks.start_soon(self.parts.run, self.start_keeper)
-            tasks.start_soon(self.parts.run, self.follow_versions)
-            tasks.start_soon(self.parts.run, self.backends.run)
-            await self.open_money()
-            await self.recoveries.look_around()
+            tasks.start_soon(self.background.run, self.start_keeper)
+            tasks.start_soon(self.background.run, self.follow_versions)
+            tasks.start_soon(self.background.run, self.backends.run)
+            await self.register()
+            await self.recoveries.scan_at_start()
             self.network.introduce()
-            tasks.start_soon(self.parts.run, self.money.run)
-            tasks.start_soon(self.parts.run, self.recoveries.run)
-            tasks.start_soon(self.parts.run, self.upkeep.run)
-            tasks.start_soon(self.parts.run, self.placement.run)
-            self.lifecycle.opened = True
+            tasks.start_soon(self.background.run, self.money.run)
+            tasks.start_soon(self.background.run, self.recoveries.run)
+            tasks.start_soon(self.background.run, self.upkeep.run)
+            tasks.start_soon(self.background.run, self.placement.run)
+            self.lifecycle.registered = True
             await listeners.start(
                 serve_listener,
                 self.callers,
                 self.settings.callers,
                 stop,
-                self.visits,
+                self.requests,
             )
             logger.info("serving", extra={"callers": self.settings.callers.bind})
 
-    async def open_money(self) -> None:
-        """Register the first incarnation, however long the table is away."""
+    async def register(self) -> None:
+        """Register the first incarnation, retrying until the table accepts it."""
         while True:
             try:
                 await self.money.open()
             except EbonyholdError as error:
                 logger.warning("not registered yet", extra={"cause": str(error)})
-                await anyio.sleep(OPEN_PAUSE * random.uniform(0.5, 1.5))
+                await anyio.sleep(REGISTER_RETRY_DELAY * random.uniform(0.5, 1.5))
             else:
                 return
 
     async def start_keeper(self) -> None:
-        """Follow configuration versions and pass them on."""
-        help_with_versions = VersionHelp(self.keeper, self.network)
-        help_with_versions.register()
-        self.keeper.evidence = help_with_versions
+        """Follow configuration versions and exchange them with the other routers."""
+        exchange = VersionExchange(self.keeper, self.network)
+        exchange.register()
+        self.keeper.evidence = exchange
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(help_with_versions.run)
+            tasks.start_soon(exchange.run)
             await self.keeper.run()
 
     async def follow_versions(self) -> None:
-        """Put each adopted version in force for the request path."""
+        """Put each adopted version in force, and recheck the queued requests."""
         version = 0
         while True:
             version = await self.keeper.wait_changed(version)
@@ -331,12 +354,12 @@
             self.callers.pump()
 
     def follow_limits(self) -> None:
-        """Put the document's ceilings in force."""
+        """Apply the rate limits of the document in force to the table calls."""
         limits = self.fleet.document.limits
         self.table_guard.guard.set_rates(limits.table_writes, limits.table_reads)
 
     def render_metrics(self) -> bytes:
-        """Set the gauges and return the exposition text."""
+        """Update the gauges and return all metrics as exposition text."""
         metrics = self.metrics
         metrics.in_flight.set(self.callers.active)
         metrics.configuration_version.set(self.keeper.version)
@@ -355,7 +378,7 @@
         return metrics.render()
 
     def set_platform_gauges(self, service: str, guard: Guard) -> None:
-        """Set the gauges of the calls to one of the platform's services."""
+        """Set the gauges that count the calls to one of the platform's services."""
         for priority, counters in guard.counters.items():
             for counted in attrs.fields(Counters):
                 value = getattr(counters, counted.name)
@@ -364,7 +387,7 @@
                 ).set(value)
 
     async def close(self) -> None:
-        """Close the clients."""
+        """Close the clients of the platform's services."""
         await self.table_client.aclose()
         await self.objects_client.aclose()
         if self.members.client is not None:
@@ -372,15 +395,21 @@
 
 
 @define
-class Names:
-    """Names the incarnations: the first as the network knows it, then new ones."""
+class IncarnationNames:
+    """Generates incarnation ids, of which the first is given.
+
+    Attributes:
+        vm: The name of the router's VM.
+        first: The incarnation with which the peer network was created.
+        used: Whether `first` has been returned.
+    """
 
     vm: str
     first: RouterId
     used: bool = False
 
     def __call__(self) -> RouterId:
-        """Return the next name."""
+        """Return `first` on the first call and a new id on each later one."""
         if self.used:
             return new_incarnation(self.vm)
         self.used = True
--- a/ebonyhold/daemon/_door.py
+++ b/ebonyhold/daemon/_door.py
@@ -1,8 +1,8 @@
-"""One listener's sockets and connections, and the order in which they close.
+"""The sockets and connections of one listener, and the order in which they close.
 
-hypercorn speaks HTTP on each connection.  Its own server isn't used: on a stop it
-closes the listening socket first and then waits for connections, so that callers
-meet a closed door for as long as one slow caller reads.
+hypercorn handles HTTP on each connection. Its own server isn't used because it closes
+the listening socket first and then waits for the connections: new callers would be
+unable to connect for as long as one slow caller reads its answer.
 """
 
 from __future__ import annotations
@@ -23,79 +23,79 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK: Seconds = 0.02
-"""How often a stop looks whether anybody is still being answered."""
+POLL_INTERVAL: Seconds = 0.02
+"""Time between checks for requests that are still being answered."""
 
-CROSSING: Seconds = 0.1
-"""How long connections are read after the listening socket has closed.
+LATE_READ_TIME: Seconds = 0.1
+"""How long connections are still read after the listening socket has closed.
 
-A request may be on its way at that moment, on a kept connection or on one that was
-just accepted; it is answered like any other.
+A request that arrives in this time, on a kept or a just accepted connection, is passed
+to the application like any other.
 """
 
-PARTING: Seconds = 1.0
-"""How long connections with nothing to answer may take to close, TLS included."""
+CLOSE_TIMEOUT: Seconds = 1.0
+"""How long connections may take to close, including the end of TLS."""
 
 AsgiApp = Callable[[Any, Any, Any], Awaitable[None]]
 
 
 @define
-class Visits:
-    """Counts the requests that are being answered, on all listeners together.
+class RequestCounter:
+    """Counts the requests that are being answered on all listeners of a process.
 
-    The listeners of one process share it and so close at the same moment: one that
-    closed alone would turn callers away while the process waits for another.
+    The listeners share it, so that they close at the same time. A listener that closed
+    earlier would refuse connections while the process waits for another listener.
 
     Attributes:
-        inside: How many requests are being answered.
+        active: Number of requests that are being answered.
     """
 
-    inside: int = 0
+    active: int = 0
 
-    def counting(self, app: AsgiApp) -> AsgiApp:
-        """Return the application with its requests counted."""
+    def count_requests(self, app: AsgiApp) -> AsgiApp:
+        """Return an application that counts its requests and calls the given one."""
 
         async def counted(scope: Any, receive: Any, send: Any) -> None:
-            self.inside += 1
+            self.active += 1
             try:
                 await app(scope, receive, send)
             finally:
-                self.inside -= 1
+                self.active -= 1
 
         return counted
 
-    async def wait_none(self, seconds: Seconds) -> None:
-        """Wait until nobody is being answered, but no longer than this."""
+    async def wait_idle(self, seconds: Seconds) -> None:
+        """Wait until no request is being answered, for at most the given time."""
         with anyio.move_on_after(seconds):
-            while self.inside:  # noqa: ASYNC110 - few look, and rarely
-                await anyio.sleep(LOOK)
+            while self.active:  # noqa: ASYNC110 - few waiters, at long intervals
+                await anyio.sleep(POLL_INTERVAL)
 
 
 @define
-class Door:
-    """The sockets of one listener, and whoever came through them.
+class ConnectionServer:
+    """The listening sockets of one listener and the connections accepted on them.
 
     Attributes:
         app: The application.
-        config: The listener's configuration.
-        visits: The requests on all listeners of the process.
-        context: Tells hypercorn's connections to end.
+        config: hypercorn's configuration of the listener.
+        requests: The requests on all listeners of the process.
+        context: Signals hypercorn's connections to end.
         servers: The listening sockets.
-        writers: Open connections by their tasks.
+        writers: The writers of open connections, by the task that serves each.
     """
 
     app: AsgiApp
     config: Config
-    visits: Visits
+    requests: RequestCounter
     context: WorkerContext = field(factory=lambda: WorkerContext(None))
     servers: list[asyncio.Server] = field(factory=list)
     writers: dict[asyncio.Task[None], asyncio.StreamWriter] = field(factory=dict)
 
-    async def open(self) -> None:
-        """Listen.
+    async def listen(self) -> None:
+        """Open the listening sockets and accept connections.
 
         Raises:
-            OSError: The address is taken, or a certificate cannot be used.
+            OSError: The address is in use, or a certificate cannot be used.
         """
         sockets = self.config.create_sockets()
         context = self.config.create_ssl_context() if self.config.ssl_enabled else None
@@ -103,7 +103,7 @@
         handshake = self.config.ssl_handshake_timeout if context else None
         for each in listening:
             server = await asyncio.start_server(
-                self.answer,
+                self.serve_connection,
                 sock=each,
                 backlog=self.config.backlog,
                 ssl=context,
@@ -111,20 +111,21 @@
             )
             self.servers.append(server)
 
-    async def answer(
+    async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection."""
+        """Serve the requests of one connection until it closes."""
         task = asyncio.current_task()
         assert task is not None
         self.writers[task] = writer
         if not self.config.ssl_enabled:
-            # An answer counts as given once the kernel has all of it: the door must
-            # not close, nor the process end, on the 64 KiB that asyncio else holds.
-            # Under TLS asyncio never resumes a writer with this limit; there the
-            # rest has until `PARTING`.
+            # With a limit of 0 a request stays active until the kernel has taken the
+            # whole answer. By default asyncio buffers up to 64 KiB, which would be
+            # lost if the listener closed and the process exited. Under TLS asyncio
+            # never resumes a writer with this limit, so the default stays, and the
+            # buffer has `CLOSE_TIMEOUT` seconds to empty.
             writer.transport.set_write_buffer_limits(0)
-        app = ASGIWrapper(self.visits.counting(self.app))
+        app = ASGIWrapper(self.requests.count_requests(self.app))
         loop = asyncio.get_running_loop()
         try:
             await TCPServer(app, loop, self.config, self.context, {}, reader, writer)
@@ -134,40 +135,45 @@
             del self.writers[task]
 
     async def close(self, grace: Seconds) -> None:
-        """Let everybody finish, then close, the listening sockets late.
+        """Wait for answers, close the listening sockets, and close all connections.
+
+        The sockets accept connections while answers are finished. Connections that
+        aren't closed in time are aborted.
 
         Args:
-            grace: How long answers under way may still take.
+            grace: Maximum time for which answers in progress are waited for, in
+                seconds.
         """
-        await self.visits.wait_none(grace)
-        # Whoever has outlasted the grace takes nothing; whoever only came as the
-        # door closed, with a large body say, is still to hear its refusal.
-        left = 0.0 if self.visits.inside else PARTING
-        self.shut()
-        await anyio.sleep(CROSSING)
-        await self.visits.wait_none(left)
+        await self.requests.wait_idle(grace)
+        # Callers that have not read their answers within the grace period get no more
+        # time. If there are none, requests that arrive during the close, such as one
+        # with a large body, still have time to receive their refusal.
+        left = 0.0 if self.requests.active else CLOSE_TIMEOUT
+        self.stop_listening()
+        await anyio.sleep(LATE_READ_TIME)
+        await self.requests.wait_idle(left)
         await self.context.terminated.set()
-        await self.wait_gone(PARTING if not self.visits.inside else 0.0)
+        await self.wait_closed(CLOSE_TIMEOUT if not self.requests.active else 0.0)
         if self.writers:
             logger.warning(
                 "connections cut",
                 extra={"bind": self.config.bind[0], "count": len(self.writers)},
             )
-            await self.cut()
+            await self.abort()
 
-    def shut(self) -> None:
-        """Stop listening."""
+    def stop_listening(self) -> None:
+        """Close the listening sockets; open connections stay open."""
         for server in self.servers:
             server.close()
 
-    async def wait_gone(self, seconds: Seconds) -> None:
-        """Wait until no connection is left, but no longer than this."""
+    async def wait_closed(self, seconds: Seconds) -> None:
+        """Wait until all connections have closed, for at most the given time."""
         if self.writers:
             await asyncio.wait(list(self.writers), timeout=seconds)
 
-    async def cut(self) -> None:
-        """End all connections at once."""
+    async def abort(self) -> None:
+        """Abort all connections, and wait for their tasks to end."""
         for task, writer in list(self.writers.items()):
             writer.transport.abort()
             task.cancel()
-        await self.wait_gone(PARTING)
+        await self.wait_closed(CLOSE_TIMEOUT)
--- a/ebonyhold/daemon/_lifecycle.py
+++ b/ebonyhold/daemon/_lifecycle.py
@@ -1,4 +1,4 @@
-"""The router's own stop: what happens from the first signal to the last bill."""
+"""The stop of this router, from the first signal to the filing of the last bill."""
 
 from __future__ import annotations
 
@@ -18,38 +18,39 @@
 logger = logging.getLogger(__name__)
 
 UNREADY_GRACE: Seconds = 2.0
-"""How long requests are still taken after the readiness check says no.
+"""How long requests are still accepted after the readiness check starts to fail.
 
-The platform's balancer looks at readiness now and then; whoever it sends here in
-the meantime would otherwise be refused for a planned stop.
+The platform's load balancer polls readiness at intervals. Requests that it sends here
+until it notices would otherwise be refused during a planned stop.
 """
 
-FILE_WITHIN: Seconds = 15.0
-"""The longest wait for the table to take the last bills.
+FILING_TIMEOUT: Seconds = 15.0
+"""Maximum time for filing the last bills and returning the grants.
 
-What is not filed by then stands in the journal, and any other router files it.
+Bills that aren't filed by then remain in the journal, and another router files them.
 """
 
-LOOK: Seconds = 0.05
+POLL_INTERVAL: Seconds = 0.05
 
 
 @define
 class Lifecycle:
-    """Leads the router from serving to its end.
+    """Runs the stop of this router.
 
-    A stop takes at most `UNREADY_GRACE` + the document's ``drain`` + eight seconds
-    for the requests that it ends + `FILE_WITHIN` seconds; the listeners then take up to
-    their own grace to hand over the last bytes.  Before the router has registered
-    there is nothing to wait for, and it ends at once.
+    A stop takes at most `UNREADY_GRACE` + the document's ``drain`` + 8 seconds for the
+    requests that it interrupts + `FILING_TIMEOUT` seconds. After that the listeners
+    may need their own grace period to send the last bytes. A router that isn't
+    registered yet holds nothing and stops at once.
 
     Attributes:
-        callers: The requests in flight.
+        callers: The callers' application, which has the requests in flight.
         money: The grants and bills.
-        network: The other routers.
-        drain: Returns the longest wait for streams, in seconds.
-        opened: Whether the router is registered, so that it may hold something.
-        leaving: Whether the readiness check says no.
-        hurried: Set by the second signal.
+        network: The other routers, which are notified of the stop.
+        drain: Returns the maximum wait for requests in flight, in seconds.
+        registered: Whether the router is registered and may hold tokens.
+        leaving: Whether the stop has begun, so that the readiness check fails.
+        stop_requested: Set by a signal or a failed task; begins the stop.
+        expedited: Set by a signal after `stop_requested`; ends the waits of the stop.
         ended: Set when the listeners may close.
     """
 
@@ -57,70 +58,73 @@
     money: Incarnations
     network: PeerNetwork
     drain: Callable[[], Seconds]
-    opened: bool = False
+    registered: bool = False
     leaving: bool = False
-    asked: anyio.Event = field(factory=anyio.Event)
-    hurried: anyio.Event = field(factory=anyio.Event)
+    stop_requested: anyio.Event = field(factory=anyio.Event)
+    expedited: anyio.Event = field(factory=anyio.Event)
     ended: anyio.Event = field(factory=anyio.Event)
 
     async def follow_signals(self) -> None:
-        """Stop at the first signal, hurry at the second.
+        """Request the stop at a signal; expedite it if it is already requested.
 
-        SIGHUP is taken and does nothing: certificates, keys and the document are
-        followed without it.  Left to its default it would end the process at once,
-        with every request cut and its grants held until another router recovers
-        them; an operator's habit, or a closed terminal, is enough to send it.
+        SIGHUP is received and ignored: changes of certificates, keys and the document
+        are found by polling. Its default action would end the process at once, cut
+        all requests, and leave the grants held until another router recovers them.
+        Operators send it by habit, and a closed terminal sends it too.
         """
-        taken = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        with anyio.open_signal_receiver(*taken) as signals:
+        handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        with anyio.open_signal_receiver(*handled) as signals:
             async for number in signals:
                 logger.info("signal received", extra={"signal": number.name})
                 if number is signal.SIGHUP:
                     continue
-                if self.asked.is_set():
-                    self.hurried.set()
-                self.asked.set()
+                if self.stop_requested.is_set():
+                    self.expedited.set()
+                self.stop_requested.set()
 
     async def run(self) -> None:
-        """Wait for the first signal, then stop in order."""
-        await self.asked.wait()
+        """Wait until the stop is requested, run it, and set `ended`."""
+        await self.stop_requested.wait()
         self.leaving = True
-        if self.opened:
+        if self.registered:
             await self.leave()
         self.ended.set()
 
     async def leave(self) -> None:
-        """Tell everybody, let the streams end, and settle."""
+        """Announce the stop, wait for requests in flight, and file the bills."""
         self.network.leave()
-        await self.wait_unless_hurried(UNREADY_GRACE)
+        await self.wait_unless_expedited(UNREADY_GRACE)
         self.callers.stopping = True
         await self.wait_for_streams()
         await self.settle()
 
-    async def wait_unless_hurried(self, seconds: Seconds) -> None:
-        """Wait, but no longer than to the second signal."""
+    async def wait_unless_expedited(self, seconds: Seconds) -> None:
+        """Wait for the given time, or less if the stop is expedited."""
         with anyio.move_on_after(seconds):
-            await self.hurried.wait()
+            await self.expedited.wait()
 
     async def wait_for_streams(self) -> None:
-        """Wait until nothing is in flight, within the document's bound."""
+        """Wait for requests in flight, and interrupt those that remain.
+
+        The wait ends at the document's ``drain`` limit or when the stop is expedited.
+        """
         deadline = anyio.current_time() + self.drain()
-        while self.callers.active and not self.hurried.is_set():
+        while self.callers.active and not self.expedited.is_set():
             if anyio.current_time() >= deadline:
                 logger.warning(
                     "requests ended by the stop", extra={"count": self.callers.active}
                 )
                 break
-            await anyio.sleep(LOOK)
+            await anyio.sleep(POLL_INTERVAL)
         await self.callers.interrupt()
 
     async def settle(self) -> None:
-        """File the bills and give the grants back.
+        """File the bills and return the grants, within `FILING_TIMEOUT`.
 
-        A second signal does not skip this: what is in the journal is safe either
-        way, but whoever had to recover it would wait first.
+        Errors are logged, and another router recovers the rest from the journal. A
+        second signal doesn't skip this step, since recovery begins only after a delay.
         """
-        with anyio.move_on_after(FILE_WITHIN) as scope:
+        with anyio.move_on_after(FILING_TIMEOUT) as scope:
             try:
                 await self.money.drain()
             except EbonyholdError as error:
--- a/ebonyhold/daemon/_members.py
+++ b/ebonyhold/daemon/_members.py
@@ -1,4 +1,4 @@
-"""The platform's membership list, read by one task for all who need it."""
+"""Polling of the platform's membership list."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 logger = logging.getLogger(__name__)
 
-READ_EVERY: Seconds = 2.0
-"""Mean time between reads: a leaving backend server is heard of within seconds."""
+READ_INTERVAL: Seconds = 2.0
+"""Mean time between reads; it bounds how late a leaving backend server is noticed."""
 
 
 @define
 class MemberFeed:
-    """Keeps the last list, and tells the fleet view who is leaving.
+    """Keeps the last list, and passes the leaving backend servers to the fleet view.
 
     Attributes:
-        client: The platform's list; None when the settings name none.
-        fleet: Gets the names of leaving backend servers.
-        rng: Spreads the reads of the routers.
-        members: The last list that was read.
+        client: Reads the list; None if the settings name no list.
+        fleet: Receives the names of leaving backend servers.
+        rng: Varies the time between reads, so that routers don't read in step.
+        members: The last list that was read; None before the first read.
     """
 
     client: MembersClient | None
@@ -36,18 +36,21 @@
     members: tuple[Member, ...] | None = None
 
     async def run(self) -> None:
-        """Read the list again and again until cancelled."""
+        """Read the list at intervals until cancelled.
+
+        Return at once if there is no list. After a failed read the last list stays.
+        """
         if self.client is None:
             return
         while True:
             try:
-                self.take(await self.client.members())
+                self.update(await self.client.members())
             except EbonyholdError as error:
                 logger.info("no membership list", extra={"cause": str(error)})
-            await anyio.sleep(READ_EVERY * self.rng.uniform(0.5, 1.5))
+            await anyio.sleep(READ_INTERVAL * self.rng.uniform(0.5, 1.5))
 
-    def take(self, members: tuple[Member, ...]) -> None:
-        """Keep a list that was read."""
+    def update(self, members: tuple[Member, ...]) -> None:
+        """Store a list, and set the fleet view's leaving backend servers from it."""
         self.members = members
         self.fleet.leaving = frozenset(
             member.name
@@ -56,10 +59,10 @@
         )
 
     async def entries(self) -> tuple[Member, ...]:
-        """Return the last list, for the other routers' sake.
+        """Return the last list; the peer network finds the other routers in it.
 
         Raises:
-            UnavailableError: None was read yet.
+            UnavailableError: No list has been read yet.
         """
         if self.members is None:
             raise UnavailableError("the membership list was not read yet")
--- a/ebonyhold/daemon/_messages.py
+++ b/ebonyhold/daemon/_messages.py
@@ -1,4 +1,4 @@
-"""What daemons ask each other for the operators' sake."""
+"""Messages with which routers collect the fleet status for operators."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 @frozen
 class HeldGrant:
-    """What a router holds of one budget, in tokens."""
+    """The grant of one workspace at a router.
+
+    Attributes:
+        workspace: The workspace of the budget.
+        available: Tokens that aren't held for requests.
+        held: Tokens held for requests in flight.
+    """
 
     workspace: WorkspaceName
     available: Tokens
@@ -19,7 +25,7 @@
 
 @frozen
 class BackendUse:
-    """How many requests a router has at one backend server."""
+    """The number of requests that a router has in flight at one backend server."""
 
     backend: BackendName
     in_flight: int
@@ -28,23 +34,23 @@
 @peer_message("status_request")
 @frozen
 class StatusRequest(PeerMessage):
-    """How are you?"""
+    """Requests the status of the receiving router."""
 
 
 @peer_message("status_reply")
 @frozen
 class StatusReply(PeerMessage):
-    """How one router describes itself.
+    """The status of one router, as that router reports it.
 
     Attributes:
         router: Its incarnation.
         domain: Its failure domain.
-        version: The configuration version in force there.
-        stopping: Whether it is on its way out.
-        in_flight: Requests that it answers now.
-        confirmed_age: Seconds since the table confirmed its version; < 0 for never.
-        grants: What it holds of the budgets.
-        uses: What it has at the backend servers.
+        version: The configuration version in force there; 0 for none.
+        stopping: Whether its stop has begun.
+        in_flight: Number of requests that it is answering.
+        confirmed_age: Seconds since its version was last confirmed; negative for never.
+        grants: Its largest grants, largest first.
+        uses: Its requests in flight by backend server, without those that have none.
     """
 
     router: RouterId
--- a/ebonyhold/daemon/_recoveries.py
+++ b/ebonyhold/daemon/_recoveries.py
@@ -1,4 +1,4 @@
-"""The task that recovers routers which are gone, each by one survivor if it can."""
+"""The task that finds failed routers and recovers those assigned to this router."""
 
 from __future__ import annotations
 
@@ -24,100 +24,105 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_EVERY: Seconds = 2.0
-"""Mean time between looks at who is gone."""
+RECOVERY_INTERVAL: Seconds = 2.0
+"""Mean time between checks for routers to recover."""
 
-LOOK_AROUND_WITHIN: Seconds = 1.0
-"""How long reading all rows may hold up a start."""
+START_SCAN_TIMEOUT: Seconds = 1.0
+"""Maximum time for which reading the rows of routers delays a start."""
 
-SCAN_EVERY: Seconds = 30.0
-"""Mean time between looks at all rows of routers in the table.
+SCAN_INTERVAL: Seconds = 30.0
+"""Mean time between scans of the rows of all routers in the table.
 
-Heartbeats tell of routers that somebody here knew.  After a total restart nobody
-knew the ones before, and only their rows in the table tell of them.
+Heartbeats show only the failure of routers that a running router knew. After a restart
+of all routers, the earlier incarnations are found only by their rows.
 """
 
 
 @define
 class Recoveries:
-    """Finds routers that are gone and recovers them.
+    """Finds incarnations that seem to have failed, and recovers them.
 
-    Whether a router is gone is a guess, and two survivors may guess at once: the
-    recovery itself is safe in both cases, so the guess only decides how soon
-    tokens return and how much work is done twice.
+    Failure detection may be wrong, and two routers may recover one incarnation at the
+    same time. Recovery is safe in both cases: a detection error only changes how soon
+    tokens are returned and how much work is repeated.
 
     Attributes:
-        table: Where the rows of routers are.
-        make: Makes the recovery on behalf of the present incarnation.
-        me: Names the present incarnation.
-        alive: Names the other routers believed alive.
-        gone: Names the incarnations believed gone.
-        may_recover: Says whether an incarnation may be recovered whose row is open,
-            given for how long it has been among nobody's living.
-        read_row: Is told of each open row of another incarnation, which may be one
-            that no router has met.
-        rng: Spreads the looks of the routers.
-        unknown: When a row was first seen whose router nobody here knows.
-        closed: Incarnations that are settled; their rows are not looked at again.
-        stranded: Tokens that wait, by incarnation, as the last try left them.
+        table: The table with the rows of routers.
+        make_recovery: Returns a recovery that acts for the current incarnation.
+        own_router: Returns the id of the current incarnation.
+        alive: Returns the other routers believed alive.
+        recoverable: Returns the incarnations that are believed to have failed.
+        may_recover: Returns whether an incarnation that isn't alive may be recovered,
+            given the seconds since a scan first found its unsettled row.
+        add_row: Receives each unsettled row of an incarnation that isn't alive, to add
+            it to the members if it is unknown.
+        rng: Varies the intervals, so that routers don't work in step.
+        unknown_since: When the unsettled row of each incarnation that isn't alive was
+            first found.
+        closed: Incarnations that are completely settled and aren't recovered again.
+        stranded: Tokens that the last recovery could not return, by incarnation.
+        next_scan: When all rows are scanned again.
     """
 
     table: Table
-    make: Callable[[], Recovery]
-    me: Callable[[], RouterId]
+    make_recovery: Callable[[], Recovery]
+    own_router: Callable[[], RouterId]
     alive: Callable[[], tuple[RouterId, ...]]
-    gone: Callable[[], tuple[RouterId, ...]]
+    recoverable: Callable[[], tuple[RouterId, ...]]
     may_recover: Callable[[RouterId, Seconds], bool]
-    read_row: Callable[[RouterId, RouterRow], None]
+    add_row: Callable[[RouterId, RouterRow], None]
     rng: random.Random = field(factory=random.Random)
-    unknown: dict[RouterId, Seconds] = field(factory=dict)
+    unknown_since: dict[RouterId, Seconds] = field(factory=dict)
     closed: set[RouterId] = field(factory=set)
     stranded: dict[RouterId, Tokens] = field(factory=dict)
     next_scan: Seconds = 0.0
 
-    async def look_around(self) -> None:
-        """Read the rows of the routers that registered before, if that goes quickly.
+    async def scan_at_start(self) -> None:
+        """Read the rows of registered routers, for at most `START_SCAN_TIMEOUT`.
 
-        A router introduces itself to them before it holds anything of a budget.  One
-        that nobody has met can die with bills that are only found by a later scan.
+        The router then introduces itself to these routers before it holds any tokens.
+        If it exits unknown to all of them, its bills are found only by a later scan.
+        Errors are logged, and the start goes on.
         """
         try:
-            with anyio.move_on_after(LOOK_AROUND_WITHIN):
+            with anyio.move_on_after(START_SCAN_TIMEOUT):
                 await self.scan()
         except EbonyholdError as error:
             logger.warning("other routers' rows not read", extra={"cause": str(error)})
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Recover failed routers at intervals until cancelled."""
         while True:
-            await anyio.sleep(LOOK_EVERY * self.rng.uniform(0.5, 1.5))
+            await anyio.sleep(RECOVERY_INTERVAL * self.rng.uniform(0.5, 1.5))
             try:
-                await self.look()
+                await self.recover_gone()
             except EbonyholdError as error:
                 logger.info("no recovery now", extra={"cause": str(error)})
 
-    async def look(self) -> None:
-        """Recover every router that is gone and falls to this one.
+    async def recover_gone(self) -> None:
+        """Recover each failed incarnation that is assigned to this router.
+
+        Scan the rows of all routers first if a scan is due.
 
         Raises:
-            EbonyholdError: The table could not be scanned; look again later.
+            EbonyholdError: The table could not be scanned; try again later.
         """
-        candidates = set(self.gone())
+        candidates = set(self.recoverable())
         if anyio.current_time() >= self.next_scan:
             candidates |= await self.scan()
-            self.next_scan = anyio.current_time() + SCAN_EVERY * self.rng.uniform(
+            self.next_scan = anyio.current_time() + SCAN_INTERVAL * self.rng.uniform(
                 0.5, 1.5
             )
-        survivors = (self.me(), *self.alive())
-        for router in sorted(candidates - self.closed - {self.me()}):
-            if responsible(router, survivors) == self.me():
+        survivors = (self.own_router(), *self.alive())
+        for router in sorted(candidates - self.closed - {self.own_router()}):
+            if responsible(router, survivors) == self.own_router():
                 await self.try_recover(router)
 
     async def try_recover(self, router: RouterId) -> None:
-        """Recover one router, or leave it to a later look.
+        """Recover one incarnation; log an error, and leave it to a later attempt.
 
-        One whose recovery fails at each look would otherwise hold up all that
-        come after it, and their tokens would stay stranded.
+        If the error were raised, one incarnation whose recovery always fails would
+        keep all that follow it from being recovered.
         """
         try:
             await self.recover(router)
@@ -127,44 +132,48 @@
             )
 
     async def scan(self) -> set[RouterId]:
-        """Return routers with an unsettled row that are not alive here, and may go.
+        """Return the incarnations with an unsettled row that may be recovered.
 
-        Those that nobody here knew become members, whose silence is noticed from
-        then on: a router that died before any other met it is found here alone.
+        Rows of incarnations that aren't alive are passed to `add_row`, so that their
+        heartbeats are expected from then on. A router that failed before another
+        router knew it is found only in this way.
 
-        Not being alive here is not enough: a router that is leaving is still
-        finishing its streams, and one whose own network has failed knows nobody.
-        Sealing on that ground would cut streams, and in the second case of the
-        whole fleet, again and again.
+        That an incarnation isn't alive in the view of this router doesn't suffice. A
+        leaving router may still be finishing its streams, and a router without
+        network sees no other router alive. Sealing on that condition would cut
+        streams, in the second case those of the whole fleet and repeatedly.
 
         Raises:
             UnavailableError: The table cannot be reached.
         """
         now = anyio.current_time()
-        known = {self.me(), *self.alive()}
+        known = {self.own_router(), *self.alive()}
         found: set[RouterId] = set()
         async for row in scan_rows(self.table, ROUTER_PREFIX):
             router = row.key.removeprefix(ROUTER_PREFIX)
             value = from_json(row.value, RouterRow)
             if value.state is not RouterState.CLOSED and router not in known:
                 found.add(router)
-                self.read_row(router, value)
-        for router in sorted(found - self.unknown.keys()):
+                self.add_row(router, value)
+        for router in sorted(found - self.unknown_since.keys()):
             logger.info("open row of a router not alive here", extra={"row": router})
-        self.unknown = {router: self.unknown.get(router, now) for router in found}
+        self.unknown_since = {
+            router: self.unknown_since.get(router, now) for router in found
+        }
         return {
             router
-            for router, since in self.unknown.items()
+            for router, since in self.unknown_since.items()
             if self.may_recover(router, now - since)
         }
 
     async def recover(self, router: RouterId) -> RecoveryReport:
-        """Recover one router.
+        """Recover one incarnation, and record whether tokens are still stranded.
 
         Raises:
-            EbonyholdError: A place could not be reached; it is tried again.
+            EbonyholdError: The table, the object store or a backend server could not
+                be reached; try again later.
         """
-        report = await self.make().recover(router)
+        report = await self.make_recovery().recover(router)
         if report.closed:
             self.closed.add(router)
             self.stranded.pop(router, None)
--- a/ebonyhold/daemon/_servers.py
+++ b/ebonyhold/daemon/_servers.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of the daemon, with certificates that reload while they serve."""
+"""HTTP listeners of the daemon, which load changed certificates while they serve."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from attrs import define
 from hypercorn.config import Config
 
-from ebonyhold.daemon._door import AsgiApp, Door, Visits
+from ebonyhold.daemon._door import AsgiApp, ConnectionServer, RequestCounter
 from ebonyhold.exceptions import SettingsError
 from ebonyhold.settings import Listener, TlsSettings
 from ebonyhold.types import Seconds
@@ -19,24 +19,30 @@
 logger = logging.getLogger(__name__)
 
 CERTIFICATE_POLL: Seconds = 1.0
-"""How often a listener looks whether its certificate files changed."""
+"""Time between a listener's checks for changed certificate files."""
 
 KEEP_ALIVE: Seconds = 75.0
-"""How long a connection without a whole request is kept, trickled headers included."""
+"""How long a connection may stay open without a complete request.
+
+This includes connections whose headers arrive byte by byte.
+"""
 
 GRACE: Seconds = 5.0
-"""How long answers under way may take after the stop; the listener is open so long."""
+"""Maximum time for answers in progress after the stop.
+
+The listening sockets stay open until these answers have ended.
+"""
 
 
 class ReloadingConfig(Config):
     """A hypercorn configuration whose handshakes use the newest TLS context.
 
-    A pair that does not match would leave the context it is loaded into with a
-    certificate and no key: every handshake would fail until the next look.  So
-    each pair gets a context of its own, and takes over only when it is whole.
+    Each certificate and key are loaded into a new context, which replaces the old one
+    only if they match. A pair that doesn't match would leave an existing context with
+    a certificate and no key, and every handshake would fail until the next check.
 
     Attributes:
-        context: The context that new handshakes use.
+        context: The context that new handshakes use; None without TLS.
     """
 
     def __init__(self) -> None:
@@ -44,20 +50,26 @@
         self.context: ssl.SSLContext | None = None
 
     def create_ssl_context(self) -> ssl.SSLContext | None:
-        """Make the context that hypercorn starts each handshake with."""
+        """Return the context in which handshakes start; None without TLS."""
         self.context = super().create_ssl_context()
         if self.context is not None:
-            self.context.sni_callback = self.use_newest
+            self.context.sni_callback = self.use_newest_context
         return self.context
 
-    def use_newest(
+    def use_newest_context(
         self, connection: ssl.SSLObject, name: str | None, first: ssl.SSLContext
     ) -> None:
-        """Let a handshake go on with the newest context, with a name or without."""
+        """Continue a handshake with the newest context, whether or not it has a name.
+
+        Args:
+            connection: The connection of the handshake.
+            name: The server name that the client sent, if any; not used.
+            first: The context in which the handshake started.
+        """
         connection.context = self.context or first
 
     def reload(self) -> None:
-        """Load the files into a new context, and use that if they are whole.
+        """Load the files into a new context, and use it for new handshakes.
 
         Raises:
             OSError: A file cannot be read, or the pair does not match
@@ -67,7 +79,7 @@
 
 
 def listener_config(listener: Listener) -> ReloadingConfig:
-    """Translate a listener's settings for hypercorn."""
+    """Return hypercorn's configuration for a listener's settings."""
     config = ReloadingConfig()
     config.bind = [listener.bind]
     config.keep_alive_timeout = KEEP_ALIVE
@@ -80,14 +92,14 @@
         config.keyfile = listener.tls.key
         if listener.tls.authority:
             config.ca_certs = listener.tls.authority
-            # An authority without this is loaded and then asks nobody for
-            # anything: whoever has set it believes that strangers cannot connect.
+            # Without this setting clients aren't asked for a certificate, although
+            # the operator has set an authority to keep out unknown clients.
             config.verify_mode = ssl.VerifyMode.CERT_REQUIRED
     return config
 
 
 def check_listener(name: str, listener: Listener) -> None:
-    """Find out before the start whether a listener's certificate can be used.
+    """Check before the start that a listener's certificate can be used.
 
     Raises:
         SettingsError: A file is missing, or the pair does not match.
@@ -103,35 +115,35 @@
     """Loads a listener's certificate again when its files change.
 
     Attributes:
-        config: The configuration whose context is refreshed.
-        tls: The files.
-        stamps: The modification times last seen, in nanoseconds.
+        config: The configuration that reloads its context.
+        tls: The names of the files.
+        mtimes: The modification times of the loaded files, in nanoseconds.
     """
 
     config: ReloadingConfig
     tls: TlsSettings
-    stamps: tuple[int, ...] = ()
+    mtimes: tuple[int, ...] = ()
 
-    def look(self) -> bool:
-        """Reload if a file changed; return whether it did.
+    def reload_if_changed(self) -> bool:
+        """Load the files if one has changed; return whether a new context is in use.
 
-        The two files are replaced one after the other, so a look in between
-        sees a pair that does not match: loading fails, the old context stays
-        in use, and the next look tries again.
+        The two files are replaced one after the other, so a check in between may find
+        a pair that doesn't match. The failure is logged, the old context stays in use,
+        and the next check tries again.
         """
-        stamps = self.read_stamps()
-        if stamps == self.stamps or self.config.context is None:
+        mtimes = self.read_mtimes()
+        if mtimes == self.mtimes or self.config.context is None:
             return False
         try:
             self.config.reload()
         except OSError as error:
             logger.warning("certificate not loaded", extra={"error": str(error)})
             return False
-        self.stamps = stamps
+        self.mtimes = mtimes
         return True
 
-    def read_stamps(self) -> tuple[int, ...]:
-        """Return the modification times; empty while a file is missing."""
+    def read_mtimes(self) -> tuple[int, ...]:
+        """Return the modification times; empty if one cannot be read."""
         names = (self.tls.certificate, self.tls.key, self.tls.authority)
         try:
             return tuple(Path(name).stat().st_mtime_ns for name in names if name)
@@ -139,10 +151,10 @@
             return ()
 
     async def run(self) -> None:
-        """Look now and then until cancelled."""
+        """Load changed files at each `CERTIFICATE_POLL` until cancelled."""
         while True:
             await anyio.sleep(CERTIFICATE_POLL)
-            if self.look():
+            if self.reload_if_changed():
                 logger.info("certificate reloaded")
 
 
@@ -150,36 +162,37 @@
     app: AsgiApp,
     listener: Listener,
     stop: anyio.Event,
-    visits: Visits | None = None,
+    requests: RequestCounter | None = None,
     *,
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve an ASGI app until the event is set.
+    """Serve an ASGI app until `stop` is set, then close the listener.
 
     Args:
         app: The application.
-        listener: Where to bind, and with which certificate.
-        stop: Ends the listener; answers under way get `GRACE` seconds.
-        visits: Counts the requests of all listeners that close together.
-        task_status: Started once the listener takes connections.
+        listener: The address to bind and the certificate.
+        stop: Ends the listener; answers in progress may take `GRACE` more seconds.
+        requests: Counts the requests of all listeners that close together; by
+            default the listener closes on its own.
+        task_status: Reported as started once the listener accepts connections.
 
     Raises:
-        OSError: The address is taken, or a certificate cannot be used.
+        OSError: The address is in use, or a certificate cannot be used.
     """
     config = listener_config(listener)
-    door = Door(app, config, visits or Visits())
+    server = ConnectionServer(app, config, requests or RequestCounter())
     async with anyio.create_task_group() as tasks:
         try:
-            await door.open()
+            await server.listen()
             if listener.tls is not None:
                 watch = CertificateWatch(config, listener.tls)
-                watch.stamps = watch.read_stamps()
+                watch.mtimes = watch.read_mtimes()
                 tasks.start_soon(watch.run)
             task_status.started()
             await stop.wait()
-            await door.close(GRACE)
+            await server.close(GRACE)
         finally:
-            door.shut()
+            server.stop_listening()
             with anyio.CancelScope(shield=True):
-                await door.cut()
+                await server.abort()
         tasks.cancel_scope.cancel()
--- a/ebonyhold/daemon/_settlements.py
+++ b/ebonyhold/daemon/_settlements.py
@@ -1,4 +1,4 @@
-"""What recovery left open, for operators to see and to settle."""
+"""Runs that recovery could not settle, for operators to list and settle."""
 
 from __future__ import annotations
 
@@ -23,27 +23,29 @@
 
 @frozen
 class Settlements:
-    """Looks at every sealed router, whoever sealed it, and keeps nothing.
+    """Lists and settles the open runs of all sealed routers.
+
+    It keeps no state, and it doesn't matter which router has sealed them.
 
     Attributes:
-        table: Where the routers' rows are.
-        make: Makes a recovery on behalf of the present incarnation.
+        table: The table with the rows of routers.
+        make_recovery: Returns a recovery that acts for the current incarnation.
     """
 
     table: Table
-    make: Callable[[], Recovery]
+    make_recovery: Callable[[], Recovery]
 
     async def open_runs(self) -> tuple[OpenRun, ...]:
-        """Try all sealed routers again and return what still waits.
+        """Repeat the recovery of all sealed routers, and return the runs still open.
 
-        Trying again is safe at any time, also beside the router whose job it is.
+        This is safe at any time, also while another router recovers one of them.
 
         Raises:
             UnavailableError: The platform cannot be reached.
         """
         found: list[OpenRun] = []
-        for router in await self.sealed():
-            report = await self.make().recover(router)
+        for router in await self.sealed_routers():
+            report = await self.make_recovery().recover(router)
             found.extend(
                 OpenRun(
                     router,
@@ -57,8 +59,8 @@
             )
         return tuple(found)
 
-    async def sealed(self) -> list[RouterId]:
-        """Return the routers that are sealed and not closed.
+    async def sealed_routers(self) -> list[RouterId]:
+        """Return the incarnations that are sealed and not closed.
 
         Raises:
             UnavailableError: The table cannot be reached.
@@ -72,14 +74,19 @@
     async def settle(
         self, router: RouterId, attempt: AttemptId, charge: Tokens | None
     ) -> None:
-        """Settle a run on an operator's word, and return the rest of its hold.
+        """Settle an open run as an operator decides, and return the rest of its hold.
+
+        Args:
+            router: The sealed incarnation.
+            attempt: An attempt of the run.
+            charge: The tokens to bill for the run; None if it did not run.
 
         Raises:
-            BudgetError: The router is not sealed, or has no such run open.
+            BudgetError: The router is not sealed, or has no such open run.
             UnavailableError: The platform cannot be reached.
         """
         state = RequestState.NOT_RUN if charge is None else RequestState.INTERRUPTED
-        recovery = self.make()
+        recovery = self.make_recovery()
         try:
             await recovery.rule(router, attempt, state, charge or 0)
         except ValueError as error:
--- a/ebonyhold/daemon/_status.py
+++ b/ebonyhold/daemon/_status.py
@@ -1,4 +1,4 @@
-"""How the fleet is, gathered from the other routers for operators."""
+"""The status of the fleet, collected from the other routers for operators."""
 
 from __future__ import annotations
 
@@ -31,14 +31,19 @@
 from ebonyhold.routers import PeerMessage, PeerNetwork
 from ebonyhold.types import RouterId, Seconds
 
-ASK_WITHIN: Seconds = 1.0
-MOST_GRANTS = 200
-"""Grants in one reply, the largest first, so that it stays a small message."""
+REQUEST_TIMEOUT: Seconds = 1.0
+MAX_GRANTS = 200
+"""Maximum number of grants in one reply, which limits the size of the message."""
 
 
 @frozen
-class Answer:
-    """One router's reply, or None when it did not answer in time."""
+class PeerReply:
+    """The reply of another router.
+
+    Attributes:
+        router: The router that was asked.
+        reply: Its reply; None if there was none in time.
+    """
 
     router: RouterId
     reply: StatusReply | None
@@ -46,17 +51,17 @@
 
 @define
 class FleetStatusSource:
-    """Answers how this router is, and asks the others.
+    """Reports the status of this router and collects that of the others.
 
     Attributes:
         domain: The failure domain of this router.
-        money: The grants held here.
-        network: The other routers.
-        keeper: The configuration in force.
-        callers: Requests in flight.
-        backends: What is in progress where.
-        recoveries: Tokens that wait for recovery.
-        lifecycle: Whether this router is on its way out.
+        money: Has the grants of this router.
+        network: Sends requests to the other routers, and has their membership status.
+        keeper: Has the configuration in force.
+        callers: Has the number of requests in flight.
+        backends: Has the requests at each backend server.
+        recoveries: Has the stranded tokens of failed routers.
+        lifecycle: Has the progress of this router's stop.
     """
 
     domain: str
@@ -68,8 +73,8 @@
     recoveries: Recoveries
     lifecycle: Lifecycle
 
-    def own(self) -> StatusReply:
-        """Describe this router, also while it is not registered yet."""
+    def own_status(self) -> StatusReply:
+        """Return the status of this router, also before it is registered."""
         return StatusReply(
             router=self.money.current.me,
             domain=self.domain,
@@ -86,11 +91,11 @@
         )
 
     def own_grants(self) -> tuple[HeldGrant, ...]:
-        """Return the largest grants held here.
+        """Return the `MAX_GRANTS` largest grants of this router, largest first.
 
-        While the table is away at the start, the incarnation is not registered
-        and has no status of its money.  Operators ask just then how the fleet is;
-        without this they would be refused.
+        The result is empty until the incarnation is registered, because it has no
+        status of grants before. Operators can thus read the fleet status while a start
+        waits for an unavailable table.
         """
         if self.money.current.journal is None:
             return ()
@@ -101,48 +106,54 @@
         )
         return tuple(
             HeldGrant(one.workspace, one.available, one.held)
-            for one in grants[:MOST_GRANTS]
+            for one in grants[:MAX_GRANTS]
         )
 
     async def answer(self, peer: RouterId, message: PeerMessage) -> PeerMessage | None:
-        """Answer another router's question."""
-        return self.own()
+        """Return the status of this router, in reply to another router's request."""
+        return self.own_status()
 
     async def fleet(self) -> FleetStatus:
-        """Return what is known of all routers and backend servers."""
-        answers = await self.ask_all()
-        replies = [self.own(), *(one.reply for one in answers if one.reply)]
-        routers = [as_router(self.own()), *(self.describe(one) for one in answers)]
+        """Return the status of all known routers and backend servers.
+
+        A router that doesn't reply is shown with its membership state, without grants.
+        """
+        answers = await self.request_all()
+        replies = [self.own_status(), *(one.reply for one in answers if one.reply)]
+        routers = [
+            to_router_status(self.own_status()),
+            *(self.peer_status(one) for one in answers),
+        ]
         return FleetStatus(tuple(routers), self.backend_statuses(replies))
 
-    async def ask_all(self) -> list[Answer]:
-        """Ask every router that is not known to be gone."""
-        answers: list[Answer] = []
+    async def request_all(self) -> list[PeerReply]:
+        """Request the status of all other members; return replies sorted by router."""
+        answers: list[PeerReply] = []
 
         async def ask(router: RouterId) -> None:
             try:
                 reply = await self.network.ask(
-                    router, StatusRequest(), StatusReply, ASK_WITHIN
+                    router, StatusRequest(), StatusReply, REQUEST_TIMEOUT
                 )
             except PeerError:
-                answers.append(Answer(router, None))
+                answers.append(PeerReply(router, None))
             else:
-                answers.append(Answer(router, reply))
+                answers.append(PeerReply(router, reply))
 
         async with anyio.create_task_group() as tasks:
             for peer in self.network.status():
                 tasks.start_soon(ask, peer.router)
         return sorted(answers, key=lambda one: one.router)
 
-    def describe(self, answer: Answer) -> RouterStatus:
-        """Return one other router as operators see it."""
+    def peer_status(self, answer: PeerReply) -> RouterStatus:
+        """Return another router's status: from its reply, else from its membership."""
         peer = next(
             (one for one in self.network.status() if one.router == answer.router), None
         )
         status = peer.status if peer else MemberStatus.GONE
         stranded = self.recoveries.stranded.get(answer.router, 0)
         if answer.reply is not None:
-            return as_router(answer.reply, status.name.lower(), stranded)
+            return to_router_status(answer.reply, status.name.lower(), stranded)
         return RouterStatus(
             router=answer.router,
             domain=peer.domain if peer else "",
@@ -155,7 +166,11 @@
     def backend_statuses(
         self, replies: Sequence[StatusReply]
     ) -> tuple[BackendStatus, ...]:
-        """Return every backend server, and which routers still use it."""
+        """Return the status of each backend server, with the routers that still use it.
+
+        A server that accepts no new work is ``leaving`` if any of the replies lists
+        requests there, else ``stopped``. Others are ``ejected`` or ``serving``.
+        """
         domains = {
             name: state.backend.domain for name, state in self.backends.states.items()
         }
@@ -169,14 +184,14 @@
                 if use.backend == name
             ]
             if not self.backends.fleet.accepts(state.backend):
-                word = "leaving" if uses else "stopped"
+                condition = "leaving" if uses else "stopped"
             else:
-                word = "ejected" if name in ejected else "serving"
+                condition = "ejected" if name in ejected else "serving"
             statuses.append(
                 BackendStatus(
                     name,
                     state.backend.domain,
-                    word,
+                    condition,
                     sum(count for _, count in uses),
                     tuple(router for router, _ in uses),
                 )
@@ -184,7 +199,7 @@
         return tuple(statuses)
 
     def readiness(self) -> Readiness:
-        """Tell whether this router can take requests."""
+        """Return whether this router can accept requests, and if not, the reasons."""
         reasons: list[str] = []
         if self.keeper.document is None:
             reasons.append("no document is in force yet")
@@ -199,10 +214,16 @@
         return Readiness(not reasons, tuple(reasons))
 
 
-def as_router(
+def to_router_status(
     reply: StatusReply, state: str = "alive", stranded: int = 0
 ) -> RouterStatus:
-    """Turn a router's own reply into what operators see."""
+    """Convert a router's reply into the form for operators.
+
+    Args:
+        reply: The reply.
+        state: The membership state; ``leaving`` replaces it if the router is stopping.
+        stranded: Tokens that the last recovery of the router could not return.
+    """
     return RouterStatus(
         router=reply.router,
         domain=reply.domain,
--- a/tests/daemon/stopkit.py
+++ b/tests/daemon/stopkit.py
@@ -254,14 +254,14 @@
     bench.app.money = money
     part = cast(Any, money)
     lifecycle = Lifecycle(
-        bench.app, part, cast(Any, Network()), lambda: drain, opened=True
+        bench.app, part, cast(Any, Network()), lambda: drain, registered=True
     )
     router = Router(free_port(), bench, money, lifecycle)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(router.run)
         await router.wait_listening()
         yield router
-        lifecycle.asked.set()
+        lifecycle.stop_requested.set()
         with anyio.fail_after(PATIENCE):
             await router.gone.wait()
     # A listener that ends as cancelled cancels this group without an error.
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -11,7 +11,7 @@
 import pytest
 from attrs import define, field
 
-from ebonyhold.daemon._lifecycle import FILE_WITHIN, UNREADY_GRACE, Lifecycle
+from ebonyhold.daemon._lifecycle import FILING_TIMEOUT, UNREADY_GRACE, Lifecycle
 from ebonyhold.exceptions import EbonyholdError, SealedError, UnavailableError
 from ebonyhold.types import Seconds
 from tests.virtual import anyio_backend
@@ -69,9 +69,9 @@
         self.note("drained")
 
 
-def lifecycle_of(stage: Stage, *, opened: bool = True) -> Lifecycle:
+def lifecycle_of(stage: Stage, *, registered: bool = True) -> Lifecycle:
     part = cast(Any, stage)
-    return Lifecycle(part, part, part, lambda: DRAIN, opened=opened)
+    return Lifecycle(part, part, part, lambda: DRAIN, registered=registered)
 
 
 @asynccontextmanager
@@ -80,7 +80,7 @@
     lifecycle = lifecycle_of(stage)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lifecycle.run)
-        lifecycle.asked.set()
+        lifecycle.stop_requested.set()
         yield lifecycle
         await lifecycle.ended.wait()
         stage.note("ended")
@@ -130,7 +130,7 @@
     async with stopping(stage):
         pass
     assert stage.steps["interrupt"] == pytest.approx(UNREADY_GRACE + DRAIN, abs=SLACK)
-    assert stage.steps["ended"] < UNREADY_GRACE + DRAIN + FILE_WITHIN
+    assert stage.steps["ended"] < UNREADY_GRACE + DRAIN + FILING_TIMEOUT
 
 
 @pytest.mark.parametrize("after", [0.0, UNREADY_GRACE / 2, UNREADY_GRACE + 1.0])
@@ -143,7 +143,7 @@
     stage = Stage(active=1, drain_takes=1.0)
     async with stopping(stage) as lifecycle:
         await anyio.sleep(after)
-        lifecycle.hurried.set()
+        lifecycle.expedited.set()
     assert stage.steps["interrupt"] == pytest.approx(after, abs=SLACK)
     assert stage.steps["drained"] == pytest.approx(after + 1.0, abs=SLACK)
 
@@ -169,7 +169,7 @@
     async with stopping(stage):
         pass
     assert "drained" not in stage.steps
-    assert stage.steps["ended"] <= UNREADY_GRACE + FILE_WITHIN + SLACK
+    assert stage.steps["ended"] <= UNREADY_GRACE + FILING_TIMEOUT + SLACK
     assert "left to be recovered" in caplog.text
 
 
@@ -180,10 +180,10 @@
     no other way to end it than to kill it.
     """
     stage = Stage()
-    lifecycle = lifecycle_of(stage, opened=False)
+    lifecycle = lifecycle_of(stage, registered=False)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lifecycle.run)
-        lifecycle.asked.set()
+        lifecycle.stop_requested.set()
         await lifecycle.ended.wait()
     assert stage.steps == {}
     assert lifecycle.leaving
@@ -196,10 +196,10 @@
         tasks.start_soon(lifecycle.follow_signals)
         await anyio.wait_all_tasks_blocked()
         signal.raise_signal(number)
-        await lifecycle.asked.wait()
-        assert not lifecycle.hurried.is_set()
+        await lifecycle.stop_requested.wait()
+        assert not lifecycle.expedited.is_set()
         signal.raise_signal(number)
-        await lifecycle.hurried.wait()
+        await lifecycle.expedited.wait()
         tasks.cancel_scope.cancel()
 
 
@@ -216,10 +216,10 @@
         await anyio.wait_all_tasks_blocked()
         signal.raise_signal(signal.SIGHUP)
         await anyio.wait_all_tasks_blocked()
-        assert not lifecycle.asked.is_set()
+        assert not lifecycle.stop_requested.is_set()
         signal.raise_signal(signal.SIGTERM)
-        await lifecycle.asked.wait()
+        await lifecycle.stop_requested.wait()
         signal.raise_signal(signal.SIGHUP)
         await anyio.wait_all_tasks_blocked()
-        assert not lifecycle.hurried.is_set()
+        assert not lifecycle.expedited.is_set()
         tasks.cancel_scope.cancel()
--- a/tests/daemon/test_live.py
+++ b/tests/daemon/test_live.py
@@ -26,7 +26,7 @@
     from_json,
     request_key,
 )
-from ebonyhold.daemon._lifecycle import FILE_WITHIN, UNREADY_GRACE
+from ebonyhold.daemon._lifecycle import FILING_TIMEOUT, UNREADY_GRACE
 from ebonyhold.document import load_document
 from ebonyhold.experiments._callers import Callers, Job, Wanted
 from ebonyhold.experiments._local_fleet import (
@@ -51,7 +51,7 @@
 SHORT = 8
 PATIENCE = 30.0
 POLL = 0.05
-STOP_BOUND = UNREADY_GRACE + 30.0 + FILE_WITHIN
+STOP_BOUND = UNREADY_GRACE + 30.0 + FILING_TIMEOUT
 
 
 @pytest.fixture(scope="module")
--- a/tests/daemon/test_members.py
+++ b/tests/daemon/test_members.py
@@ -59,7 +59,7 @@
 )
 def test_leaving_backend_servers(found: tuple[Member, ...], leaving: set[str]) -> None:
     feed = feed_of(None)
-    feed.take(found)
+    feed.update(found)
     assert feed.fleet.leaving == leaving
 
 
--- a/tests/daemon/test_recoveries.py
+++ b/tests/daemon/test_recoveries.py
@@ -20,9 +20,9 @@
     to_json,
 )
 from ebonyhold.daemon._recoveries import (
-    LOOK_AROUND_WITHIN,
-    LOOK_EVERY,
-    SCAN_EVERY,
+    RECOVERY_INTERVAL,
+    SCAN_INTERVAL,
+    START_SCAN_TIMEOUT,
     Recoveries,
 )
 from ebonyhold.exceptions import UnavailableError
@@ -114,7 +114,7 @@
     for me in survivors:
         others = tuple(one for one in survivors if one != me)
         fleet = Fleet(me=me, alive=others, gone=(lost,))
-        await fleet.recoveries().look()
+        await fleet.recoveries().recover_gone()
         asked += [me] * len(fleet.asked)
     assert asked == [responsible(lost, survivors)]
 
@@ -122,11 +122,11 @@
 async def test_unsettled_recovery_is_tried_again() -> None:
     fleet = Fleet(gone=(OTHER,), stranded={OTHER: 40})
     recoveries = fleet.recoveries()
-    await recoveries.look()
+    await recoveries.recover_gone()
     assert recoveries.stranded == {OTHER: 40}
     fleet.stranded.clear()
-    await recoveries.look()
-    await recoveries.look()
+    await recoveries.recover_gone()
+    await recoveries.recover_gone()
     assert recoveries.stranded == {}
     assert fleet.asked == [OTHER, OTHER]
 
@@ -163,7 +163,7 @@
             raise UnavailableError("its journal cannot be read")
         return await whole(router)
 
-    recoveries.make = lambda: cast(Any, Failing(fail_for_other))
+    recoveries.make_recovery = lambda: cast(Any, Failing(fail_for_other))
     await run_for(recoveries, 30.0)
     assert recoveries.closed == {THIRD}
 
@@ -188,7 +188,7 @@
     recoveries = fleet.recoveries()
     await run_for(recoveries, GRACE / 2)
     assert fleet.asked == []
-    await run_for(recoveries, GRACE + 4 * SCAN_EVERY)
+    await run_for(recoveries, GRACE + 4 * SCAN_INTERVAL)
     assert fleet.asked == [OTHER]
 
 
@@ -200,7 +200,7 @@
     await fleet.register(THIRD, RouterState.OPEN)
     await fleet.register("d.1", RouterState.CLOSED)
     await fleet.register("e.1", RouterState.SEALED)
-    await run_for(fleet.recoveries(), 2 * LOOK_EVERY)
+    await run_for(fleet.recoveries(), 2 * RECOVERY_INTERVAL)
     assert fleet.read == [OTHER, "e.1"]
 
 
@@ -230,8 +230,8 @@
     """Guards against a start that hangs, or ends, because rows cannot be read."""
     fleet = Fleet(table)
     await fleet.register(OTHER, RouterState.OPEN)
-    with anyio.fail_after(2 * LOOK_AROUND_WITHIN):
-        await fleet.recoveries().look_around()
+    with anyio.fail_after(2 * START_SCAN_TIMEOUT):
+        await fleet.recoveries().scan_at_start()
     assert fleet.read == read
 
 
@@ -257,5 +257,5 @@
 async def test_own_earlier_incarnation() -> None:
     """A sealed router is its own only survivor, and settles what it was before."""
     fleet = Fleet(me="a.2", gone=("a.1", "a.2"))
-    await fleet.recoveries().look()
+    await fleet.recoveries().recover_gone()
     assert fleet.asked == ["a.1"]
--- a/tests/daemon/test_servers.py
+++ b/tests/daemon/test_servers.py
@@ -176,13 +176,13 @@
     config = listener_config(Listener(f"{LOOPBACK}:0", files.tls))
     config.create_ssl_context()
     watch = CertificateWatch(config, files.tls)
-    watch.stamps = watch.read_stamps()
-    assert not watch.look()
+    watch.mtimes = watch.read_mtimes()
+    assert not watch.reload_if_changed()
     files.key.unlink()
-    assert not watch.look()
+    assert not watch.reload_if_changed()
     files.put(NEW)
-    assert watch.look()
-    assert not watch.look()
+    assert watch.reload_if_changed()
+    assert not watch.reload_if_changed()
 
 
 @pytest.mark.parametrize(
--- a/tests/daemon/test_status.py
+++ b/tests/daemon/test_status.py
@@ -12,7 +12,7 @@
 from ebonyhold.configuration import Evidence
 from ebonyhold.coordination import MemberStatus
 from ebonyhold.daemon._messages import BackendUse, StatusReply
-from ebonyhold.daemon._status import MOST_GRANTS, FleetStatusSource
+from ebonyhold.daemon._status import MAX_GRANTS, FleetStatusSource
 from ebonyhold.document import Backend, BackendKind, Document
 from ebonyhold.exceptions import PeerError, UnavailableError
 from ebonyhold.fleet import FleetView
@@ -167,10 +167,10 @@
 
 
 def test_largest_grants_come_first() -> None:
-    held = tuple(GrantStatus(f"w{n}", n) for n in range(MOST_GRANTS + 50))
-    grants = source_of(Parts(held=held)).own().grants
-    assert len(grants) == MOST_GRANTS
-    assert grants[0].workspace == f"w{MOST_GRANTS + 49}"
+    held = tuple(GrantStatus(f"w{n}", n) for n in range(MAX_GRANTS + 50))
+    grants = source_of(Parts(held=held)).own_status().grants
+    assert len(grants) == MAX_GRANTS
+    assert grants[0].workspace == f"w{MAX_GRANTS + 49}"
 
 
 @pytest.mark.parametrize(
--- a/tests/daemon/test_stop_sockets.py
+++ b/tests/daemon/test_stop_sockets.py
@@ -47,7 +47,7 @@
 @pytest.fixture(autouse=True)
 def short_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(_lifecycle, "UNREADY_GRACE", SHORT)
-    monkeypatch.setattr(_door, "CROSSING", SHORT / 10)
+    monkeypatch.setattr(_door, "LATE_READ_TIME", SHORT / 10)
     monkeypatch.setattr(_flight, "LAST_PATIENCE", SHORT)
 
 
@@ -74,7 +74,7 @@
 
 async def come_to(router: Router, step: str) -> None:
     """Ask for the stop, and wait until it has come to its step."""
-    router.lifecycle.asked.set()
+    router.lifecycle.stop_requested.set()
     await wait_until(lambda: router.lifecycle.leaving)
     if step != "grace":
         await wait_until(lambda: router.app.stopping)
@@ -199,9 +199,9 @@
             await wait_until(lambda: router.app.active == 1)
             if not case.not_run:
                 await held.arrived.wait()
-            router.lifecycle.asked.set()
+            router.lifecycle.stop_requested.set()
             if second:
-                router.lifecycle.hurried.set()
+                router.lifecycle.expedited.set()
             answer = await caller.answer()
     assert answer.whole
     assert answer.status == case.status
@@ -260,7 +260,7 @@
             await slow.send(request())
             await wait_until(lambda: router.app.active == 1)
             await anyio.sleep(SHORT)
-            router.lifecycle.asked.set()
+            router.lifecycle.stop_requested.set()
             await router.money.draining.wait()
             tasks.start_soon(knock, router, shut)
             if reads:
@@ -325,12 +325,12 @@
     The connection is open, so its caller can't know.  It is read and refused as not
     run, however late, and no backend server hears of it.
     """
-    monkeypatch.setattr(_door, "CROSSING", 3 * SHORT)
+    monkeypatch.setattr(_door, "LATE_READ_TIME", 3 * SHORT)
     async with routing(SHORT) as router, router.caller() as caller:
         await caller.send(kind.before)
         for _ in range(kind.heard):
             assert (await caller.answer()).whole
-        router.lifecycle.asked.set()
+        router.lifecycle.stop_requested.set()
         await router.lifecycle.ended.wait()
         await anyio.sleep(SHORT / 2)
         await caller.send(kind.after)
@@ -349,11 +349,11 @@
     nothing.  Evidence: one run of the whole suite in which such a caller got no
     answer, and the cut while the caller sent, here.
     """
-    monkeypatch.setattr(_door, "CROSSING", SHORT)
+    monkeypatch.setattr(_door, "LATE_READ_TIME", SHORT)
     async with routing(SHORT) as router, router.caller() as caller:
         await caller.send(MODELS)
         assert (await caller.answer()).whole
-        router.lifecycle.asked.set()
+        router.lifecycle.stop_requested.set()
         await router.lifecycle.ended.wait()
         await caller.send(LARGE[:1000])
         for _ in range(4):
--- a/tests/daemon/test_parts.py
+++ b/tests/daemon/test_tasks.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from ebonyhold.daemon._parts import Parts
+from ebonyhold.daemon._tasks import BackgroundTasks
 from tests.virtual import anyio_backend
 
 __all__ = ["anyio_backend"]
@@ -33,7 +33,7 @@
     way ended without its end, and the grants stayed held.  Now the others run on
     until the stop has come to them, and the first error is the one that is kept.
     """
-    parts = Parts(anyio.Event())
+    parts = BackgroundTasks(anyio.Event())
     with caplog.at_level(logging.ERROR):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(parts.run, fail_later)
@@ -47,7 +47,7 @@
 
 
 async def test_a_part_that_is_cancelled_has_not_failed() -> None:
-    parts = Parts(anyio.Event())
+    parts = BackgroundTasks(anyio.Event())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(parts.run, anyio.sleep_forever)
         await anyio.wait_all_tasks_blocked()
--- a/tests/daemon/test_help.py
+++ b/tests/daemon/test_versions.py
@@ -9,7 +9,7 @@
 from attrs import define
 
 from ebonyhold.configuration import ConfigurationKeeper, VersionStore
-from ebonyhold.daemon._help import ASKED, TOLD, VersionHelp
+from ebonyhold.daemon._versions import EVIDENCE_PEERS, NOTICE_FANOUT, VersionExchange
 from ebonyhold.document import Document, Workspace
 from ebonyhold.routers import PeerMessage, VersionNotice
 from ebonyhold.routers._fake import FakeNetwork
@@ -35,7 +35,7 @@
     network: FakeNetwork
     table: MemoryTable
     objects: MemoryObjects
-    helps: dict[RouterId, VersionHelp]
+    helps: dict[RouterId, VersionExchange]
 
     @classmethod
     def of(cls, network: FakeNetwork, count: int) -> Net:
@@ -52,7 +52,7 @@
             random=random.Random(seed),
         )
         link = self.network.join(router)
-        self.helps[router] = VersionHelp(keeper, link, random.Random(seed))
+        self.helps[router] = VersionExchange(keeper, link, random.Random(seed))
         self.helps[router].register()
 
     def versions(self) -> set[int]:
@@ -93,7 +93,7 @@
         await net.helps[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
         await anyio.sleep(60.0)
         tasks.cancel_scope.cancel()
-    assert max(told.count(router) for router in net.helps) <= TOLD
+    assert max(told.count(router) for router in net.helps) <= NOTICE_FANOUT
 
 
 async def test_notice_is_not_believed() -> None:
@@ -122,7 +122,7 @@
         for one in net.helps.values():
             await one.keeper.refresh()
         found = await net.helps["r05.1"].ask()
-        assert len(found) == ASKED
+        assert len(found) == EVIDENCE_PEERS
         assert {one.version for one in found} == {1}
         tasks.cancel_scope.cancel()
 
