--- a/ebonyhold/daemon/__init__.py
+++ b/ebonyhold/daemon/__init__.py
@@ -26,7 +26,7 @@
 def serve(
     config: Annotated[Path, typer.Option(help="The daemon's settings file.")],
 ) -> None:
-    """Run one ebonyhold router until a signal or a failed task stops it."""
+    """Run one ebonyhold router until a signal stops it."""
     try:
         settings = load_settings(config)
         check_listener("callers", settings.callers)
--- a/ebonyhold/daemon/_daemon.py
+++ b/ebonyhold/daemon/_daemon.py
@@ -83,8 +83,8 @@
         objects_client: Client of the platform's object store.
         table_guard: Rate limits, circuit breaker and retries of table calls.
         objects_guard: Rate limits, circuit breaker and retries of object store calls.
-        table: The guarded table; its calls are queued by class of importance.
-        objects: The guarded object store; its calls are queued by class of importance.
+        table: The guarded table; its calls are queued by priority class.
+        objects: The guarded object store; its calls are queued by priority class.
         members: Polls the platform's membership list.
         fleet: The document in force and the names of leaving backend servers.
         keeper: Reads and adopts configuration versions.
@@ -193,7 +193,7 @@
         return self.fleet.document.policy
 
     def make_grant_manager(self, router: RouterId) -> Treasury:
-        """Return the grant manager of an incarnation that this router now runs as."""
+        """Return an incarnation's grant manager, and run the peer network as it."""
         if self.network.membership.me.router != router:
             self.network.become(router)
         return Treasury(
--- a/ebonyhold/daemon/_door.py
+++ b/ebonyhold/daemon/_door.py
@@ -34,7 +34,10 @@
 """
 
 CLOSE_TIMEOUT: Seconds = 1.0
-"""How long connections may take to close, including the end of TLS."""
+"""Maximum time for connections to close, including the TLS shutdown.
+
+Requests that arrive late during a close have as long to be answered.
+"""
 
 AsgiApp = Callable[[Any, Any, Any], Awaitable[None]]
 
@@ -145,9 +148,9 @@
                 seconds.
         """
         await self.requests.wait_idle(grace)
-        # Callers that have not read their answers within the grace period get no more
-        # time. If there are none, requests that arrive during the close, such as one
-        # with a large body, still have time to receive their refusal.
+        # Answers that haven't ended after the grace period get no more time. If all
+        # have ended, requests that arrive during the close, for example with a large
+        # body, still have time to receive a refusal.
         left = 0.0 if self.requests.active else CLOSE_TIMEOUT
         self.stop_listening()
         await anyio.sleep(LATE_READ_TIME)
@@ -156,7 +159,7 @@
         await self.wait_closed(CLOSE_TIMEOUT if not self.requests.active else 0.0)
         if self.writers:
             logger.warning(
-                "connections cut",
+                "connections aborted at the stop",
                 extra={"bind": self.config.bind[0], "count": len(self.writers)},
             )
             await self.abort()
--- a/ebonyhold/daemon/_members.py
+++ b/ebonyhold/daemon/_members.py
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 READ_INTERVAL: Seconds = 2.0
-"""Mean time between reads; it bounds how late a leaving backend server is noticed."""
+"""Mean time between reads, so that a leaving server is noticed within seconds."""
 
 
 @define
@@ -65,5 +65,5 @@
             UnavailableError: No list has been read yet.
         """
         if self.members is None:
-            raise UnavailableError("the membership list was not read yet")
+            raise UnavailableError("the membership list has not been read yet")
         return self.members
--- a/ebonyhold/daemon/_recoveries.py
+++ b/ebonyhold/daemon/_recoveries.py
@@ -52,13 +52,13 @@
         own_router: Returns the id of the current incarnation.
         alive: Returns the other routers believed alive.
         recoverable: Returns the incarnations that are believed to have failed.
-        may_recover: Returns whether an incarnation that isn't alive may be recovered,
-            given the seconds since a scan first found its unsettled row.
+        may_recover: Returns whether an incarnation may be recovered, given for how
+            many seconds scans have found it unsettled and not alive.
         add_row: Receives each unsettled row of an incarnation that isn't alive, to add
             it to the members if it is unknown.
         rng: Varies the intervals, so that routers don't work in step.
-        unknown_since: When the unsettled row of each incarnation that isn't alive was
-            first found.
+        unknown_since: When a scan first found each incarnation that the last scan
+            found unsettled and not alive.
         closed: Incarnations that are completely settled and aren't recovered again.
         stranded: Tokens that the last recovery could not return, by incarnation.
         next_scan: When all rows are scanned again.
@@ -78,11 +78,11 @@
     next_scan: Seconds = 0.0
 
     async def scan_at_start(self) -> None:
-        """Read the rows of registered routers, for at most `START_SCAN_TIMEOUT`.
+        """Add the registered routers to the members before this router holds tokens.
 
-        The router then introduces itself to these routers before it holds any tokens.
-        If it exits unknown to all of them, its bills are found only by a later scan.
-        Errors are logged, and the start goes on.
+        This router can then introduce itself to them. If it failed while unknown to
+        all others, only a later scan would find its bills. The scan is given up after
+        `START_SCAN_TIMEOUT`; an error is logged.
         """
         try:
             with anyio.move_on_after(START_SCAN_TIMEOUT):
@@ -97,7 +97,10 @@
             try:
                 await self.recover_gone()
             except EbonyholdError as error:
-                logger.info("no recovery now", extra={"cause": str(error)})
+                logger.info(
+                    "check for failed routers failed",
+                    extra={"cause": str(error)},
+                )
 
     async def recover_gone(self) -> None:
         """Recover each failed incarnation that is assigned to this router.
@@ -128,7 +131,8 @@
             await self.recover(router)
         except EbonyholdError as error:
             logger.warning(
-                "not recovered yet", extra={"recovered": router, "cause": str(error)}
+                "recovery failed",
+                extra={"recovered": router, "cause": str(error)},
             )
 
     async def scan(self) -> set[RouterId]:
--- a/ebonyhold/daemon/_servers.py
+++ b/ebonyhold/daemon/_servers.py
@@ -59,7 +59,7 @@
     def use_newest_context(
         self, connection: ssl.SSLObject, name: str | None, first: ssl.SSLContext
     ) -> None:
-        """Continue a handshake with the newest context, whether or not it has a name.
+        """Continue a handshake with the newest context, with any server name or none.
 
         Args:
             connection: The connection of the handshake.
@@ -117,7 +117,8 @@
     Attributes:
         config: The configuration that reloads its context.
         tls: The names of the files.
-        mtimes: The modification times of the loaded files, in nanoseconds.
+        mtimes: The modification times of the loaded files, in nanoseconds; empty
+            before the first check.
     """
 
     config: ReloadingConfig
--- a/ebonyhold/daemon/_status.py
+++ b/ebonyhold/daemon/_status.py
@@ -42,7 +42,7 @@
 
     Attributes:
         router: The router that was asked.
-        reply: Its reply; None if there was none in time.
+        reply: Its reply; None if none arrived in time.
     """
 
     router: RouterId
@@ -93,9 +93,9 @@
     def own_grants(self) -> tuple[HeldGrant, ...]:
         """Return the `MAX_GRANTS` largest grants of this router, largest first.
 
-        The result is empty until the incarnation is registered, because it has no
-        status of grants before. Operators can thus read the fleet status while a start
-        waits for an unavailable table.
+        The result is empty until the incarnation is registered, because there is no
+        status of grants before. Operators can thus read the fleet status while a
+        start waits for an unavailable table.
         """
         if self.money.current.journal is None:
             return ()
--- a/ebonyhold/daemon/_tasks.py
+++ b/ebonyhold/daemon/_tasks.py
@@ -50,7 +50,7 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Run one task that reports its start through `task_status`, as `run` does.
+        """Run one task as `run` does, and report its start through `task_status`.
 
         Args:
             task: The task, which calls ``task_status.started()``.
--- a/tests/daemon/failing_daemon.py
+++ b/tests/daemon/failing_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon with a part that fails as soon as SIGUSR1 comes."""
+"""A daemon whose upkeep task fails when SIGUSR1 arrives."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 async def fail(self: Upkeep) -> None:
-    """Fail at the signal, in the place of the part's own work."""
+    """Wait for SIGUSR1 instead of doing the upkeep, then raise an error."""
     with anyio.open_signal_receiver(signal.SIGUSR1) as signals:
         async for number in signals:
-            raise RuntimeError(f"a fault was asked for by {number.name}")
+            raise RuntimeError(f"the test requested a fault by {number.name}")
 
 
 if __name__ == "__main__":
--- a/tests/daemon/kit.py
+++ b/tests/daemon/kit.py
@@ -1,4 +1,4 @@
-"""Certificates and the like for the tests of the daemon."""
+"""Helpers that make and read certificates for the tests of the daemon."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def make_pair(name: str) -> Pair:
-    """Make a certificate for loopback under the given common name."""
+    """Return a certificate for the loopback address with the given common name."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     address = x509.IPAddress(ipaddress.ip_address(LOOPBACK))
@@ -56,39 +56,39 @@
 
 @frozen
 class Files:
-    """The files of a listener's certificate in a test's folder."""
+    """The certificate and key files of a listener in a folder."""
 
     folder: Path
 
     @property
     def tls(self) -> TlsSettings:
-        """The files, as settings name them."""
+        """TLS settings with both file names."""
         return TlsSettings(str(self.certificate), str(self.key))
 
     @property
     def certificate(self) -> Path:
-        """The certificate's file."""
+        """Path of the certificate file."""
         return self.folder / "tls.crt"
 
     @property
     def key(self) -> Path:
-        """The key's file."""
+        """Path of the key file."""
         return self.folder / "tls.key"
 
     def put(self, pair: Pair) -> None:
-        """Replace both files."""
+        """Write a certificate and its key, the certificate first."""
         self.certificate.write_bytes(pair.certificate)
         self.key.write_bytes(pair.key)
 
 
 def served_name(pem: str) -> str:
-    """Return the common name of a certificate."""
+    """Return the common name of a certificate in PEM form."""
     certificate = x509.load_pem_x509_certificate(pem.encode())
     names = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     return str(names[0].value)
 
 
 def certificate_at(address: str) -> str:
-    """Make a handshake and return the common name that was shown."""
+    """Make a TLS handshake and return the common name of the server's certificate."""
     host, _, port = address.rpartition(":")
     return served_name(ssl.get_server_certificate((host, int(port)), timeout=5.0))
--- a/tests/daemon/stopkit.py
+++ b/tests/daemon/stopkit.py
@@ -1,7 +1,7 @@
-"""A router's stop over sockets: real listener, application and lifecycle.
+"""A router on a socket, with the real listener, application and lifecycle.
 
-The money and the backend servers are scripted, so that each step of the stop
-lasts for as long as a test wants.
+The money and the backend servers are fakes that hold each step of a stop for as long
+as a test needs.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
 
 @define
 class SlowMoney(FakeMoney):
-    """Money whose last steps last as long as a test wants.
+    """Fake money whose last steps a test can delay.
 
     Attributes:
-        settles: Holds back the outcomes of requests until it is set, if it is there.
-        drains: Holds back the stop's settlement until it is set, if it is there.
-        draining: Set when the stop has come to its settlement.
-        unsettled: Requests that had not ended when the stop settled.
+        settles: If given, `finish` waits for it before it records an outcome.
+        drains: If given, `drain` waits for it.
+        draining: Set when `drain` is called.
+        unsettled: Number of requests without an outcome when `drain` was called.
     """
 
     settles: anyio.Event | None = None
@@ -67,15 +67,22 @@
 
 
 class Network:
-    """The other routers, who only hear that this one leaves."""
+    """A fake network for a router without peers."""
 
     def leave(self) -> None:
-        """Tell nobody."""
+        """Do nothing, as there is no router to notify."""
 
 
 @define
 class Answer:
-    """What came back on a connection, up to the end of one answer or its cut."""
+    """One answer as received on a connection, possibly cut off.
+
+    Attributes:
+        status: The HTTP status; 0 if the head is incomplete.
+        headers: The headers, with lower-case names.
+        body: The bytes of the body received, with chunk sizes if it is chunked.
+        whole: Whether the answer is complete.
+    """
 
     status: int = 0
     headers: dict[str, str] = field(factory=dict)
@@ -84,13 +91,13 @@
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a refusal."""
+        """The error object in the body of a refusal."""
         error: dict[str, Any] = json.loads(self.body)["error"]
         return error
 
     @property
-    def told_not_run(self) -> bool:
-        """Whether this is a true refusal of a request that did not run."""
+    def refused_as_not_run(self) -> bool:
+        """Whether this is a whole 503 with ``not_run`` and a positive retry-after."""
         return (
             self.whole
             and self.status == 503
@@ -101,12 +108,12 @@
 
 @define
 class Caller:
-    """One connection of a caller, byte by byte.
+    """One connection of a caller, which sends and receives raw bytes.
 
     Attributes:
         stream: The connection.
-        buffer: What came and was not read yet.
-        cut: Whether the other side closed while this one was still sending.
+        buffer: Bytes that were received and not parsed yet.
+        cut: Whether sending has failed because the router closed the connection.
     """
 
     stream: SocketStream
@@ -114,14 +121,14 @@
     cut: bool = False
 
     async def send(self, data: bytes) -> None:
-        """Send bytes, and note if nobody takes them."""
+        """Send bytes; set `cut` if the connection is broken."""
         try:
             await self.stream.send(data)
         except anyio.BrokenResourceError:
             self.cut = True
 
     async def more(self) -> bool:
-        """Take more bytes; return whether there were any."""
+        """Receive more bytes; return whether the connection was still open."""
         try:
             self.buffer += await self.stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -129,7 +136,7 @@
         return True
 
     async def answer(self) -> Answer:
-        """Read one answer, or what there is of it."""
+        """Read one answer, or the part received before the connection ended."""
         answer = Answer()
         with anyio.fail_after(PATIENCE):
             while b"\r\n\r\n" not in self.buffer:
@@ -145,7 +152,10 @@
         return answer
 
     async def read_body(self, answer: Answer) -> None:
-        """Read the body, as long or chunked as the head says."""
+        """Read the body, by its content length or else as chunks.
+
+        Leave `whole` unset if the connection ends before the body does.
+        """
         if "content-length" in answer.headers:
             size = int(answer.headers["content-length"])
             while len(self.buffer) < size:
@@ -163,7 +173,7 @@
 
 
 def head(size: int, path: str = "/v1/chat/completions", method: str = "POST") -> bytes:
-    """Return the head of a request."""
+    """Return the head of a request whose body has `size` bytes."""
     return (
         f"{method} {path} HTTP/1.1\r\nhost: router\r\nauthorization: Bearer {KEY}\r\n"
         f"content-length: {size}\r\n\r\n"
@@ -171,33 +181,38 @@
 
 
 def request(body: bytes = CHAT, path: str = "/v1/chat/completions") -> bytes:
-    """Return a whole request."""
+    """Return a POST request with head and body."""
     return head(len(body), path) + body
 
 
 @define
-class Held:
-    """A script that answers well, but only once it is let go."""
+class HeldScript:
+    """A script of a backend server that answers once a test allows it.
 
-    go: anyio.Event = field(factory=anyio.Event)
+    Attributes:
+        released: Set by a test to let calls be answered.
+        arrived: Set when a call has arrived.
+    """
+
+    released: anyio.Event = field(factory=anyio.Event)
     arrived: anyio.Event = field(factory=anyio.Event)
 
     async def __call__(self, engine: Engine, request: httpx.Request) -> httpx.Response:
         self.arrived.set()
-        await self.go.wait()
+        await self.released.wait()
         return await good(engine, request)
 
 
 @define
 class Router:
-    """A router on a socket of its own.
+    """A router that listens on a socket.
 
     Attributes:
         port: Where callers connect.
-        bench: The application in front of scripted servers.
-        money: Its money.
-        lifecycle: Leads its stop.
-        gone: Set when its listener has ended, as its process would.
+        bench: The application and its fake backend servers.
+        money: The fake money.
+        lifecycle: Runs the stop.
+        gone: Set when the listener has ended, at which point a process would exit.
     """
 
     port: int
@@ -212,22 +227,22 @@
         return self.bench.app
 
     def script(self, *scripts: Script) -> None:
-        """Let every backend server do this with its calls, the last one repeated."""
+        """Set the scripts of each backend server; the last one is repeated."""
         for server in self.bench.servers.values():
             server.scripts = list(scripts)
 
     def ran(self) -> int:
-        """Return how many requests reached a backend server."""
+        """Return the number of calls that reached any backend server."""
         return sum(len(server.calls) for server in self.bench.servers.values())
 
     @asynccontextmanager
     async def caller(self) -> AsyncIterator[Caller]:
-        """Connect."""
+        """Open a connection to the router, and close it after the block."""
         async with await anyio.connect_tcp(LOOPBACK, self.port) as stream:
             yield Caller(stream)
 
     async def run(self) -> None:
-        """Serve until the lifecycle has come to its end."""
+        """Serve until the stop has ended and the listener has closed."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.lifecycle.run)
             await serve_listener(
@@ -247,8 +262,12 @@
 
 
 @asynccontextmanager
-async def routing(drain: Seconds = PATIENCE) -> AsyncIterator[Router]:
-    """Serve a router; it has stopped, and its listener ended, after the block."""
+async def running_router(drain: Seconds = PATIENCE) -> AsyncIterator[Router]:
+    """Run a router during the block; stop it after the block, and wait for its end.
+
+    Args:
+        drain: The document's maximum wait for requests in flight at a stop.
+    """
     bench = make_bench(make_document(engines=1, service_count=1))
     money = SlowMoney()
     bench.app.money = money
@@ -264,12 +283,12 @@
         lifecycle.stop_requested.set()
         with anyio.fail_after(PATIENCE):
             await router.gone.wait()
-    # A listener that ends as cancelled cancels this group without an error.
+    # If the listener is cancelled, this task group ends without an error.
     assert router.gone.is_set()
 
 
-async def wait_until(wanted: Callable[[], bool]) -> None:
-    """Wait until a look says yes."""
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds, for at most `PATIENCE`."""
     with anyio.fail_after(PATIENCE):
-        while not wanted():  # noqa: ASYNC110 - the parts offer no event
+        while not condition():  # noqa: ASYNC110 - there is no event to wait for
             await anyio.sleep(LOOK)
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The router's own stop, step by step, under a virtual clock."""
+"""The order and the time limits of a router's stop, under a virtual clock."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @define
 class Stage:
-    """The parts that a stop leads, as one fake that notes what is asked of it.
+    """Fake callers' application, money and network, which record the steps of a stop.
 
     Attributes:
-        active: Requests in flight.
-        drain_takes: How long the table takes for the last bills.
-        drain_error: What comes of them instead.
-        began: When the test began.
-        steps: What was asked for, and how many seconds after the signal.
+        active: Number of requests in flight.
+        drain_takes: How long filing the last bills takes.
+        drain_error: The error with which filing ends after that; None for success.
+        began: When the stop was requested.
+        steps: The steps, with the seconds from `began` to each.
     """
 
     active: int = 0
@@ -43,7 +43,7 @@
     steps: dict[str, Seconds] = field(factory=dict)
     _stopping: bool = False
 
-    def note(self, step: str) -> None:
+    def record(self, step: str) -> None:
         self.steps[step] = anyio.current_time() - self.began
 
     @property
@@ -53,20 +53,20 @@
     @stopping.setter
     def stopping(self, value: bool) -> None:
         self._stopping = value
-        self.note("refuse")
+        self.record("refuse")
 
     def leave(self) -> None:
-        self.note("tell")
+        self.record("tell")
 
     async def interrupt(self) -> None:
-        self.note("interrupt")
+        self.record("interrupt")
 
     async def drain(self) -> None:
-        self.note("drain")
+        self.record("drain")
         await anyio.sleep(self.drain_takes)
         if self.drain_error:
             raise self.drain_error
-        self.note("drained")
+        self.record("drained")
 
 
 def lifecycle_of(stage: Stage, *, registered: bool = True) -> Lifecycle:
@@ -76,14 +76,14 @@
 
 @asynccontextmanager
 async def stopping(stage: Stage) -> AsyncIterator[Lifecycle]:
-    """Run a stop whose first signal comes now; leave when it has ended."""
+    """Request a stop, run it beside the block, and wait for its end."""
     lifecycle = lifecycle_of(stage)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lifecycle.run)
         lifecycle.stop_requested.set()
         yield lifecycle
         await lifecycle.ended.wait()
-        stage.note("ended")
+        stage.record("ended")
 
 
 async def test_idle_router_stops_in_order() -> None:
@@ -104,11 +104,10 @@
     assert stage.steps["ended"] < UNREADY_GRACE + SLACK
 
 
-async def test_streams_end_before_the_bills_are_filed() -> None:
-    """A stream is cut in a planned stop although it needed only seconds more.
+async def test_bills_are_filed_after_streams_have_ended() -> None:
+    """Guards against a planned stop that cuts a stream which ends within the limit.
 
-    The stop must wait for it, and give the grants back only afterwards: the
-    stream's bill is paid from them.
+    The grants are returned only after the stream, as its bill is paid from them.
     """
     stage = Stage(active=1)
     async with stopping(stage):
@@ -120,11 +119,10 @@
     assert stage.steps["interrupt"] == pytest.approx(DRAIN / 2, abs=SLACK)
 
 
-async def test_stream_without_an_end_meets_the_bound() -> None:
-    """A stop hangs because one caller reads its stream for hours.
+async def test_endless_stream_is_interrupted() -> None:
+    """Guards against a stop that waits for hours for a stream.
 
-    After the document's bound such streams end with an explicit error event,
-    and the stop goes on.
+    Streams are interrupted at the document's ``drain`` limit, and the stop goes on.
     """
     stage = Stage(active=1)
     async with stopping(stage):
@@ -134,11 +132,11 @@
 
 
 @pytest.mark.parametrize("after", [0.0, UNREADY_GRACE / 2, UNREADY_GRACE + 1.0])
-async def test_second_signal_hurries(after: Seconds) -> None:
-    """An operator asks twice and loses bills.
+async def test_second_signal_ends_the_waits(after: Seconds) -> None:
+    """Guards against bills that aren't filed after a second signal.
 
-    The second signal ends the waits, for the balancer and for streams, but the
-    bills are still filed and the grants given back.
+    The second signal ends the waits for the load balancer and for streams, but the
+    bills are still filed and the grants returned.
     """
     stage = Stage(active=1, drain_takes=1.0)
     async with stopping(stage) as lifecycle:
@@ -152,18 +150,21 @@
     "fault",
     [
         Stage(drain_takes=3600.0, began=0.0),
-        Stage(drain_error=UnavailableError("the table is away"), began=0.0),
-        Stage(drain_error=SealedError("another router was faster"), began=0.0),
+        Stage(drain_error=UnavailableError("the table is unavailable"), began=0.0),
+        Stage(
+            drain_error=SealedError("sealed by another router"),
+            began=0.0,
+        ),
     ],
     ids=["no-answer", "refused", "sealed"],
 )
-async def test_table_is_down_at_the_end(
+async def test_table_is_unavailable_at_the_stop(
     fault: Stage, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The table is away when a router stops, and the stop never ends.
+    """Guards against a stop that never ends while the table is unavailable.
 
-    What is not filed stands in the journal and any other router files it, so
-    the stop says so and ends within its stated time.
+    Other routers file the remaining bills from the journal, so the stop logs the
+    failure and ends within its time limit.
     """
     stage = Stage(drain_takes=fault.drain_takes, drain_error=fault.drain_error)
     async with stopping(stage):
@@ -173,11 +174,10 @@
     assert "left to be recovered" in caplog.text
 
 
-async def test_signal_before_the_router_is_registered() -> None:
-    """A router that waits for the table at its start cannot be stopped.
+async def test_stop_before_the_router_is_registered() -> None:
+    """Guards against a router that can't be stopped while it waits to register.
 
-    The first signal was only waited for once the router served, and there was
-    no other way to end it than to kill it.
+    It holds nothing yet, so no step of the stop runs.
     """
     stage = Stage()
     lifecycle = lifecycle_of(stage, registered=False)
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-async def test_signals_ask_and_then_hurry(number: signal.Signals) -> None:
+async def test_second_signal_expedites_the_stop(number: signal.Signals) -> None:
     lifecycle = lifecycle_of(Stage())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lifecycle.follow_signals)
@@ -203,12 +203,11 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_hangup_asks_for_nothing() -> None:
-    """An operator sends SIGHUP, to have files read again, and cuts every request.
+async def test_hangup_signal_is_ignored() -> None:
+    """Guards against SIGHUP ending the process and cutting every request.
 
-    The router did not take that signal, so that it ended the process at once.
-    Evidence: with a stream under way, its caller's connection closed in the middle
-    of the answer, before and during a stop alike.  Files are followed anyway.
+    Operators send it to have files reloaded, which happens without it. It neither
+    requests a stop nor expedites one.
     """
     lifecycle = lifecycle_of(Stage())
     async with anyio.create_task_group() as tasks:
--- a/tests/daemon/test_live.py
+++ b/tests/daemon/test_live.py
@@ -1,4 +1,4 @@
-"""Whole daemons on loopback: their stop, their pause and their doors."""
+"""Daemon processes on loopback: stop, pause, and authentication."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
 WORKSPACE = "newcomers"
 MODEL = "hearth-8b"
 SLOW_ENGINE = ("--step", "0.03", "--least", "90", "--most", "90")
-LONG = 90
-SHORT = 8
-PATIENCE = 30.0
-POLL = 0.05
+LONG_TOKENS = 90
+SHORT_TOKENS = 8
+TIMEOUT = 30.0
+POLL_INTERVAL = 0.05
 STOP_BOUND = UNREADY_GRACE + 30.0 + FILING_TIMEOUT
 
 
@@ -61,7 +61,7 @@
 
 @pytest.fixture(scope="module")
 async def fleet(anyio_backend: str) -> AsyncIterator[LocalFleet]:
-    """Two routers, one engine and one plain service, shared by all tests here."""
+    """Two routers, one engine and one plain service, shared by the module's tests."""
     document = load_document(EXAMPLE)
     backends = (document.backends[ENGINE], document.backends[SERVICE])
     async with local_fleet(
@@ -72,18 +72,18 @@
 
 @pytest.fixture
 async def client() -> AsyncIterator[httpx.AsyncClient]:
-    async with httpx.AsyncClient(trust_env=False, timeout=PATIENCE) as opened:
+    async with httpx.AsyncClient(trust_env=False, timeout=TIMEOUT) as opened:
         yield opened
 
 
 @frozen
 class Rows:
-    """The table's rows at one moment."""
+    """The rows of the table as read at one time."""
 
     values: dict[str, Any]
 
     def incarnations(self, name: str) -> dict[str, RouterState]:
-        """Return the state of each incarnation of a router."""
+        """Return the state of each incarnation of the router with this name."""
         prefix = f"{ROUTER_PREFIX}{name}."
         return {
             key.removeprefix(ROUTER_PREFIX): from_json(value, RouterRow).state
@@ -92,7 +92,7 @@
         }
 
     def held(self, name: str) -> int:
-        """Return what all incarnations of a router still hold of all budgets."""
+        """Return the tokens that all incarnations of a router hold in their grants."""
         grants = [
             from_json(value, GrantRow)
             for key, value in self.values.items()
@@ -117,14 +117,14 @@
     return Rows({row.key: row.value for row in rows})
 
 
-async def wait_rows(fleet: LocalFleet, wanted: Callable[[Rows], bool]) -> Rows:
-    """Wait until the table's rows are as wanted."""
-    with anyio.fail_after(PATIENCE):
+async def wait_for_rows(fleet: LocalFleet, condition: Callable[[Rows], bool]) -> Rows:
+    """Wait until the condition holds for the table's rows, and return these rows."""
+    with anyio.fail_after(TIMEOUT):
         while True:
             rows = await read_rows(fleet)
-            if wanted(rows):
+            if condition(rows):
                 return rows
-            await anyio.sleep(POLL)
+            await anyio.sleep(POLL_INTERVAL)
 
 
 async def wait_exit(router: Router, seconds: float) -> int:
@@ -133,7 +133,7 @@
             code = router.process.poll()
             if code is not None:
                 return code
-            await anyio.sleep(POLL)
+            await anyio.sleep(POLL_INTERVAL)
 
 
 def job(key: str, tokens: int, wanted: Wanted = Wanted.STREAM) -> Job:
@@ -141,10 +141,10 @@
 
 
 def long_answer(wanted: Job) -> str:
-    """Return the whole answer of the slow engine, which is `LONG` tokens long."""
+    """Return the slow engine's whole answer, which has `LONG_TOKENS` tokens."""
     messages = [{"role": "user", "content": wanted.prompt}]
     digest = prompt_digest(wanted.model, words_of(messages))
-    return Answer(digest, LONG, LONG).text(LONG)
+    return Answer(digest, LONG_TOKENS, LONG_TOKENS).text(LONG_TOKENS)
 
 
 def callers_of(router: Router) -> Callers:
@@ -152,14 +152,16 @@
 
 
 async def call(client: httpx.AsyncClient, router: Router, wanted: Job) -> None:
-    """Ask one router, and retry as the answers say; the answer must be right."""
+    """Send a job to one router, retry as its answers direct, and check the result."""
     score = await callers_of(router).follow(client, wanted)
     assert score.answered, score
     assert not score.wrong, score
 
 
-async def unlist(fleet: LocalFleet, client: httpx.AsyncClient, router: Router) -> None:
-    """Take a router's VM off the platform's list, as the platform does in the end."""
+async def remove_member(
+    fleet: LocalFleet, client: httpx.AsyncClient, router: Router
+) -> None:
+    """Remove a router from the platform's list, as the platform does after its end."""
     url = f"{fleet.platform['members'].url}/members/{router.name}"
     (await client.delete(url)).raise_for_status()
 
@@ -175,7 +177,7 @@
     [{}, {"Authorization": "Bearer wrong"}, {"Authorization": f"Basic {OPERATOR_KEY}"}],
     ids=["none", "wrong", "other-scheme"],
 )
-async def test_both_doors_want_a_key(
+async def test_both_listeners_require_a_key(
     fleet: LocalFleet, client: httpx.AsyncClient, headers: dict[str, str]
 ) -> None:
     router = fleet.routers[0]
@@ -190,22 +192,22 @@
         assert response.status_code == HTTPStatus.UNAUTHORIZED, url
 
 
-async def test_stop_in_the_midst_of_a_stream(
+async def test_stop_during_a_stream(
     fleet: LocalFleet, client: httpx.AsyncClient
 ) -> None:
-    """A rolling restart cuts an answer, or leaves its tokens in a grant.
+    """Guards against a rolling restart that cuts an answer or leaves tokens in a grant.
 
-    SIGTERM comes after the first token.  The caller gets the whole answer, its
-    bill is filed, nothing stays held, and the process ends by itself.
+    SIGTERM arrives after the first token. The caller gets the whole answer, its bill
+    is filed, nothing stays held, and the process exits with 0.
     """
     router = await add_router(fleet, "entry-stop")
-    await call(client, router, job("before-the-stop", SHORT, Wanted.WHOLE))
+    await call(client, router, job("before-the-stop", SHORT_TOKENS, Wanted.WHOLE))
     started = anyio.Event()
     text: list[str] = []
     callers = callers_of(router)
 
     async def read() -> None:
-        wanted = job("across-the-stop", LONG)
+        wanted = job("across-the-stop", LONG_TOKENS)
         async with client.stream(
             "POST",
             f"{router.url}/v1/chat/completions",
@@ -223,7 +225,7 @@
         await started.wait()
         router.terminate()
         code = await wait_exit(router, STOP_BOUND)
-    await unlist(fleet, client, router)
+    await remove_member(fleet, client, router)
     assert code == 0
     assert text[-1] == "[DONE]"
     parts = [
@@ -231,7 +233,7 @@
         for line in text[:-1]
         for choice in json.loads(line)["choices"]
     ]
-    assert "".join(parts) == long_answer(job("across-the-stop", LONG))
+    assert "".join(parts) == long_answer(job("across-the-stop", LONG_TOKENS))
     rows = await read_rows(fleet)
     for key in ("before-the-stop", "across-the-stop"):
         bill = rows.bill(key)
@@ -241,24 +243,23 @@
     assert set(rows.incarnations("entry-stop").values()) == {RouterState.CLOSED}
 
 
-async def test_paused_router_comes_back(
+async def test_paused_router_resumes(
     fleet: LocalFleet, client: httpx.AsyncClient
 ) -> None:
-    """A VM is paused, another router recovers it, and then it runs on.
-
-    The platform misses it too and takes it off its list, until it is back.
+    """Guards against a resumed router that goes on with an incarnation that was sealed.
 
-    It still believes in its grants.  It must learn that it was sealed, take a
-    new incarnation, and bill each request once, also one sent to it meanwhile.
+    A VM is paused, the platform removes it from the list, and another router recovers
+    it. When it resumes, it still has the state of its grants. It must find that it was
+    sealed, start a new incarnation, and bill each request once.
     """
     paused, other = fleet.routers[:2]
-    await call(client, paused, job("before-the-pause", SHORT, Wanted.WHOLE))
+    await call(client, paused, job("before-the-pause", SHORT_TOKENS, Wanted.WHOLE))
     before = set((await read_rows(fleet)).incarnations(paused.name))
     paused.process.send_signal(signal.SIGSTOP)
     try:
-        await unlist(fleet, client, paused)
-        await call(client, other, job("during-the-pause", SHORT, Wanted.WHOLE))
-        rows = await wait_rows(
+        await remove_member(fleet, client, paused)
+        await call(client, other, job("during-the-pause", SHORT_TOKENS, Wanted.WHOLE))
+        rows = await wait_for_rows(
             fleet,
             lambda rows: all(
                 rows.incarnations(paused.name)[one] is RouterState.CLOSED
@@ -269,10 +270,10 @@
     finally:
         paused.process.send_signal(signal.SIGCONT)
         fleet.register(paused)
-    await call(client, paused, job("before-the-pause", SHORT, Wanted.WHOLE))
-    await call(client, paused, job("after-the-pause", SHORT, Wanted.WHOLE))
-    await call(client, paused, job("booking-after", SHORT, Wanted.BOOKING))
-    rows = await wait_rows(
+    await call(client, paused, job("before-the-pause", SHORT_TOKENS, Wanted.WHOLE))
+    await call(client, paused, job("after-the-pause", SHORT_TOKENS, Wanted.WHOLE))
+    await call(client, paused, job("booking-after", SHORT_TOKENS, Wanted.BOOKING))
+    rows = await wait_for_rows(
         fleet,
         lambda rows: all(
             (bill := rows.bill(key)) is not None and bill.state is RequestState.COMPLETE
@@ -289,15 +290,15 @@
     assert bill.attempt in attempts
 
 
-async def test_stop_while_the_table_is_away_at_the_start(
+async def test_stop_while_the_start_waits_for_the_table(
     fleet: LocalFleet, client: httpx.AsyncClient
 ) -> None:
-    """A router that waits for the table at its start has to be killed.
+    """Guards against a router that must be killed while its start waits for the table.
 
-    It cannot register, so it never serves; the signal must end it all the same.
+    It answers operators but can't register. A signal must end the process.
     """
     control = f"{fleet.platform['table'].url}/control"
-    await switch(client, control, down=True)
+    await set_down(client, control, down=True)
     try:
         router = await fleet.start_router("entry-early", fleet.document.domains[0])
         ready = await client.get(f"{router.operators_url}/readyz")
@@ -306,12 +307,12 @@
         status = await client.get(f"{router.operators_url}/v1/status", headers=headers)
         assert status.status_code == HTTPStatus.OK
         router.terminate()
-        assert await wait_exit(router, PATIENCE) == 0
-        await unlist(fleet, client, router)
+        assert await wait_exit(router, TIMEOUT) == 0
+        await remove_member(fleet, client, router)
     finally:
-        await switch(client, control, down=False)
+        await set_down(client, control, down=False)
 
 
-async def switch(client: httpx.AsyncClient, control: str, *, down: bool) -> None:
+async def set_down(client: httpx.AsyncClient, control: str, *, down: bool) -> None:
     response = await client.post(control, json={"down": down})
     response.raise_for_status()
--- a/tests/daemon/test_members.py
+++ b/tests/daemon/test_members.py
@@ -1,4 +1,4 @@
-"""The platform's list: kept while it is away, and read for two purposes."""
+"""The membership feed keeps the last list and derives the leaving servers."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 @define
 class FakeList:
-    """A list that a test sets; None while it is away."""
+    """A membership list that a test sets; reading it fails while it is None."""
 
     found: tuple[Member, ...] | None = None
 
     async def members(self) -> tuple[Member, ...]:
         if self.found is None:
-            raise UnavailableError("the list is away")
+            raise UnavailableError("the list is unavailable")
         return self.found
 
 
@@ -63,10 +63,10 @@
     assert feed.fleet.leaving == leaving
 
 
-async def test_list_is_away_for_a_while() -> None:
-    """The list is away, and a leaving backend server gets work again.
+async def test_list_is_unavailable_for_a_while() -> None:
+    """Guards against sending work to a leaving server when the list can't be read.
 
-    What was read last stays in force, and the feed goes on asking.
+    The last list stays in force, and the feed goes on reading.
     """
     source = FakeList()
     feed = feed_of(source)
@@ -87,7 +87,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_fleet_without_a_list() -> None:
+async def test_platform_without_a_list() -> None:
     feed = feed_of(None)
     with anyio.fail_after(1.0):
         await feed.run()
--- a/tests/daemon/test_recoveries.py
+++ b/tests/daemon/test_recoveries.py
@@ -1,4 +1,4 @@
-"""Who recovers whom, and when."""
+"""Which router recovers a failed incarnation, and when."""
 
 from __future__ import annotations
 
@@ -35,38 +35,39 @@
 
 pytestmark = pytest.mark.anyio
 
-ME, OTHER, THIRD = "a.1", "b.1", "c.1"
-GRACE: Seconds = 60.0
+OWN, OTHER, THIRD = "a.1", "b.1", "c.1"
+UNKNOWN_GRACE: Seconds = 60.0
 
 
 @define
 class Fleet:
-    """What one router knows of the others, and the recoveries it asked for.
+    """One router's view of the fleet, and a fake recovery that records its calls.
 
     Attributes:
-        table: Where the rows of routers are.
-        me: The present incarnation.
-        alive: The others believed alive.
-        gone: Incarnations believed gone.
-        stranded: What each recovery leaves; absent for a settled one.
+        table: The table with the rows of routers.
+        me: The current incarnation.
+        alive: The other routers believed alive.
+        gone: The incarnations believed to have failed.
+        stranded: Tokens that the recovery of each incarnation can't return; those
+            without an entry are settled completely.
         down: Whether recoveries fail.
-        asked: Whose recovery was asked for, in order.
-        read: Whose rows were read, in order.
+        attempted: Incarnations whose recovery was attempted, in order.
+        read: Incarnations whose rows were added to the members, in order.
     """
 
     table: MemoryTable = field(factory=MemoryTable)
-    me: RouterId = ME
+    me: RouterId = OWN
     alive: tuple[RouterId, ...] = ()
     gone: tuple[RouterId, ...] = ()
     stranded: dict[RouterId, Tokens] = field(factory=dict)
     down: bool = False
-    asked: list[RouterId] = field(factory=list)
+    attempted: list[RouterId] = field(factory=list)
     read: list[RouterId] = field(factory=list)
 
     async def recover(self, router: RouterId) -> RecoveryReport:
-        self.asked.append(router)
+        self.attempted.append(router)
         if self.down:
-            raise UnavailableError("the object store is away")
+            raise UnavailableError("the object store is unavailable")
         tokens = self.stranded.get(router, 0)
         return RecoveryReport(router, closed=not tokens, stranded=tokens)
 
@@ -77,7 +78,7 @@
             lambda: self.me,
             lambda: self.alive,
             lambda: self.gone,
-            lambda router, since: since >= GRACE,
+            lambda router, since: since >= UNKNOWN_GRACE,
             lambda router, row: self.read.append(router),
             random.Random(7),
         )
@@ -97,29 +98,29 @@
     fleet = Fleet(gone=(OTHER,))
     recoveries = fleet.recoveries()
     await run_for(recoveries, 30.0)
-    assert fleet.asked == [OTHER]
+    assert fleet.attempted == [OTHER]
     assert recoveries.closed == {OTHER}
 
 
 @pytest.mark.parametrize("number", range(12))
 async def test_one_survivor_recovers_each(number: int) -> None:
-    """A router dies and all others recover it at once, each reading its journal.
+    """Guards against all routers recovering a failed one at the same time.
 
-    That is safe but multiplies the load on a platform that may be the cause;
-    those who see the same survivors choose the same one.
+    That is safe, but each reads the journal, which loads a platform that may be the
+    cause of the failure. Routers with the same view of survivors choose the same one.
     """
     lost = f"lost-{number}.1"
-    survivors = (ME, OTHER, THIRD)
-    asked: list[RouterId] = []
+    survivors = (OWN, OTHER, THIRD)
+    attempted: list[RouterId] = []
     for me in survivors:
         others = tuple(one for one in survivors if one != me)
         fleet = Fleet(me=me, alive=others, gone=(lost,))
         await fleet.recoveries().recover_gone()
-        asked += [me] * len(fleet.asked)
-    assert asked == [responsible(lost, survivors)]
+        attempted += [me] * len(fleet.attempted)
+    assert attempted == [responsible(lost, survivors)]
 
 
-async def test_unsettled_recovery_is_tried_again() -> None:
+async def test_unsettled_recovery_is_repeated() -> None:
     fleet = Fleet(gone=(OTHER,), stranded={OTHER: 40})
     recoveries = fleet.recoveries()
     await recoveries.recover_gone()
@@ -128,13 +129,13 @@
     await recoveries.recover_gone()
     await recoveries.recover_gone()
     assert recoveries.stranded == {}
-    assert fleet.asked == [OTHER, OTHER]
+    assert fleet.attempted == [OTHER, OTHER]
 
 
-async def test_platform_is_away() -> None:
-    """The object store is away when a router dies; later nobody recovers it.
+async def test_platform_is_unavailable() -> None:
+    """Guards against a failed check that ends the recovery task.
 
-    A failed look must not end the task.
+    The object store is unavailable when a router fails, and available again later.
     """
     fleet = Fleet(gone=(OTHER,), down=True)
     recoveries = fleet.recoveries()
@@ -148,54 +149,54 @@
     assert recoveries.closed == {OTHER}
 
 
-async def test_one_hopeless_router_does_not_hold_up_the_others() -> None:
-    """Two routers die, and the budget of the second is never given back.
+async def test_failing_recovery_does_not_block_the_others() -> None:
+    """Guards against tokens that are never returned because another recovery fails.
 
-    The first one's recovery fails at each look, and a look that ended there
-    would never come to the second.
+    Two routers fail. The recovery of the first fails at each check, and the check must
+    still reach the second.
     """
     fleet = Fleet(gone=(OTHER, THIRD))
     recoveries = fleet.recoveries()
-    whole = fleet.recover
+    succeed = fleet.recover
 
     async def fail_for_other(router: RouterId) -> RecoveryReport:
         if router == OTHER:
             raise UnavailableError("its journal cannot be read")
-        return await whole(router)
+        return await succeed(router)
 
-    recoveries.make_recovery = lambda: cast(Any, Failing(fail_for_other))
+    recoveries.make_recovery = lambda: cast(Any, FakeRecovery(fail_for_other))
     await run_for(recoveries, 30.0)
     assert recoveries.closed == {THIRD}
 
 
 @define
-class Failing:
-    """A recovery that does as a test says."""
+class FakeRecovery:
+    """A recovery whose `recover` a test supplies."""
 
     recover: Any
 
 
-async def test_nobody_knew_the_routers_before_a_total_restart() -> None:
-    """All routers start anew, and what the old ones held stays stranded.
+async def test_routers_from_before_a_total_restart() -> None:
+    """Guards against tokens that stay stranded after a restart of all routers.
 
-    Nobody's heartbeats tell of them; only their rows in the table do.  They get
-    the grace in which one that is merely unheard of would be heard.
+    The earlier incarnations send no heartbeats and are found only by their rows. They
+    are recovered after `UNKNOWN_GRACE`, in which a running router would be noticed.
     """
     fleet = Fleet()
     await fleet.register(OTHER, RouterState.OPEN)
     await fleet.register(THIRD, RouterState.CLOSED)
-    await fleet.register(ME, RouterState.OPEN)
+    await fleet.register(OWN, RouterState.OPEN)
     recoveries = fleet.recoveries()
-    await run_for(recoveries, GRACE / 2)
-    assert fleet.asked == []
-    await run_for(recoveries, GRACE + 4 * SCAN_INTERVAL)
-    assert fleet.asked == [OTHER]
+    await run_for(recoveries, UNKNOWN_GRACE / 2)
+    assert fleet.attempted == []
+    await run_for(recoveries, UNKNOWN_GRACE + 4 * SCAN_INTERVAL)
+    assert fleet.attempted == [OTHER]
 
 
-async def test_open_rows_are_read_at_the_first_look() -> None:
-    """Guards against a router that died unmet and is looked for half a minute later."""
+async def test_open_rows_are_added_at_the_first_check() -> None:
+    """Guards against finding an unknown failed router only after half a minute."""
     fleet = Fleet(alive=(THIRD,))
-    await fleet.register(ME, RouterState.OPEN)
+    await fleet.register(OWN, RouterState.OPEN)
     await fleet.register(OTHER, RouterState.OPEN)
     await fleet.register(THIRD, RouterState.OPEN)
     await fleet.register("d.1", RouterState.CLOSED)
@@ -204,15 +205,15 @@
     assert fleet.read == [OTHER, "e.1"]
 
 
-class AwayTable(MemoryTable):
-    """A table whose rows cannot be scanned."""
+class UnavailableTable(MemoryTable):
+    """A table whose scans fail."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        raise UnavailableError("the table is away")
+        raise UnavailableError("the table is unavailable")
 
 
 class SilentTable(MemoryTable):
-    """A table that does not answer scans."""
+    """A table whose scans never return."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
         await anyio.sleep_forever()
@@ -221,13 +222,13 @@
 
 @pytest.mark.parametrize(
     ("table", "read"),
-    [(MemoryTable(), [OTHER]), (AwayTable(), []), (SilentTable(), [])],
+    [(MemoryTable(), [OTHER]), (UnavailableTable(), []), (SilentTable(), [])],
     ids=["there", "away", "silent"],
 )
-async def test_start_looks_around_without_waiting_for_the_table(
+async def test_start_does_not_wait_for_the_table(
     table: MemoryTable, read: list[RouterId]
 ) -> None:
-    """Guards against a start that hangs, or ends, because rows cannot be read."""
+    """Guards against a start that hangs or fails because rows can't be read."""
     fleet = Fleet(table)
     await fleet.register(OTHER, RouterState.OPEN)
     with anyio.fail_after(2 * START_SCAN_TIMEOUT):
@@ -235,27 +236,27 @@
     assert fleet.read == read
 
 
-async def test_router_heard_again_within_the_grace() -> None:
-    """A router that was unheard of for a while is sealed in the midst of its work.
+async def test_router_alive_again_within_the_grace() -> None:
+    """Guards against sealing a running router that was not alive for a while.
 
-    Being heard once begins the grace anew.
+    The grace period starts again once the router has been alive in between.
     """
     fleet = Fleet()
     await fleet.register(OTHER, RouterState.OPEN)
     recoveries = fleet.recoveries()
     assert await recoveries.scan() == set()
-    await anyio.sleep(GRACE - 1)
+    await anyio.sleep(UNKNOWN_GRACE - 1)
     fleet.alive = (OTHER,)
     assert await recoveries.scan() == set()
     fleet.alive = ()
-    await anyio.sleep(GRACE - 1)
+    await anyio.sleep(UNKNOWN_GRACE - 1)
     assert await recoveries.scan() == set()
-    await anyio.sleep(GRACE)
+    await anyio.sleep(UNKNOWN_GRACE)
     assert await recoveries.scan() == {OTHER}
 
 
 async def test_own_earlier_incarnation() -> None:
-    """A sealed router is its own only survivor, and settles what it was before."""
+    """A router recovers its own earlier incarnation if no other router is alive."""
     fleet = Fleet(me="a.2", gone=("a.1", "a.2"))
     await fleet.recoveries().recover_gone()
-    assert fleet.asked == ["a.1"]
+    assert fleet.attempted == ["a.1"]
--- a/tests/daemon/test_servers.py
+++ b/tests/daemon/test_servers.py
@@ -1,4 +1,4 @@
-"""Listeners: TLS, and certificates that are replaced while they serve."""
+"""Listeners: TLS, replaced certificates, and the end of connections."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 pytestmark = pytest.mark.anyio
 
-OLD, NEW, FRIEND = make_pair("old"), make_pair("new"), make_pair("friend")
-PATIENCE = 30.0
+OLD, NEW, TRUSTED = make_pair("old"), make_pair("new"), make_pair("friend")
+TIMEOUT = 30.0
 POLL = 0.05
 
 
@@ -41,8 +41,8 @@
 
 
 @pytest.fixture(autouse=True)
-def look_often(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the listeners look at their files often, so that nobody waits."""
+def short_poll(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten the poll interval of certificate files, so that the tests are fast."""
     monkeypatch.setattr("ebonyhold.daemon._servers.CERTIFICATE_POLL", POLL)
 
 
@@ -53,8 +53,8 @@
     return files
 
 
-async def hello(scope: Any, receive: Any, send: Any) -> None:
-    """Answer every request with 200, and the lifespan as it wants."""
+async def answer_hello(scope: Any, receive: Any, send: Any) -> None:
+    """Answer every request with 200, and complete each lifespan event."""
     if scope["type"] == "lifespan":
         while True:
             message = await receive()
@@ -67,15 +67,20 @@
 
 @define
 class Served:
-    """A listener in a test: set `stop`, wait for `ended`."""
+    """The events of a running listener.
+
+    Attributes:
+        stop: Set by a test to stop the listener.
+        ended: Set when the listener has closed.
+    """
 
     stop: anyio.Event = field(factory=anyio.Event)
     ended: anyio.Event = field(factory=anyio.Event)
 
 
 @asynccontextmanager
-async def serving(listener: Listener, app: Any = hello) -> AsyncIterator[Served]:
-    """Serve until the block ends."""
+async def serving(listener: Listener, app: Any = answer_hello) -> AsyncIterator[Served]:
+    """Serve the app during the block, and stop the listener after it."""
     served = Served()
 
     async def run(*, task_status: TaskStatus[None]) -> None:
@@ -88,25 +93,25 @@
         served.stop.set()
 
 
-async def shown(address: str) -> str:
-    """Return the name in the certificate, once somebody listens."""
-    with anyio.fail_after(PATIENCE):
+async def served_certificate(address: str) -> str:
+    """Return the common name of the certificate; retry while nothing listens."""
+    with anyio.fail_after(TIMEOUT):
         while True:
             with suppress(ConnectionRefusedError):
                 return await anyio.to_thread.run_sync(certificate_at, address)
             await anyio.sleep(POLL)
 
 
-async def wait_shown(address: str, name: str) -> None:
-    with anyio.fail_after(PATIENCE):
+async def wait_for_certificate(address: str, name: str) -> None:
+    with anyio.fail_after(TIMEOUT):
         while True:
-            if await shown(address) == name:
+            if await served_certificate(address) == name:
                 return
             await anyio.sleep(POLL)
 
 
-async def wait_logged(caplog: pytest.LogCaptureFixture, text: str) -> None:
-    with anyio.fail_after(PATIENCE):
+async def wait_for_log(caplog: pytest.LogCaptureFixture, text: str) -> None:
+    with anyio.fail_after(TIMEOUT):
         while True:
             if text in caplog.text:
                 return
@@ -117,16 +122,16 @@
     address = f"{LOOPBACK}:{free_port()}"
     trusted = ssl.create_default_context(cafile=str(files.certificate))
     async with serving(Listener(address, files.tls)):
-        assert await shown(address) == "old"
+        assert await served_certificate(address) == "old"
         async with httpx.AsyncClient(verify=trusted) as client:
             response = await client.get(f"https://{address}/")
     assert response.text == "hello"
 
 
 async def test_replaced_certificate_is_used_without_a_restart(files: Files) -> None:
-    """The operator's tool replaces the certificate shortly before it ends.
+    """Guards against a replaced certificate that takes effect only after a restart.
 
-    Open connections go on, and the next handshake shows the new one.
+    Open connections stay usable, and the next handshake uses the new certificate.
     """
     address = f"{LOOPBACK}:{free_port()}"
     trusted = ssl.create_default_context(cafile=str(files.certificate))
@@ -134,15 +139,15 @@
         serving(Listener(address, files.tls)),
         httpx.AsyncClient(verify=trusted) as client,
     ):
-        await wait_shown(address, "old")
+        await wait_for_certificate(address, "old")
         assert (await client.get(f"https://{address}/")).text == "hello"
         files.put(NEW)
-        await wait_shown(address, "new")
+        await wait_for_certificate(address, "new")
         assert (await client.get(f"https://{address}/")).text == "hello"
 
 
 @pytest.mark.parametrize(
-    ("pair", "word"),
+    ("pair", "case"),
     [
         (Pair(NEW.certificate, OLD.key), "the certificate is new, the key is not"),
         (Pair(OLD.certificate, NEW.key), "the key is new, the certificate is not"),
@@ -153,26 +158,26 @@
     ids=lambda value: value.replace(" ", "-") if isinstance(value, str) else "",
 )
 async def test_half_replaced_pair(
-    files: Files, caplog: pytest.LogCaptureFixture, pair: Pair, word: str
+    files: Files, caplog: pytest.LogCaptureFixture, pair: Pair, case: str
 ) -> None:
-    """Callers cannot connect while a certificate is being replaced.
+    """Guards against failing handshakes while a certificate is being replaced.
 
-    The two files are written one after the other, and the daemon looks in
-    between.  The pair does not match; loading it into the context in use would
-    leave that with a certificate and no key, so that every handshake fails.
+    The two files are written one after the other, and the daemon may read them in
+    between, when they don't match. If they were loaded into the context in use, it
+    would have a certificate and no key, and every handshake would fail.
     """
     address = f"{LOOPBACK}:{free_port()}"
     async with serving(Listener(address, files.tls)):
-        await wait_shown(address, "old")
+        await wait_for_certificate(address, "old")
         with caplog.at_level(logging.WARNING):
             files.put(pair)
-            await wait_logged(caplog, "certificate not loaded")
-        assert await shown(address) == "old", word
+            await wait_for_log(caplog, "certificate not loaded")
+        assert await served_certificate(address) == "old", case
         files.put(NEW)
-        await wait_shown(address, "new")
+        await wait_for_certificate(address, "new")
 
 
-async def test_missing_file_is_looked_for_again(files: Files) -> None:
+async def test_missing_file_is_checked_again(files: Files) -> None:
     config = listener_config(Listener(f"{LOOPBACK}:0", files.tls))
     config.create_ssl_context()
     watch = CertificateWatch(config, files.tls)
@@ -186,38 +191,38 @@
 
 
 @pytest.mark.parametrize(
-    ("shows", "welcome"), [(None, False), (NEW, False), (FRIEND, True)]
+    ("own_pair", "accepted"), [(None, False), (NEW, False), (TRUSTED, True)]
 )
-async def test_authority_is_asked_for(
-    files: Files, tmp_path: Path, shows: Pair | None, welcome: bool
+async def test_client_certificate_is_required(
+    files: Files, tmp_path: Path, own_pair: Pair | None, accepted: bool
 ) -> None:
-    """An operator names an authority, and strangers connect all the same.
+    """Guards against accepting clients without a certificate of the set authority.
 
-    Loading it is not enough: the handshake must also ask for a certificate.  It
-    must still do so after the listener's own certificate was replaced.
+    Handshakes must require a client certificate, also after the listener's own
+    certificate is replaced.
     """
     authority = tmp_path / "friends.crt"
-    authority.write_bytes(FRIEND.certificate)
+    authority.write_bytes(TRUSTED.certificate)
     tls = TlsSettings(str(files.certificate), str(files.key), str(authority))
     address = f"{LOOPBACK}:{free_port()}"
     context = ssl.create_default_context(cadata=OLD.certificate.decode())
     context.load_verify_locations(cadata=NEW.certificate.decode())
-    if shows is not None:
+    if own_pair is not None:
         own = Files(tmp_path / "own")
         own.folder.mkdir()
-        own.put(shows)
+        own.put(own_pair)
         context.load_cert_chain(own.certificate, own.key)
     async with serving(Listener(address, tls)):
         await wait_listening(address)
-        assert await is_served(address, context) is welcome
+        assert await is_served(address, context) is accepted
         files.put(NEW)
         await anyio.sleep(10 * POLL)
-        assert await is_served(address, context) is welcome
+        assert await is_served(address, context) is accepted
 
 
 async def wait_listening(address: str) -> None:
     host, _, port = address.rpartition(":")
-    with anyio.fail_after(PATIENCE):
+    with anyio.fail_after(TIMEOUT):
         while True:
             with suppress(OSError):
                 await (await anyio.connect_tcp(host, int(port))).aclose()
@@ -236,16 +241,16 @@
 LARGE = b"x" * 4_000_000
 
 
-async def large(scope: Any, receive: Any, send: Any) -> None:
-    """Answer with more than the buffers between the two ends hold."""
+async def answer_large(scope: Any, receive: Any, send: Any) -> None:
+    """Answer with more bytes than the socket buffers of both ends hold."""
     if scope["type"] == "lifespan":
-        await hello(scope, receive, send)
+        await answer_hello(scope, receive, send)
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": LARGE})
 
 
 async def connect(port: int, trusted: ssl.SSLContext | None) -> ByteStream:
-    """Connect; under TLS the connection ends without a farewell, as many do."""
+    """Connect, with TLS if a context is given; EOF without a TLS alert is accepted."""
     plain = await anyio.connect_tcp(LOOPBACK, port)
     if trusted is None:
         return plain
@@ -256,13 +261,13 @@
 
 @pytest.mark.parametrize("tls", [False, True], ids=["plain", "tls"])
 @pytest.mark.parametrize("reads", [True, False], ids=["slow", "never"])
-async def test_listener_ends_while_an_answer_is_on_its_way(
+async def test_listener_stops_during_an_answer(
     monkeypatch: pytest.MonkeyPatch, files: Files, reads: bool, tls: bool
 ) -> None:
-    """A stop cuts an answer that its caller is still reading, or never ends.
+    """Guards against a stop that cuts an answer being read, or that never ends.
 
-    A slow caller gets the whole answer within the grace; one that reads nothing
-    holds up the stop no longer than that.
+    A slow caller gets the whole answer within the grace period. A caller that reads
+    nothing delays the stop by no more than the grace period.
     """
     if not reads:
         monkeypatch.setattr("ebonyhold.daemon._servers.GRACE", 0.2)
@@ -270,31 +275,31 @@
     address = f"{LOOPBACK}:{port}"
     listener = Listener(address, files.tls if tls else None)
     trusted = ssl.create_default_context(cafile=str(files.certificate))
-    async with serving(listener, large) as served:
+    async with serving(listener, answer_large) as served:
         await wait_listening(address)
         async with await connect(port, trusted if tls else None) as caller:
             await caller.send(b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
-            got = len(await caller.receive())
+            received = len(await caller.receive())
             served.stop.set()
             await anyio.sleep(2 * POLL)
             if reads:
                 with (
-                    anyio.fail_after(PATIENCE),
+                    anyio.fail_after(TIMEOUT),
                     suppress(anyio.EndOfStream, anyio.BrokenResourceError),
                 ):
                     while True:
-                        got += len(await caller.receive())
-                assert got >= len(LARGE)
+                        received += len(await caller.receive())
+                assert received >= len(LARGE)
             else:
-                with anyio.fail_after(PATIENCE):
+                with anyio.fail_after(TIMEOUT):
                     await served.ended.wait()
 
 
 @pytest.mark.parametrize("missing", ["certificate", "key", "both match"])
-def test_an_unusable_certificate_is_a_finding(tmp_path: Path, missing: str) -> None:
-    """The daemon ends at its start with a traceback that names no setting.
+def test_unusable_certificate_names_the_setting(tmp_path: Path, missing: str) -> None:
+    """Guards against a start that fails with a traceback that names no setting.
 
-    A certificate's file was not there yet when the VM came up.
+    The certificate file may be missing or unusable when the VM starts.
     """
     files = {"certificate": tmp_path / "c.pem", "key": tmp_path / "k.pem"}
     for name, path in files.items():
@@ -305,23 +310,25 @@
         check_listener("operators", Listener("127.0.0.1:0", tls))
 
 
-def test_a_listener_without_a_certificate_is_fine() -> None:
+def test_listener_without_a_certificate() -> None:
     check_listener("callers", Listener("127.0.0.1:0"))
 
 
 @pytest.mark.anyio
-async def test_trickled_headers_end_with_their_connection(
+async def test_connection_with_incomplete_headers_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Callers are refused because connections that never ask hold all places.
+    """Guards against idle connections that use up the connection limit.
 
-    Somebody sends the headers of a request byte by byte and never ends them.
+    A client sends the headers of a request byte by byte and never completes them.
     """
     monkeypatch.setattr(_servers, "KEEP_ALIVE", 0.3)
     port = free_port()
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
-        await tasks.start(serve_listener, hello, Listener(f"{LOOPBACK}:{port}"), stop)
+        await tasks.start(
+            serve_listener, answer_hello, Listener(f"{LOOPBACK}:{port}"), stop
+        )
         await anyio.sleep(0.5)
         async with await anyio.connect_tcp(LOOPBACK, port) as stream:
             with (
--- a/tests/daemon/test_settlements.py
+++ b/tests/daemon/test_settlements.py
@@ -1,4 +1,4 @@
-"""What recovery leaves open can be seen and settled."""
+"""Operators can list and settle runs that recovery leaves open."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 @pytest.mark.parametrize(("charge", "spent"), [(40, 40), (0, 0), (None, 0)])
-def test_a_run_that_nobody_can_tell_about(charge: int | None, spent: int) -> None:
-    """An operator settles a run whose engine is gone.
+def test_run_with_unknown_outcome(charge: int | None, spent: int) -> None:
+    """Guards against tokens of a workspace that are held forever.
 
-    A workspace's tokens stay out of reach for ever: its router died with a
-    stream open, the engine died with it, and the document says to wait.  The
-    operator sees the run, says what it cost, and the rest of the hold returns.
+    A router and the engine of its open request both fail, and the policy is to wait
+    for the outcome. An operator lists the run and settles it with a charge, and the
+    rest of its hold returns to the budget.
     """
 
-    async def story(fleet: MemoryFleet) -> None:
+    async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", PREPAID, "t")
-        treasury = await fleet.start("a.1")
-        permit = await treasury.begin(order("w", "q", HOLD))
+        manager = await fleet.start("a.1")
+        permit = await manager.begin(order("w", "q", HOLD))
         assert isinstance(permit, Permit)
         fleet.engine.down = True
         fleet.kill("a.1")
@@ -52,7 +52,7 @@
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
             policy = Policy(unknown_outcome=UnknownOutcome.WAIT)
-            await story(MemoryFleet(tasks, policy))
+            await scenario(MemoryFleet(tasks, policy))
             tasks.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/daemon/test_status.py
+++ b/tests/daemon/test_status.py
@@ -1,4 +1,4 @@
-"""How the fleet is, as operators see it from one router."""
+"""The fleet status that one router reports to operators."""
 
 from __future__ import annotations
 
@@ -25,39 +25,43 @@
 
 pytestmark = pytest.mark.anyio
 
-ME, OTHER, SILENT = "a.1", "b.1", "c.1"
+OWN, OTHER, SILENT = "a.1", "b.1", "c.1"
 ENGINE = Backend("engine-1", BackendKind.ENGINE, "10.0.0.9:1", "d1", models=("m",))
 DOCUMENT = Document("fleet", ("d1",), backends=(ENGINE,))
 
 
 @define
-class Grants:
-    """The money side's own view."""
+class MoneyStatus:
+    """The status of the money with the grants that a test sets."""
 
     grants: tuple[GrantStatus, ...]
 
 
 @define
-class Parts:
-    """The parts that a status is gathered from, as one fake.
+class FakeRouter:
+    """One fake for all components from which the status is collected.
 
     Attributes:
-        journal: None while the router is not registered.
-        sealed: Whether this incarnation is over.
-        held: What is held here.
-        document: The document in force.
-        fresh: Whether that may be served.
-        leaving: Whether this router is stopping.
-        peers: What is believed of the others.
-        replies: What the others answer; the absent ones do not.
+        me: The incarnation of the router.
+        journal: Anything if the router is registered, else None.
+        sealed: Whether the incarnation was sealed.
+        held: The grants of the router.
+        document: The document in force; None before the first.
+        servable: Whether the policy allows serving that document.
+        version: The configuration version in force.
+        active: Number of requests in flight.
+        leaving: Whether the router is stopping.
+        peers: The membership status of the other routers.
+        replies: The replies of the other routers; those without one don't reply.
+        stranded: Stranded tokens by incarnation.
     """
 
-    me: RouterId = ME
+    me: RouterId = OWN
     journal: object | None = "journal"
     sealed: bool = False
     held: tuple[GrantStatus, ...] = ()
     document: Document | None = DOCUMENT
-    fresh: bool = True
+    servable: bool = True
     version: int = 3
     active: int = 0
     leaving: bool = False
@@ -66,11 +70,11 @@
     stranded: dict[RouterId, int] = field(factory=dict)
 
     @property
-    def current(self) -> Parts:
+    def current(self) -> FakeRouter:
         return self
 
     def may_serve(self) -> bool:
-        return self.fresh
+        return self.servable
 
     def own_evidence(self) -> Evidence:
         return Evidence(self.version, "digest", 1.0)
@@ -78,7 +82,7 @@
     def status(self) -> Any:
         if self.journal is None:
             raise UnavailableError("not registered yet")
-        return Grants(self.held)
+        return MoneyStatus(self.held)
 
     async def ask(
         self, to: RouterId, message: PeerMessage, kind: type, timeout: Seconds
@@ -90,26 +94,26 @@
 
 @define
 class Network:
-    """The other routers; its `status` is not the money's."""
+    """A fake network; separate because its `status` differs from that of the money."""
 
-    parts: Parts
+    fake: FakeRouter
 
     def status(self) -> tuple[PeerStatus, ...]:
-        return self.parts.peers
+        return self.fake.peers
 
     async def ask(self, *arguments: Any) -> StatusReply:
-        return await self.parts.ask(*arguments)
+        return await self.fake.ask(*arguments)
 
 
-def source_of(parts: Parts, fleet: FleetView | None = None) -> FleetStatusSource:
-    part = cast(Any, parts)
+def source_of(fake: FakeRouter, fleet: FleetView | None = None) -> FleetStatusSource:
+    part = cast(Any, fake)
     backends = Backends(fleet or FleetView(DOCUMENT, domain="d1"))
-    network = cast(Any, Network(parts))
+    network = cast(Any, Network(fake))
     return FleetStatusSource("d1", part, network, part, part, backends, part, part)
 
 
-def peer(router: RouterId, status: MemberStatus, heard: Seconds | None) -> PeerStatus:
-    return PeerStatus(router, "10.0.0.1:1", "d2", status, True, heard)
+def peer(router: RouterId, status: MemberStatus, age: Seconds | None) -> PeerStatus:
+    return PeerStatus(router, "10.0.0.1:1", "d2", status, True, age)
 
 
 def reply(router: RouterId, *, stopping: bool = False, used: int = 0) -> StatusReply:
@@ -118,40 +122,40 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "reason"),
+    ("fake", "reason"),
     [
-        (Parts(), ""),
-        (Parts(document=None), "no document"),
-        (Parts(fresh=False), "stale"),
-        (Parts(journal=None), "not registered"),
-        (Parts(sealed=True), "sealed"),
-        (Parts(leaving=True), "stopping"),
+        (FakeRouter(), ""),
+        (FakeRouter(document=None), "no document"),
+        (FakeRouter(servable=False), "stale"),
+        (FakeRouter(journal=None), "not registered"),
+        (FakeRouter(sealed=True), "sealed"),
+        (FakeRouter(leaving=True), "stopping"),
     ],
 )
-def test_readiness(parts: Parts, reason: str) -> None:
-    readiness = source_of(parts).readiness()
+def test_readiness(fake: FakeRouter, reason: str) -> None:
+    readiness = source_of(fake).readiness()
     assert readiness.ready is not bool(reason)
     assert reason in " ".join(readiness.reasons)
 
 
 async def test_status_while_the_router_is_not_registered() -> None:
-    """The table is away, and an operator asks a router that just started.
+    """Guards against a status request that fails while the router isn't registered.
 
-    It has no money side yet; what it knows of the others must still come.
+    Its own grants are empty, and the status of the other routers is complete.
     """
-    parts = Parts(
+    fake = FakeRouter(
         journal=None,
         peers=(peer(OTHER, MemberStatus.ALIVE, 0.5),),
         replies={OTHER: reply(OTHER)},
     )
-    status = await source_of(parts).fleet()
-    assert [one.router for one in status.routers] == [ME, OTHER]
+    status = await source_of(fake).fleet()
+    assert [one.router for one in status.routers] == [OWN, OTHER]
     assert status.routers[0].grants == ()
 
 
-async def test_routers_that_do_not_answer_are_shown() -> None:
-    """A router is silent, and operators do not see that it holds tokens."""
-    parts = Parts(
+async def test_routers_without_a_reply_are_listed() -> None:
+    """Guards against omitting routers that don't reply and may still hold tokens."""
+    fake = FakeRouter(
         peers=(
             peer(SILENT, MemberStatus.SUSPECT, 9.0),
             peer(OTHER, MemberStatus.ALIVE, 0.5),
@@ -160,7 +164,7 @@
         replies={OTHER: reply(OTHER, stopping=True)},
         stranded={"d.1": 70},
     )
-    _, other, silent, gone = (await source_of(parts).fleet()).routers
+    _, other, silent, gone = (await source_of(fake).fleet()).routers
     assert (other.router, other.state) == (OTHER, "leaving")
     assert (silent.state, silent.seen_age, silent.domain) == ("suspect", 9.0, "d2")
     assert (gone.state, gone.seen_age, gone.stranded) == ("gone", -1.0, 70)
@@ -168,7 +172,7 @@
 
 def test_largest_grants_come_first() -> None:
     held = tuple(GrantStatus(f"w{n}", n) for n in range(MAX_GRANTS + 50))
-    grants = source_of(Parts(held=held)).own_status().grants
+    grants = source_of(FakeRouter(held=held)).own_status().grants
     assert len(grants) == MAX_GRANTS
     assert grants[0].workspace == f"w{MAX_GRANTS + 49}"
 
@@ -182,17 +186,17 @@
         (True, 0, "stopped"),
     ],
 )
-async def test_what_still_holds_a_backend_server(
+async def test_state_and_users_of_a_backend_server(
     leaving: bool, used: int, state: str
 ) -> None:
-    """Operators wait for a server to be empty and cannot see who still uses it."""
+    """Guards against a leaving server whose remaining requests aren't listed."""
     fleet = FleetView(DOCUMENT, domain="d1")
     fleet.leaving = frozenset({"engine-1"} if leaving else ())
-    parts = Parts(
+    fake = FakeRouter(
         peers=(peer(OTHER, MemberStatus.ALIVE, 0.5),),
         replies={OTHER: reply(OTHER, used=used)},
     )
-    source = source_of(parts, fleet)
+    source = source_of(fake, fleet)
     source.backends.states["engine-1"] = BackendState(ENGINE)
     status = await source.fleet()
     holders = (OTHER,) if used else ()
--- a/tests/daemon/test_stop_live.py
+++ b/tests/daemon/test_stop_live.py
@@ -1,4 +1,4 @@
-"""Whole daemons on loopback that are told to end while callers keep coming."""
+"""Daemon processes on loopback that are stopped while callers send requests."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from tests.daemon.test_live import (
     ENGINE,
     EXAMPLE,
-    PATIENCE,
     SERVICE,
     STOP_BOUND,
+    TIMEOUT,
     add_router,
     call,
     callers_of,
     client,
     job,
     read_rows,
-    unlist,
+    remove_member,
     wait_exit,
 )
 
@@ -39,14 +39,17 @@
 pytestmark = [pytest.mark.anyio, pytest.mark.soak]
 
 SLOW_ENGINE = ("--step", "0.05", "--least", "90", "--most", "90")
-EVERY: Seconds = 0.03
-SHUT: Seconds = 0.6
-"""How long before its exit a process may turn connections away: it closes its
-sockets, waits for what crosses, and then Python itself takes a while to end."""
+REQUEST_INTERVAL: Seconds = 0.03
+CLOSED_TIME: Seconds = 0.6
+"""How long before its exit a process may refuse connections.
+
+It closes its listening sockets, waits for late requests, and then Python needs some
+time to exit.
+"""
 
 FIRST: Seconds = 0.5
 LATE: Seconds = 2.8
-"""A second signal while streams are waited for."""
+"""Delay of a second signal that arrives while the stop waits for streams."""
 
 
 @pytest.fixture(scope="module")
@@ -56,7 +59,7 @@
 
 @pytest.fixture(scope="module")
 async def fleet(anyio_backend: str) -> AsyncIterator[LocalFleet]:
-    """One router, one engine and one plain service, shared by all tests here."""
+    """One router, one engine and one plain service, shared by the module's tests."""
     document = load_document(EXAMPLE)
     backends = (document.backends[ENGINE], document.backends[SERVICE])
     limits = evolve(document.limits, drain=6.0)
@@ -70,26 +73,26 @@
 
 
 def spawn_failing(fleet: LocalFleet, name: str, address: str, *rest: str) -> Child:
-    """Start the daemon that fails on demand, in the place of the real one."""
+    """Start the daemon that fails at SIGUSR1 instead of the real one."""
     return spawn(fleet, name, address, "tests.daemon.failing_daemon", *rest[1:])
 
 
 @define
-class Heard:
-    """What callers heard while a router stopped.
+class Responses:
+    """The answers to all requests that were sent while a router stopped.
 
     Attributes:
-        counts: How many answers of each status, both kinds of connections.
-        wrong: Answers that are neither whole nor a refusal of what didn't run.
-        shut: When there was no connection or no answer.
+        counts: Number of answers by HTTP status, on new and kept connections.
+        wrong: Bodies of answers other than 200 or a refusal as not run.
+        unanswered: Time and error of each request without a connection or answer.
     """
 
     counts: dict[int, int] = field(factory=dict)
     wrong: list[str] = field(factory=list)
-    shut: list[tuple[Seconds, str]] = field(factory=list)
+    unanswered: list[tuple[Seconds, str]] = field(factory=list)
 
-    def note(self, response: httpx.Response) -> None:
-        """Note one answer."""
+    def record(self, response: httpx.Response) -> None:
+        """Count one answer, and keep its body if it is wrong."""
         status = response.status_code
         self.counts[status] = self.counts.get(status, 0) + 1
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
@@ -100,28 +103,36 @@
             self.wrong.append(response.text)
 
 
-async def keep_asking(router: Router, heard: Heard, *, kept: bool) -> None:
-    """Ask for the models until the process is gone."""
+async def keep_requesting(router: Router, responses: Responses, *, kept: bool) -> None:
+    """Request the model list until the process has exited.
+
+    Args:
+        router: The router.
+        responses: Receives the answers.
+        kept: Whether to keep the connection between requests.
+    """
     callers = callers_of(router)
     headers = callers.headers(job("models", 1))
     limits = httpx.Limits(max_keepalive_connections=1 if kept else 0)
     async with httpx.AsyncClient(
-        trust_env=False, timeout=PATIENCE, limits=limits
-    ) as asking:
+        trust_env=False, timeout=TIMEOUT, limits=limits
+    ) as http:
         while router.process.poll() is None:
             try:
-                heard.note(await asking.get(f"{router.url}/v1/models", headers=headers))
+                responses.record(
+                    await http.get(f"{router.url}/v1/models", headers=headers)
+                )
             except httpx.TransportError as error:
-                heard.shut.append((anyio.current_time(), repr(error)))
-            await anyio.sleep(EVERY)
+                responses.unanswered.append((anyio.current_time(), repr(error)))
+            await anyio.sleep(REQUEST_INTERVAL)
 
 
-async def stream(router: Router, asking: httpx.AsyncClient, key: str) -> str:
-    """Stream a long answer and return its last line."""
+async def stream(router: Router, http: httpx.AsyncClient, key: str) -> str:
+    """Stream a long answer and return its last non-empty line."""
     callers = callers_of(router)
     wanted = job(key, 90)
     last = ""
-    async with asking.stream(
+    async with http.stream(
         "POST",
         f"{router.url}/v1/chat/completions",
         json=callers.chat_body(wanted, stream=True),
@@ -132,7 +143,7 @@
     return last
 
 
-WAYS = {
+SIGNAL_SEQUENCES = {
     "SIGTERM": ((FIRST, signal.SIGTERM),),
     "SIGINT": ((FIRST, signal.SIGINT),),
     "second signal in the grace": ((FIRST, signal.SIGTERM), (0.5, signal.SIGTERM)),
@@ -143,26 +154,27 @@
 }
 
 
-@pytest.mark.parametrize("way", WAYS.values(), ids=WAYS)
+@pytest.mark.parametrize("sequence", SIGNAL_SEQUENCES.values(), ids=SIGNAL_SEQUENCES)
 async def test_callers_while_a_process_ends(
     fleet: LocalFleet,
     client: httpx.AsyncClient,
     monkeypatch: pytest.MonkeyPatch,
-    way: tuple[tuple[Seconds, signal.Signals], ...],
+    sequence: tuple[tuple[Seconds, signal.Signals], ...],
 ) -> None:
-    """Every request to a process that ends is answered or refused as not run.
+    """Guards against requests to a stopping process that get no answer.
 
-    Callers on new and on kept connections ask all the time, and a stream is under
-    way.  There is an answer to each of them until shortly before the exit, and the
-    stream ends whole, or with an explicit error where a second signal ends it.
+    Callers on new and kept connections send requests all the time, and a stream is in
+    progress. Until `CLOSED_TIME` before the exit each request is answered or refused
+    as not run. The stream ends whole, or with an error event if a second signal ends
+    it.
     """
     name = f"entry-{len(fleet.routers) + 1}"
-    fails = signal.SIGUSR1 in {number for _, number in way}
+    fails = signal.SIGUSR1 in {number for _, number in sequence}
     if fails:
         monkeypatch.setattr(LocalFleet, "spawn", spawn_failing)
     router = await add_router(fleet, name)
     await call(client, router, job(f"warm-{name}", 8, Wanted.WHOLE))
-    heard = Heard()
+    responses = Responses()
     ends: list[str] = []
 
     async def read() -> None:
@@ -173,31 +185,35 @@
         for kept in (True, False):
 
             async def ask(kept: bool = kept) -> None:
-                await keep_asking(router, heard, kept=kept)
+                await keep_requesting(router, responses, kept=kept)
 
             tasks.start_soon(ask)
-        for wait, number in way:
+        for wait, number in sequence:
             await anyio.sleep(wait)
             router.process.send_signal(number)
         code = await wait_exit(router, STOP_BOUND)
         ended = anyio.current_time()
-    await unlist(fleet, client, router)
-    early = [(ended - at, what) for at, what in heard.shut if ended - at > SHUT]
+    await remove_member(fleet, client, router)
+    too_early = [
+        (ended - at, what)
+        for at, what in responses.unanswered
+        if ended - at > CLOSED_TIME
+    ]
     assert code == int(fails)
-    assert heard.wrong == []
-    assert early == []
-    assert heard.counts[HTTPStatus.OK] > 0
-    hurried = sum(number is not signal.SIGHUP for _, number in way) > 1
+    assert responses.wrong == []
+    assert too_early == []
+    assert responses.counts[HTTPStatus.OK] > 0
+    hurried = sum(number is not signal.SIGHUP for _, number in sequence) > 1
     assert ends[0].startswith("data: {") if hurried else ends == ["data: [DONE]"]
 
 
-async def test_the_callers_port_is_taken(
+async def test_callers_port_is_in_use(
     fleet: LocalFleet, client: httpx.AsyncClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A router whose callers' port is taken leaves its row for others to recover.
+    """Guards against a failed start that leaves the router's row open.
 
-    It has registered by then.  It ends by itself with an error, and closes its
-    incarnation like any router that stops.
+    The router has registered when it finds that the callers' port is in use. It exits
+    with an error and closes its incarnation like any router that stops.
     """
     other = fleet.routers[0]
     ports = iter([other.address.rpartition(":")[2]])
@@ -207,8 +223,8 @@
     name = f"entry-{len(fleet.routers) + 1}"
     router = fleet.spawn_router(name, fleet.document.domains[0])
     fleet.register(router)
-    code = await wait_exit(router, PATIENCE)
-    await unlist(fleet, client, router)
+    code = await wait_exit(router, TIMEOUT)
+    await remove_member(fleet, client, router)
     assert code == 1
     assert "Address already in use" in router.log.read_text()
     rows = await read_rows(fleet)
@@ -217,13 +233,14 @@
     assert answer.status_code == HTTPStatus.OK
 
 
-async def test_a_second_signal_leaves_no_money_behind(
+async def test_second_signal_returns_all_tokens(
     fleet: LocalFleet, client: httpx.AsyncClient
 ) -> None:
-    """A whole answer is under way when an operator signals twice.
+    """Guards against tokens that stay held after a second signal.
 
-    It needs some seconds more and gets them, its bill is filed before the grants go
-    back, and the router closes its incarnation with nothing held.
+    An answer that isn't streamed is in progress and needs some seconds more, which it
+    gets. Its bill is filed before the grants are returned, and the router closes its
+    incarnation with nothing held.
     """
     name = f"entry-{len(fleet.routers) + 1}"
     router = await add_router(fleet, name)
@@ -231,22 +248,24 @@
     key = f"whole-{name}"
     callers = callers_of(router)
     wanted = job(key, 90, Wanted.WHOLE)
-    heard: list[httpx.Response] = []
+    responses: list[httpx.Response] = []
 
     async def ask() -> None:
         body = callers.chat_body(wanted, stream=False)
         url = f"{router.url}/v1/chat/completions"
-        heard.append(await client.post(url, json=body, headers=callers.headers(wanted)))
+        responses.append(
+            await client.post(url, json=body, headers=callers.headers(wanted))
+        )
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
         for _ in range(2):
             await anyio.sleep(FIRST)
             router.terminate()
-        code = await wait_exit(router, PATIENCE)
-    await unlist(fleet, client, router)
+        code = await wait_exit(router, TIMEOUT)
+    await remove_member(fleet, client, router)
     assert code == 0
-    assert heard[0].status_code == HTTPStatus.OK
+    assert responses[0].status_code == HTTPStatus.OK
     rows = await read_rows(fleet)
     assert rows.held(name) == 0
     assert set(rows.incarnations(name).values()) == {RouterState.CLOSED}
--- a/tests/daemon/test_stop_sockets.py
+++ b/tests/daemon/test_stop_sockets.py
@@ -1,4 +1,4 @@
-"""A router's stop, as callers on sockets meet it at each of its steps."""
+"""The answers that callers get on their connections at each step of a stop."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     PATIENCE,
     STREAM,
     Answer,
-    Held,
+    HeldScript,
     Router,
     head,
     request,
-    routing,
+    running_router,
     wait_until,
 )
 
 pytestmark = pytest.mark.anyio
 
 SHORT = 0.1
-"""How long a step lasts that no event ends, in seconds."""
+"""Duration in seconds of the steps that no event ends."""
 
 STEPS = ("grace", "streams", "interrupt", "settle")
 
@@ -52,11 +52,11 @@
 
 
 @asynccontextmanager
-async def held_at(step: str) -> AsyncIterator[Router]:
-    """Keep a stop at one of its steps while the block runs."""
+async def held_at_step(step: str) -> AsyncIterator[Router]:
+    """Run a router whose stop can't get past the given step during the block."""
     drain = 20.0 if step == "streams" else SHORT
-    async with routing(drain) as router, AsyncExitStack() as stack:
-        held, settles, drains = Held(), anyio.Event(), anyio.Event()
+    async with running_router(drain) as router, AsyncExitStack() as stack:
+        held, settles, drains = HeldScript(), anyio.Event(), anyio.Event()
         if step == "settle":
             router.money.drains = drains
         if step in ("streams", "interrupt"):
@@ -67,13 +67,13 @@
         if step == "interrupt":
             router.money.settles = settles
         yield router
-        held.go.set()
+        held.released.set()
         settles.set()
         drains.set()
 
 
-async def come_to(router: Router, step: str) -> None:
-    """Ask for the stop, and wait until it has come to its step."""
+async def advance_to(router: Router, step: str) -> None:
+    """Request the stop, and wait until it has reached the step."""
     router.lifecycle.stop_requested.set()
     await wait_until(lambda: router.lifecycle.leaving)
     if step != "grace":
@@ -86,53 +86,55 @@
 
 MODELS = head(0, "/v1/models", "GET")
 LARGE = request(b" " * 900_000 + CHAT)
-"""A body below the document's bound that no buffer on the way holds."""
+"""A request within the document's size limit that is larger than the buffers."""
 
 
 @frozen
-class Kind:
-    """What a caller does around a stop.
+class CallerBehaviour:
+    """What a caller sends before and during a stop.
 
     Attributes:
-        before: What it sends before the signal.
-        after: What it sends once the stop has come to its step.
-        heard: How many answers it hears to what it sent before.
-        new: Whether it connects only then.
+        after: The bytes it sends once the stop has reached the step.
+        before: The bytes it sends before the stop is requested.
+        answers: Number of answers it receives to `before`.
+        new: Whether it connects only once the stop has reached the step.
     """
 
     after: bytes
     before: bytes = b""
-    heard: int = 0
+    answers: int = 0
     new: bool = False
 
 
 KINDS = {
-    "new": Kind(request(), new=True),
-    "kept": Kind(request(), MODELS, 1),
-    "half head": Kind(request()[20:], request()[:20]),
-    "pipelined": Kind(request() * 2, MODELS * 2, 2),
-    "large body": Kind(LARGE, new=True),
-    "large body on a kept connection": Kind(LARGE, MODELS, 1),
-    "large body, half head": Kind(LARGE[20:], LARGE[:20]),
+    "new": CallerBehaviour(request(), new=True),
+    "kept": CallerBehaviour(request(), MODELS, 1),
+    "half head": CallerBehaviour(request()[20:], request()[:20]),
+    "pipelined": CallerBehaviour(request() * 2, MODELS * 2, 2),
+    "large body": CallerBehaviour(LARGE, new=True),
+    "large body on a kept connection": CallerBehaviour(LARGE, MODELS, 1),
+    "large body, half head": CallerBehaviour(LARGE[20:], LARGE[:20]),
 }
 
 
 @pytest.mark.parametrize("kind", KINDS.values(), ids=KINDS)
 @pytest.mark.parametrize("step", STEPS)
-async def test_a_request_that_comes_during_the_stop(step: str, kind: Kind) -> None:
-    """Whoever comes while the router stops is answered, or refused as not run.
+async def test_a_request_that_comes_during_the_stop(
+    step: str, kind: CallerBehaviour
+) -> None:
+    """Guards against requests during a stop that get neither answer nor refusal.
 
-    In the grace requests are still taken.  In every later step the listener is
-    still there, and each request that is sent whole gets a whole refusal with a
-    time to come again; no backend server hears of it.
+    In the grace period requests are still answered. In each later step the listener is
+    still open, and a request that is sent completely gets a complete refusal as not
+    run, with a retry-after header, and reaches no backend server.
     """
-    async with held_at(step) as router, AsyncExitStack() as stack:
+    async with held_at_step(step) as router, AsyncExitStack() as stack:
         if not kind.new:
             caller = await stack.enter_async_context(router.caller())
             await caller.send(kind.before)
-            for _ in range(kind.heard):
+            for _ in range(kind.answers):
                 assert (await caller.answer()).status == HTTPStatus.OK
-        await come_to(router, step)
+        await advance_to(router, step)
         ran = router.ran()
         if kind.new:
             caller = await stack.enter_async_context(router.caller())
@@ -141,20 +143,20 @@
         if step == "grace":
             assert answer.status == HTTPStatus.OK
         else:
-            assert answer.told_not_run, answer
+            assert answer.refused_as_not_run, answer
             assert answer.error["code"] == "router_stopping"
             assert router.ran() == ran
 
 
 @frozen
-class Underway:
-    """A request that is under way when the stop's patience ends.
+class OpenRequest:
+    """A request that is still open when the stop interrupts requests.
 
     Attributes:
-        sent: What its caller has sent.
-        status: What it hears in the end.
-        not_run: Whether it is told that nothing ran, and nothing did.
-        queued: Whether its engine has no free place.
+        sent: The bytes that its caller has sent.
+        status: The HTTP status of its answer.
+        not_run: Whether it is refused as not run and has reached no backend server.
+        queued: Whether it waits in the queue because its engine is full.
     """
 
     sent: bytes
@@ -166,30 +168,30 @@
 STOCK = "/services/booking/stock"
 BOOKINGS = "/services/booking/bookings"
 URGENT = request().replace(b"host: router", b"host: router\r\nx-deadline-ms: 15000")
-UNDERWAY = {
-    "whole chat at its engine": Underway(request(), 502),
-    "stream before its first byte": Underway(request(STREAM), 502),
-    "chat in the queue": Underway(URGENT, 503, not_run=True, queued=True),
-    "half a body": Underway(request()[:-10], 503, not_run=True),
-    "call that may be repeated": Underway(head(0, STOCK, "GET"), 502),
-    "booking": Underway(request(b"{}", BOOKINGS), 502),
+OPEN_REQUESTS = {
+    "whole chat at its engine": OpenRequest(request(), 502),
+    "stream before its first byte": OpenRequest(request(STREAM), 502),
+    "chat in the queue": OpenRequest(URGENT, 503, not_run=True, queued=True),
+    "half a body": OpenRequest(request()[:-10], 503, not_run=True),
+    "call that may be repeated": OpenRequest(head(0, STOCK, "GET"), 502),
+    "booking": OpenRequest(request(b"{}", BOOKINGS), 502),
 }
 
 
 @pytest.mark.parametrize("second", [False, True], ids=["bound", "second-signal"])
-@pytest.mark.parametrize("case", UNDERWAY.values(), ids=UNDERWAY)
-async def test_patience_ends(case: Underway, second: bool) -> None:
-    """A stop ends requests that its callers still wait for without a word.
-
-    The operator signals twice, or the document's bound on the stop is over.  Only
-    streams were told; a whole answer, a call to a service, a request in the queue
-    or one whose body was still coming went on while the bills were filed, and about
-    five seconds later the listener's end cut it.  Its caller read a bare 500, which
-    says nothing about whether the request ran.  Evidence: the answer's head came
-    from the listener, and the settlement began with the booking unsettled.
+@pytest.mark.parametrize("case", OPEN_REQUESTS.values(), ids=OPEN_REQUESTS)
+async def test_requests_in_flight_at_the_time_limit(
+    case: OpenRequest, second: bool
+) -> None:
+    """Guards against a stop that cuts open requests without an explicit answer.
+
+    The ``drain`` limit passes or a second signal arrives. Requests other than streams
+    must be interrupted too: otherwise they run on while the bills are filed, until the
+    listener closes and their callers get a bare 500, which doesn't show whether the
+    request ran.
     """
-    async with routing(20.0 if second else SHORT) as router:
-        held = Held()
+    async with running_router(20.0 if second else SHORT) as router:
+        held = HeldScript()
         router.script(held)
         if case.queued:
             router.app.backends.refresh()
@@ -205,28 +207,30 @@
             answer = await caller.answer()
     assert answer.whole
     assert answer.status == case.status
-    assert answer.told_not_run is case.not_run
+    assert answer.refused_as_not_run is case.not_run
     assert ("outcome" in answer.error) is not case.not_run
     assert router.ran() == (not case.not_run)
     assert router.money.unsettled == 0
 
 
-BIG_TOKENS = 1_200_000
-DOOR_SHUT: Seconds = 0.5
-"""How long before its end a router may turn connections away: a process closes its
-sockets a moment before it is gone, and no longer."""
+LARGE_TOKENS = 1_200_000
+CLOSED_TIME: Seconds = 0.5
+"""How long before its end a router may refuse connections.
+
+A process closes its listening sockets shortly before it exits.
+"""
 
 
-async def big(engine: Engine, request: httpx.Request) -> httpx.Response:
-    """Answer with more than the buffers between the two ends hold."""
+async def answer_large(engine: Engine, request: httpx.Request) -> httpx.Response:
+    """Answer with more bytes than the socket buffers of both ends hold."""
     answer = json.loads(whole_body())
-    answer["choices"][0]["message"]["content"] = "token " * BIG_TOKENS
+    answer["choices"][0]["message"]["content"] = "token " * LARGE_TOKENS
     headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"]}
     return httpx.Response(200, headers=headers, content=json.dumps(answer).encode())
 
 
-async def knock(router: Router, shut: list[Seconds]) -> None:
-    """Ask again and again on new connections, and note when there is no answer."""
+async def keep_connecting(router: Router, unanswered: list[Seconds]) -> None:
+    """Send requests on new connections; record the times of those without an answer."""
     while not router.gone.is_set():
         answer = Answer()
         with suppress(OSError):
@@ -234,73 +238,69 @@
                 await caller.send(MODELS)
                 answer = await caller.answer()
         if not answer.whole:
-            shut.append(anyio.current_time())
+            unanswered.append(anyio.current_time())
         await anyio.sleep(LOOK)
 
 
 @pytest.mark.parametrize("reads", [True, False], ids=["slow", "never"])
-async def test_the_door_is_open_to_the_end(
+async def test_listener_accepts_connections_to_the_end(
     monkeypatch: pytest.MonkeyPatch, reads: bool
 ) -> None:
-    """Callers meet a closed door while one other caller takes its last bytes.
-
-    The router has filed its bills and closes its listener; the process lives on for
-    as long as a slow caller reads, five seconds or more.  Whoever is sent here in
-    that time has no connection instead of a refusal.  Worse, a connection that came
-    as the listener closed got no answer, and the slow caller's answer was cut too.
-    Evidence: the new connection hung, and the listener's task ended as cancelled
-    when the slow caller began to read, long before its grace was over.
+    """Guards against refused connections while a slow caller reads its last bytes.
+
+    After the bills are filed the process runs for as long as the slow caller reads,
+    5 seconds or more. Until shortly before the exit new callers must get a refusal
+    as not run instead of no connection. A connection that arrives as the listener
+    closes must not hang or cut the slow caller's answer.
     """
-    monkeypatch.setattr(_servers, "GRACE", 3 * DOOR_SHUT)
+    monkeypatch.setattr(_servers, "GRACE", 3 * CLOSED_TIME)
     monkeypatch.setattr(_app, "INTERRUPT_WITHIN", SHORT)
-    async with routing(SHORT) as router, anyio.create_task_group() as tasks:
-        router.script(big)
-        shut: list[Seconds] = []
+    async with running_router(SHORT) as router, anyio.create_task_group() as tasks:
+        router.script(answer_large)
+        unanswered: list[Seconds] = []
         async with router.caller() as slow:
             await slow.send(request())
             await wait_until(lambda: router.app.active == 1)
             await anyio.sleep(SHORT)
             router.lifecycle.stop_requested.set()
             await router.money.draining.wait()
-            tasks.start_soon(knock, router, shut)
+            tasks.start_soon(keep_connecting, router, unanswered)
             if reads:
-                await anyio.sleep(2 * DOOR_SHUT)
+                await anyio.sleep(2 * CLOSED_TIME)
                 answer = await slow.answer()
                 assert answer.whole
                 assert answer.status == HTTPStatus.OK
             with anyio.fail_after(PATIENCE):
                 await router.gone.wait()
         ended = anyio.current_time()
-    assert [ended - at for at in shut if ended - at > DOOR_SHUT] == []
+    assert [ended - at for at in unanswered if ended - at > CLOSED_TIME] == []
 
 
-PIECE = 100_000
-PIECES = 8
+CHUNK_BYTES = 100_000
+CHUNKS = 8
 PAUSE: Seconds = 0.03
 
 
 @pytest.mark.parametrize("step", ["serving", "streams"])
-async def test_a_refusal_comes_before_the_body(step: str) -> None:
-    """A caller that still sends its body finds its connection cut, not a refusal.
-
-    The router refuses as soon as it has read the head: it stops, or the key is
-    unknown.  The connection was closed with the refusal while the rest of the body
-    was on its way, and the reply to that rest was a reset.  Clients that hear of it
-    while they send report a broken pipe and never read the refusal, so their
-    request counts as failed in an unknown way.  Evidence: of 40 requests with one
-    and three megabytes from the standard library's client, three ended so.
+async def test_refusal_before_the_body_is_sent(step: str) -> None:
+    """Guards against callers that can't read a refusal because they still send a body.
+
+    The router refuses a request once it has read the head, because it is stopping or
+    the key is unknown. If it closes the connection at that point, the rest of the body
+    causes a reset. Clients then report a broken pipe, never read the refusal, and
+    can't know that the request did not run.
     """
-    sent = head(PIECE * PIECES)
+    sent = head(CHUNK_BYTES * CHUNKS)
     if step == "serving":
         sent = sent.replace(KEY.encode(), b"unknown")
-    async with held_at(step) as router:
+    async with held_at_step(step) as router:
         if step != "serving":
-            await come_to(router, step)
+            await advance_to(router, step)
         async with router.caller() as caller:
             await caller.send(sent)
-            for _ in range(PIECES):
+            for _ in range(CHUNKS):
                 await anyio.sleep(PAUSE)
-                await caller.send(b" " * PIECE)
+                await caller.send(b" " * CHUNK_BYTES)
             assert not caller.cut
             answer = await caller.answer()
             assert answer.whole
@@ -308,49 +308,50 @@
             assert answer.status == (401 if step == "serving" else 503)
 
 
-CROSSINGS = {
-    "kept": Kind(request(), MODELS, 1),
-    "half head": Kind(request()[20:], request()[:20]),
-    "pipelined": Kind(request() * 2, MODELS, 1),
-    "large body": Kind(LARGE, MODELS, 1),
+LATE_REQUESTS = {
+    "kept": CallerBehaviour(request(), MODELS, 1),
+    "half head": CallerBehaviour(request()[20:], request()[:20]),
+    "pipelined": CallerBehaviour(request() * 2, MODELS, 1),
+    "large body": CallerBehaviour(LARGE, MODELS, 1),
 }
 
 
-@pytest.mark.parametrize("kind", CROSSINGS.values(), ids=CROSSINGS)
-async def test_a_request_crosses_the_close(
-    monkeypatch: pytest.MonkeyPatch, kind: Kind
+@pytest.mark.parametrize("kind", LATE_REQUESTS.values(), ids=LATE_REQUESTS)
+async def test_request_arrives_during_the_close(
+    monkeypatch: pytest.MonkeyPatch, kind: CallerBehaviour
 ) -> None:
-    """A request is on its way to a router that closes its listener at that moment.
+    """Guards against lost requests that arrive as the router closes its listener.
 
-    The connection is open, so its caller can't know.  It is read and refused as not
-    run, however late, and no backend server hears of it.
+    A caller with an open connection can't know of the close. Its request is still read
+    and refused as not run, and reaches no backend server.
     """
     monkeypatch.setattr(_door, "LATE_READ_TIME", 3 * SHORT)
-    async with routing(SHORT) as router, router.caller() as caller:
+    async with running_router(SHORT) as router, router.caller() as caller:
         await caller.send(kind.before)
-        for _ in range(kind.heard):
+        for _ in range(kind.answers):
             assert (await caller.answer()).whole
         router.lifecycle.stop_requested.set()
         await router.lifecycle.ended.wait()
         await anyio.sleep(SHORT / 2)
         await caller.send(kind.after)
         first = await caller.answer()
-        assert first.told_not_run, first
+        assert first.refused_as_not_run, first
         if kind.after == request() * 2:
-            assert (await caller.answer()).told_not_run
+            assert (await caller.answer()).refused_as_not_run
         assert router.ran() == 0
 
 
-async def test_a_large_body_crosses_the_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A caller whose large body crosses the close is reset and reads no refusal.
+async def test_large_body_arrives_during_the_close(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a reset while a caller sends a large body during the close.
 
-    Its head comes just before the connections are read for the last time, the rest
-    some tenths of a second later.  The connection was cut as if its caller took
-    nothing.  Evidence: one run of the whole suite in which such a caller got no
-    answer, and the cut while the caller sent, here.
+    The head arrives just before connections are read for the last time, and the rest
+    of the body some tenths of a second later. The connection must stay open until the
+    caller has read the refusal.
     """
     monkeypatch.setattr(_door, "LATE_READ_TIME", SHORT)
-    async with routing(SHORT) as router, router.caller() as caller:
+    async with running_router(SHORT) as router, router.caller() as caller:
         await caller.send(MODELS)
         assert (await caller.answer()).whole
         router.lifecycle.stop_requested.set()
@@ -358,6 +359,6 @@
         await caller.send(LARGE[:1000])
         for _ in range(4):
             await anyio.sleep(SHORT)
-            await caller.send(b" " * PIECE)
+            await caller.send(b" " * CHUNK_BYTES)
         assert not caller.cut
-        assert (await caller.answer()).told_not_run
+        assert (await caller.answer()).refused_as_not_run
--- a/tests/daemon/test_tasks.py
+++ b/tests/daemon/test_tasks.py
@@ -1,4 +1,4 @@
-"""A part that fails ends the router in order."""
+"""A background task that fails causes an orderly stop of the router."""
 
 from __future__ import annotations
 
@@ -24,33 +24,31 @@
     raise ValueError("another fault")
 
 
-async def test_a_part_that_fails_asks_for_the_stop(
+async def test_failed_task_requests_the_stop(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """One part fails, and every caller's answer is cut in the middle.
+    """Guards against a failed task that cancels the listeners and so cuts answers.
 
-    Its error cancelled the listeners beside it.  Evidence: a stream that was under
-    way ended without its end, and the grants stayed held.  Now the others run on
-    until the stop has come to them, and the first error is the one that is kept.
+    The other tasks run on, the stop is requested, and the first error is kept.
     """
-    parts = BackgroundTasks(anyio.Event())
+    background = BackgroundTasks(anyio.Event())
     with caplog.at_level(logging.ERROR):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(parts.run, fail_later)
-            tasks.start_soon(parts.run, fail)
+            tasks.start_soon(background.run, fail_later)
+            tasks.start_soon(background.run, fail)
             with anyio.fail_after(0.5):
-                await parts.stop.wait()
+                await background.stop.wait()
             await anyio.sleep(2.0)
-    assert isinstance(parts.failure, RuntimeError)
+    assert isinstance(background.failure, RuntimeError)
     assert "a fault" in caplog.text
     assert "another fault" in caplog.text
 
 
-async def test_a_part_that_is_cancelled_has_not_failed() -> None:
-    parts = BackgroundTasks(anyio.Event())
+async def test_cancelled_task_has_not_failed() -> None:
+    background = BackgroundTasks(anyio.Event())
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(parts.run, anyio.sleep_forever)
+        tasks.start_soon(background.run, anyio.sleep_forever)
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
-    assert parts.failure is None
-    assert not parts.stop.is_set()
+    assert background.failure is None
+    assert not background.stop.is_set()
--- a/tests/daemon/test_versions.py
+++ b/tests/daemon/test_versions.py
@@ -1,4 +1,4 @@
-"""Routers tell each other of versions, and give evidence of them."""
+"""Routers notify each other of configuration versions and exchange evidence."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 DOCUMENT = Document("fleet", ("a", "b"), (Workspace("w", (), prepaid=100),))
 PUBLISHER = "r00.1"
-SPREAD_WITHIN: Seconds = 2.0
+SPREAD_TIMEOUT: Seconds = 2.0
 POLL: Seconds = 3600.0
-"""So long that only notices can be the cause of an adoption."""
+"""So long that a version can only be adopted because of a notice."""
 
 
 @define
-class Net:
-    """Routers with a keeper each, on one network, table and object store."""
+class VersionFleet:
+    """Routers with a keeper each, which share network, table and object store."""
 
     network: FakeNetwork
     table: MemoryTable
     objects: MemoryObjects
-    helps: dict[RouterId, VersionExchange]
+    exchanges: dict[RouterId, VersionExchange]
 
     @classmethod
-    def of(cls, network: FakeNetwork, count: int) -> Net:
-        net = cls(network, MemoryTable(), MemoryObjects(), {})
+    def of(cls, network: FakeNetwork, count: int) -> VersionFleet:
+        fleet = cls(network, MemoryTable(), MemoryObjects(), {})
         for number in range(count):
-            net.add(f"r{number:02d}.1", number)
-        return net
+            fleet.add(f"r{number:02d}.1", number)
+        return fleet
 
     def add(self, router: RouterId, seed: int) -> None:
         keeper = ConfigurationKeeper(
@@ -52,91 +52,91 @@
             random=random.Random(seed),
         )
         link = self.network.join(router)
-        self.helps[router] = VersionExchange(keeper, link, random.Random(seed))
-        self.helps[router].register()
+        self.exchanges[router] = VersionExchange(keeper, link, random.Random(seed))
+        self.exchanges[router].register()
 
     def versions(self) -> set[int]:
-        return {one.keeper.version for one in self.helps.values()}
+        return {one.keeper.version for one in self.exchanges.values()}
 
 
 async def test_version_spreads_by_notices() -> None:
-    """A change is in force in one router and for seconds not in the others.
+    """Guards against routers that serve an old version until their next poll.
 
-    The notices bring it to all of them before their next polls.
+    The notices bring a new version to all 40 routers within `SPREAD_TIMEOUT`.
     """
     async with anyio.create_task_group() as tasks:
-        net = Net.of(FakeNetwork(tasks), 40)
-        publisher = net.helps[PUBLISHER].keeper
-        for one in net.helps.values():
+        fleet = VersionFleet.of(FakeNetwork(tasks), 40)
+        publisher = fleet.exchanges[PUBLISHER].keeper
+        for one in fleet.exchanges.values():
             tasks.start_soon(one.run)
             tasks.start_soon(one.keeper.run)
         await anyio.sleep(1.0)
         version = await publisher.publish(DOCUMENT, 0, "ana")
-        await anyio.sleep(SPREAD_WITHIN)
-        assert net.versions() == {version}
+        await anyio.sleep(SPREAD_TIMEOUT)
+        assert fleet.versions() == {version}
         tasks.cancel_scope.cancel()
 
 
-async def test_notices_are_bounded() -> None:
-    """A new version brings a storm of notices in a large fleet."""
-    told: list[RouterId] = []
+async def test_number_of_notices_is_limited() -> None:
+    """Guards against routers that notify all others of a new version."""
+    senders: list[RouterId] = []
 
     def watch(sender: RouterId, to: RouterId, message: PeerMessage) -> bool:
-        told.append(sender)
+        senders.append(sender)
         return False
 
     async with anyio.create_task_group() as tasks:
-        net = Net.of(FakeNetwork(tasks, lose=watch), 40)
-        for one in net.helps.values():
+        fleet = VersionFleet.of(FakeNetwork(tasks, lose=watch), 40)
+        for one in fleet.exchanges.values():
             tasks.start_soon(one.run)
             tasks.start_soon(one.keeper.run)
-        await net.helps[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
+        await fleet.exchanges[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
         await anyio.sleep(60.0)
         tasks.cancel_scope.cancel()
-    assert max(told.count(router) for router in net.helps) <= NOTICE_FANOUT
+    assert max(senders.count(router) for router in fleet.exchanges) <= NOTICE_FANOUT
 
 
-async def test_notice_is_not_believed() -> None:
-    """One router says a version that does not exist, and the others serve it.
+async def test_notice_of_a_version_that_does_not_exist() -> None:
+    """Guards against adopting a version because a notice names it.
 
-    A notice costs a read; what is adopted is what the table has.
+    A notice only causes a read; a version is adopted as the table has it.
     """
     async with anyio.create_task_group() as tasks:
-        net = Net.of(FakeNetwork(tasks), 2)
-        keeper = net.helps["r01.1"].keeper
+        fleet = VersionFleet.of(FakeNetwork(tasks), 2)
+        keeper = fleet.exchanges["r01.1"].keeper
         tasks.start_soon(keeper.run)
-        await net.helps[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
+        await fleet.exchanges[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
         await anyio.sleep(60.0)
-        await net.helps[PUBLISHER].link.send("r01.1", VersionNotice(99, "forged"))
+        await fleet.exchanges[PUBLISHER].link.send("r01.1", VersionNotice(99, "forged"))
         await anyio.sleep(60.0)
         assert (keeper.version, keeper.document) == (1, DOCUMENT)
         tasks.cancel_scope.cancel()
 
 
-async def test_evidence_of_a_few() -> None:
+async def test_evidence_is_requested_from_a_few_routers() -> None:
     async with anyio.create_task_group() as tasks:
-        net = Net.of(FakeNetwork(tasks), 12)
-        for one in net.helps.values():
+        fleet = VersionFleet.of(FakeNetwork(tasks), 12)
+        for one in fleet.exchanges.values():
             await one.keeper.refresh()
-        await net.helps[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
-        for one in net.helps.values():
+        await fleet.exchanges[PUBLISHER].keeper.publish(DOCUMENT, 0, "ana")
+        for one in fleet.exchanges.values():
             await one.keeper.refresh()
-        found = await net.helps["r05.1"].ask()
+        found = await fleet.exchanges["r05.1"].ask()
         assert len(found) == EVIDENCE_PEERS
         assert {one.version for one in found} == {1}
         tasks.cancel_scope.cancel()
 
 
-async def test_silent_routers_give_no_evidence() -> None:
-    """The table is away and a router asks others that are dead: it must not hang."""
+async def test_evidence_without_any_reply() -> None:
+    """Guards against a request for evidence that hangs if no router replies."""
     async with anyio.create_task_group() as tasks:
-        net = Net.of(FakeNetwork(tasks, lose=lambda *_: True), 5)
+        fleet = VersionFleet.of(FakeNetwork(tasks, lose=lambda *_: True), 5)
         with anyio.fail_after(5.0):
-            assert await net.helps[PUBLISHER].ask() == ()
+            assert await fleet.exchanges[PUBLISHER].ask() == ()
         tasks.cancel_scope.cancel()
 
 
-async def test_alone() -> None:
+async def test_evidence_without_other_routers() -> None:
     async with anyio.create_task_group() as tasks:
-        net = Net.of(FakeNetwork(tasks), 1)
-        assert await net.helps[PUBLISHER].ask() == ()
+        fleet = VersionFleet.of(FakeNetwork(tasks), 1)
+        assert await fleet.exchanges[PUBLISHER].ask() == ()
