--- a/ebonyhold/daemon/_recoveries.py
+++ b/ebonyhold/daemon/_recoveries.py
@@ -98,7 +98,7 @@
                 await self.recover_gone()
             except EbonyholdError as error:
                 logger.info(
-                    "check for failed routers failed",
+                    "could not check for failed routers",
                     extra={"cause": str(error)},
                 )
 
