--- a/ebonyhold/daemon/_recoveries.py
+++ b/ebonyhold/daemon/_recoveries.py
@@ -174,8 +174,8 @@
         """Recover one incarnation, and record whether tokens are still stranded.
 
         Raises:
-            EbonyholdError: The table, the object store or a backend server could not
-                be reached; try again later.
+            EbonyholdError: The table or the object store could not be reached; try
+                again later.
         """
         report = await self.make_recovery().recover(router)
         if report.closed:
--- a/ebonyhold/daemon/_servers.py
+++ b/ebonyhold/daemon/_servers.py
@@ -30,7 +30,7 @@
 GRACE: Seconds = 5.0
 """Maximum time for answers in progress after the stop.
 
-The listening sockets stay open until these answers have ended.
+The listening sockets stay open during this time.
 """
 
 
