--- a/ebonyhold/platform/__init__.py
+++ b/ebonyhold/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform: translates its formats to and from our types."""
+"""Adapter to the users' platform: converts its formats to and from our types."""
 
 from ebonyhold.platform._documents import read_backend, read_configuration
 from ebonyhold.platform._headers import PlatformDialect
--- a/ebonyhold/platform/_documents.py
+++ b/ebonyhold/platform/_documents.py
@@ -39,7 +39,9 @@
 """
 
 SERVER_NAME = re.compile(r"[!-~]+")
-"""Form of a server's name: printable ASCII, as it goes into a request header."""
+"""Form of a server's name: printable ASCII without spaces, as the name is sent in a
+request header.
+"""
 
 HOST_AND_PORT = re.compile(
     r"(?P<host>[A-Za-z0-9_-]{1,63}(?:\.[A-Za-z0-9_-]{1,63})*):(?P<port>[0-9]{1,5})"
@@ -47,7 +49,8 @@
 """Form of a server's address: a host, whose labels have at most 63 characters, and a
 port.
 
-Connecting to a longer label would raise an error other than a failed connection.
+Connecting to a host with a longer label would raise an error that callers do not handle
+as a failed connection.
 """
 
 MAX_PORT = 65_535
@@ -55,7 +58,7 @@
 
 
 DEFAULT_PRIORITY = 5
-"""The priority that engines give a request that has none."""
+"""Priority of a route that sets none, as engines assume for such requests."""
 
 
 def seconds(milliseconds: Any) -> float:
@@ -64,7 +67,7 @@
 
 
 def read_shares(raw: Mapping[str, Any]) -> tuple[ServiceShare, ...]:
-    """Decode the services of a route: one service, or several with weights."""
+    """Decode the services of a route: one, or several with their weights."""
     split = raw.get("traffic-split")
     if not split:
         return (ServiceShare(str(raw["service"]), 1.0),)
@@ -74,7 +77,7 @@
 
 
 def read_route(raw: Mapping[str, Any]) -> Route:
-    """Decode one route."""
+    """Decode one route; without a target latency, its timeout serves as the target."""
     return Route(
         name=str(raw["name"]),
         host=str(raw["host"]).lower(),
@@ -91,7 +94,7 @@
 
 
 def read_service(raw: Mapping[str, Any]) -> Service:
-    """Decode one service."""
+    """Decode one service; an absent connection limit is 0."""
     engine = raw.get("engine") or {}
     return Service(
         name=str(raw["name"]),
@@ -102,7 +105,7 @@
 
 
 def read_workspace(raw: Mapping[str, Any]) -> Workspace:
-    """Decode one workspace."""
+    """Decode one workspace; an absent priority or prepaid limit is None."""
     priority = raw.get("priority")
     prepaid = raw.get("prepaid")
     return Workspace(
@@ -114,7 +117,7 @@
 
 
 def read_limits(raw: Mapping[str, Any]) -> CallerLimits:
-    """Decode the limits on callers' requests; absent fields get the defaults."""
+    """Decode the limits on callers' requests; absent fields get their defaults."""
     defaults = CallerLimits()
     return CallerLimits(
         head_bytes=int(raw.get("header-bytes", defaults.head_bytes)),
@@ -127,7 +130,7 @@
 
 
 def index_routes(routes: list[Route]) -> dict[str, dict[str, Route]]:
-    """Return the routes by host and then by prefix."""
+    """Return the routes by host and then by prefix; of duplicates, the last."""
     index: dict[str, dict[str, Route]] = {}
     for route in routes:
         index.setdefault(route.host, {})[route.prefix] = route
@@ -160,6 +163,8 @@
 def typed_field(raw: Mapping[str, Any], name: str, kind: type) -> Any:
     """Return a field of an entry after checking its type.
 
+    A boolean is refused, although Python counts it as an int.
+
     Raises:
         MalformedEntryError: The field is missing or of another type.
     """
@@ -173,7 +178,7 @@
     """Split an address into host and port.
 
     Raises:
-        MalformedEntryError: It is not a host and a port.
+        MalformedEntryError: The text is not a host and a port from 1 to `MAX_PORT`.
     """
     match = HOST_AND_PORT.fullmatch(text)
     if match is None or not 0 < int(match["port"]) <= MAX_PORT:
@@ -184,13 +189,14 @@
 def read_backend(name: str, value: bytes) -> Backend:
     """Decode a server's entry in the list of servers.
 
-    Other programs may write entries, so each field is checked.
+    Other programs may write entries, so each field is checked.  A number of
+    slots below 1 is raised to 1.
 
     Raises:
         MalformedEntryError: The entry is malformed.
     """
     if not SERVER_NAME.fullmatch(name):
-        raise MalformedEntryError(f"name: {name[:80]!r} cannot go into a header")
+        raise MalformedEntryError(f"name: {name[:80]!r} is not allowed in a header")
     try:
         raw = json.loads(value)
         state = BackendState(raw["state"])
@@ -206,7 +212,7 @@
         domain=typed_field(raw, "zone", str),
         slots=max(1, slots),
         state=state,
-        # The start time tells apart two incarnations of a server of the same name.
+        # Distinguishes incarnations of a server with the same name; 0 if absent.
         started_at=typed_field(raw, "born", int) if "born" in raw else 0,
         cold_for=cold_for,
     )
--- a/ebonyhold/platform/_headers.py
+++ b/ebonyhold/platform/_headers.py
@@ -1,4 +1,4 @@
-"""Translate the platform's header fields to and from our types."""
+"""Convert the platform's header fields to and from our types."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 )
 
 REQUEST_ID = b"x-ebonyhold-request-id"
-# How long the caller waits from now on; not a point in time.
+# Milliseconds that the sender waits, counted from when it sends the request; despite
+# the name not a point in time.
 TIME_LIMIT = b"x-ebonyhold-deadline-milliseconds"
 KEY = b"x-ebonyhold-key"
 WORKSPACE = b"x-ebonyhold-tenant"
@@ -29,13 +30,17 @@
 RESUME_AFTER = b"last-event-id"
 
 MISDIRECTED = 421
-"""Status of a server that isn't the one named in `EXPECTED_BACKEND`."""
+"""Status with which a server refuses a request that names another server in
+`EXPECTED_BACKEND`.
+"""
 
 LOWEST_PRIORITY = 9
 """The lowest priority that engines accept; 0 is the highest."""
 
 MAX_DIGITS = 18
-"""Limit of a number's digits: any such number fits into 64 bits and into a float."""
+"""Maximum number of digits: any such number fits into 64 bits and converts to a float
+without overflow, though perhaps rounded.
+"""
 
 NOT_FORWARDED = frozenset(
     {
@@ -52,11 +57,13 @@
         b"kv-fetch",
     }
 )
-"""Fields removed from a caller's request; the gateway sets some of them anew."""
+"""Fields of a caller's request that are not forwarded; the gateway sets some of them to
+values of its own.
+"""
 
 
 def first_value(headers: Headers, name: bytes) -> bytes:
-    """Return the first value of a field, or an empty one if the field is absent."""
+    """Return the first value of a field, or empty bytes if the field is absent."""
     for field, value in headers:
         if field == name:
             return value
@@ -79,6 +86,9 @@
 def read_tokens(value: bytes) -> tuple[int, int]:
     """Decode the prompt's length and the answer's maximum length, in tokens.
 
+    Raises:
+        MalformedRequestError: The value is not two numbers.
+
     >>> read_tokens(b"1460,80")
     (1460, 80)
     """
@@ -89,6 +99,9 @@
 def read_parts(value: bytes) -> tuple[PromptPart, ...]:
     """Decode the parts of a prompt: pairs of a name and a length in tokens.
 
+    Raises:
+        MalformedRequestError: A length is missing or not a number.
+
     >>> read_parts(b"5c1e07a2:800,91bd3f06:410")
     (('5c1e07a2', 800), ('91bd3f06', 410))
     """
@@ -106,6 +119,9 @@
     def read_request(self, headers: Headers) -> CallerRequest:
         """Decode the headers of a caller's request.
 
+        Absent numbers of tokens are 0; an absent time limit or event to resume after
+        is None.
+
         Raises:
             MalformedRequestError: A field is malformed.
         """
@@ -125,7 +141,10 @@
         )
 
     def dispatch_headers(self, headers: Headers, dispatch: Dispatch) -> Headers:
-        """Return a dispatch's headers: the caller's end-to-end fields and our own."""
+        """Return the headers to send to a backend server.
+
+        These are the given ones except `NOT_FORWARDED`, and then the gateway's own.
+        """
         resumes = dispatch.resume_after is not None
         kept = [
             (name, value)
@@ -143,7 +162,10 @@
         return kept
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Decode the headers of a backend server's answer."""
+        """Decode the headers of a backend server's answer.
+
+        The status `MISDIRECTED` also means that the request did not run.
+        """
         return AnswerFacts(
             request_id=first_value(headers, REQUEST_ID).decode("latin-1"),
             proof=first_value(headers, RESPONSE_STAMP),
@@ -152,5 +174,5 @@
         )
 
     def refusal_headers(self, request_id: str) -> Headers:
-        """Return the headers of a refusal: the request's id, if it has one."""
+        """Return the headers of a refusal: the request's id, or none if it is empty."""
         return [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
--- a/ebonyhold/platform/_settings.py
+++ b/ebonyhold/platform/_settings.py
@@ -18,13 +18,17 @@
 
 
 def read_address(text: str) -> tuple[str, int]:
-    """Split an address into host and port."""
+    """Split an address into host and port.
+
+    Raises:
+        ValueError: The port is missing or not a number.
+    """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def decode_settings(raw: Mapping[str, Any]) -> GatewaySettings:
-    """Decode the settings.
+    """Decode the parsed settings file.
 
     Raises:
         SettingsError: A setting is missing or malformed.
@@ -36,11 +40,13 @@
             name=str(raw["node-name"]),
             domain=str(raw["zone"]),
             callers=read_address(listen[CALLERS]),
-            # Answers at this address decide whether callers are sent to this process.
+            # The platform sends callers to this process while its readiness checks at
+            # this address succeed.
             readiness=read_address(listen[READINESS]),
             host=str(raw["ip-address"]),
             store=read_address(raw["platform"]["address"]),
-            # The first and last port of the range for internal use; may be empty.
+            # First and last port of the range for internal use.  Only the first is
+            # used; an absent or empty range gives `NO_PORT`.
             peers_port=int((raw.get("internal-ports") or [NO_PORT])[0]),
             # Seconds from SIGTERM until the platform kills the process.
             grace=float(bounds["grace-s"]),
@@ -49,14 +55,14 @@
             retry_window=float(bounds["budget-window-s"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise SettingsError(f"settings: {error!r}") from error
+        raise SettingsError(f"missing or malformed setting: {error!r}") from error
 
 
 def load_platform_settings() -> GatewaySettings:
     """Read the settings file named by the environment variable.
 
     Raises:
-        SettingsError: The file is missing or malformed.
+        SettingsError: The variable is not set, or the file is missing or malformed.
     """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
@@ -64,5 +70,5 @@
     try:
         raw = tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
-        raise SettingsError(f"{path}: {error}") from error
+        raise SettingsError(f"cannot read settings file {path}: {error}") from error
     return decode_settings(raw)
--- a/ebonyhold/platform/_store.py
+++ b/ebonyhold/platform/_store.py
@@ -46,13 +46,15 @@
 NOW_FIELD = "now-ms"
 
 CALL_TIMEOUT: Seconds = 0.6
-"""Timeout of one call; an answer usually takes some 12 ms."""
+"""Timeout of one call that does not wait for changes; an answer usually takes some
+12 ms.
+"""
 
 FEED_MARGIN: Seconds = 0.5
-"""Added to the requested wait to give the timeout of a call for changes."""
+"""Added to the requested wait for changes to get the timeout of the call."""
 
 NO_EFFECT_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-"""Statuses of a transaction that the store refused without any effect."""
+"""Statuses of refused transactions, which had no effect."""
 
 DECODE_ERRORS = (
     ValueError,
@@ -65,7 +67,7 @@
 """Errors raised by decoding a malformed answer."""
 
 MAX_ROWS = 500
-"""Maximum number of rows in one answer; a snapshot reads page after page."""
+"""Maximum number of rows per call; `snapshot` reads all pages, `scan` only one."""
 
 JSON_HEADERS = [(b"content-type", b"application/json")]
 
@@ -107,14 +109,18 @@
 
 
 def decode_raw_row(raw: dict[str, Any]) -> RawRow:
-    """Decode one row, whoever wrote it; its value stays bytes."""
+    """Decode one row of the feed or a snapshot.
+
+    Its value stays bytes, as other programs may write the row; that of a deleted row is
+    empty.
+    """
     deleted = bool(raw.get("deleted"))
     value = b"" if deleted else base64.b64decode(raw["value"])
     return RawRow(str(raw["key"]), int(raw[VERSION_FIELD]), value, deleted)
 
 
 def decode_row(raw: dict[str, Any]) -> Row:
-    """Decode one row written by this software, with its JSON value."""
+    """Decode one row whose value is JSON, as this software writes it."""
     value = json.loads(base64.b64decode(raw["value"]))
     return Row(join_key(raw), int(raw[VERSION_FIELD]), value)
 
@@ -130,7 +136,10 @@
         self.calls = HttpCalls(self.address)
 
     def start(self, tasks: TaskStarter) -> None:
-        """Set the starter of the tasks that read from the connections."""
+        """Create the connection pool, whose reading tasks run in `tasks`.
+
+        Before this, each call fails with `UnavailableError`.
+        """
         self.calls.start(tasks)
 
     async def fetch(self, path: str, query: dict[str, str], wait: Seconds = 0) -> Any:
@@ -139,10 +148,12 @@
         Args:
             path: The path of the call.
             query: The parameters of the call.
-            wait: How long the store may wait for changes before it answers, in seconds.
+            wait: How long the store may wait for changes before it answers, in seconds;
+                0 for a call that is answered at once.
 
         Raises:
             HistoryLostError: The store no longer keeps the requested changes.
+            ThrottledError: The store refused the call because of its rate limit.
             UnavailableError: The call failed, or its answer is malformed.
         """
         limit = wait + FEED_MARGIN if wait else CALL_TIMEOUT
@@ -154,13 +165,15 @@
         except BackendLostError as error:
             raise UnavailableError(f"{path}: {error}") from error
         if answer.head.status == HTTPStatus.GONE:
-            raise HistoryLostError(path)
+            raise HistoryLostError(f"{path}: the store no longer keeps these changes")
         check_status(path, answer)
         return decode_body(path, answer)
 
     async def snapshot(self, table: str, part: str = "") -> Snapshot:
         """Read all rows of one part of a table, page by page.
 
+        Its version is that of the table when the first page was read.
+
         Raises:
             UnavailableError: A call failed, or its answer is malformed.
         """
@@ -173,8 +186,8 @@
                 page = [decode_raw_row(raw) for raw in body["rows"]]
                 rows += page
                 # A row of an earlier page may change while a later page is read.  So
-                # the feed is followed from the first page's version; it then repeats
-                # some changes of later pages, which is harmless.
+                # the feed is followed from the first page's version; it may repeat
+                # changes that later pages already contain, which is harmless.
                 if version is None:
                     version = int(body[VERSION_FIELD])
                 if not body.get("truncated"):
@@ -185,8 +198,11 @@
     async def changes(self, table: str, after: int, wait: Seconds) -> Changes:
         """Wait for changes of a table after a version.
 
+        The result has no rows if none come within `wait` seconds.
+
         Raises:
-            HistoryLostError: The store no longer keeps them; read a new snapshot.
+            HistoryLostError: The store no longer keeps all of these changes; the caller
+                must read a new snapshot.
             UnavailableError: The call failed, or its answer is malformed.
         """
         milliseconds = str(int(wait * 1000))
@@ -197,7 +213,10 @@
             return Changes(rows, int(body[VERSION_FIELD]))
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
-        """Read the rows whose key starts with a prefix, in the order of their keys.
+        """Read the first rows whose key starts with a prefix, in the order of the keys.
+
+        At most `limit` rows are returned, and never more than `MAX_ROWS`; for the next
+        ones, pass the last key as `after`.
 
         Raises:
             UnavailableError: The call failed, or its answer is malformed.
@@ -214,12 +233,14 @@
             return [decode_row(raw) for raw in body["rows"][:limit]]
 
     async def commit(self, transaction: Transaction) -> Committed:
-        """Commit a transaction.
+        """Commit a transaction and return its version and the store's time.
 
         Raises:
             ConflictError: A check failed; nothing was written.
-            UnavailableError: The transaction had no effect.
-            UnknownOutcomeError: It may have taken effect, or may still do so.
+            ThrottledError: Refused because of the store's rate limit; no effect.
+            UnavailableError: Not sent, or refused by the store; no effect.
+            UnknownOutcomeError: The transaction may have taken effect, or may still do
+                so.
         """
         body = encode_transaction(transaction)
         content = json.dumps(body, separators=(",", ":")).encode()
@@ -242,27 +263,34 @@
             raw = json.loads(answer.body)
             return Committed(int(raw[VERSION_FIELD]), raw[NOW_FIELD] / 1000)
         except DECODE_ERRORS as error:
-            raise UnknownOutcomeError(f"{TRANSACT_PATH}: {error!r}") from error
+            raise UnknownOutcomeError(
+                f"{TRANSACT_PATH}: malformed answer: {error!r}"
+            ) from error
 
 
 def conflicting_rows(answer: WholeAnswer) -> tuple[Row, ...]:
     """Return the current rows that a failed transaction checked.
 
-    They are empty if the body is malformed; the status alone proves the conflict.
+    There are none if the body is malformed, which is logged; the status alone proves
+    the conflict.
     """
     try:
         return tuple(decode_row(raw) for raw in json.loads(answer.body).get("rows", ()))
     except DECODE_ERRORS as error:
-        log.warning("rows of a conflict not readable", extra={"detail": repr(error)})
+        log.warning(
+            "cannot decode the rows of a conflict", extra={"detail": repr(error)}
+        )
         return ()
 
 
 def check_status(path: str, answer: WholeAnswer) -> None:
-    """Raise an error unless the call succeeded.
+    """Raise an error unless the status is 200.
+
+    For a transaction, `commit` calls this only with 200 or one of `NO_EFFECT_STATUSES`.
 
     Raises:
-        ThrottledError: Refused for the store's rate limit; the call had no effect.
-        UnavailableError: The call had no effect.
+        ThrottledError: The store refused the call because of its rate limit.
+        UnavailableError: The answer has another status.
     """
     status = answer.head.status
     if status == HTTPStatus.TOO_MANY_REQUESTS:
--- a/ebonyhold/platform/_wiring.py
+++ b/ebonyhold/platform/_wiring.py
@@ -8,7 +8,7 @@
 from ebonyhold.platform._settings import load_platform_settings
 from ebonyhold.platform._store import StoreClient
 
-# Names of rows and tables in the platform's store.
+# Tables of the platform's store, and the key of the configuration's row.
 RULES_TABLE = "op"
 RULES_KEY = "config"
 SERVERS_TABLE = "servers"
--- a/tests/platform/kit/__init__.py
+++ b/tests/platform/kit/__init__.py
@@ -1,4 +1,4 @@
-"""Test kit: real gateway processes, their proxies, and callers that record answers."""
+"""Test kit: gateway processes, proxies to the store, callers that record answers."""
 
 from tests.platform.kit._callers import (
     Fault,
--- a/tests/platform/kit/_callers.py
+++ b/tests/platform/kit/_callers.py
@@ -15,32 +15,35 @@
 from tests.platform.kit._world import EVENT_TOKENS, Gateway
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds that callers wait for a connection, as those of the platform do."""
+"""Seconds that callers wait for a connection; the platform's wait as long."""
 
 ANSWER_TIMEOUT = 15.0
-"""Seconds after which a request counts as hung: longer than any answer or grace."""
+"""Seconds after which a request counts as hung: longer than any answer or the grace."""
 
 PIECE_PAUSE = (0.05, 1.1)
-"""Range of seconds between the pieces of a slow request; a head may take 3 s."""
+"""Range of seconds between two of the three pieces of a slow request.
+
+A head then takes at most 2.2 s; the gateway allows 3 s.
+"""
 
 KEPT_PAUSE = (0.02, 0.25)
-"""Range of seconds between requests on a kept connection."""
+"""Range of seconds from an answer to the next request on a kept connection."""
 
 CROSSING_TOLERANCE = 0.01
-"""Tolerance in seconds when the times of a request and an answer are compared, as both
-may be under way at once.
+"""Tolerance in seconds when the time of a request is compared with that of an answer,
+as both may be in transit at the same time.
 """
 
 CROSSING_DELAY = 0.05
-"""Maximum seconds between two requests of which the second is to cross the first one's
-answer, which takes some 30 ms.
+"""Maximum seconds from one request to the next, which is to cross the first's answer;
+that answer takes some 30 ms.
 """
 
 PIPELINE_LENGTH = 3
 """Number of requests that are sent at once on a pipelined connection."""
 
 SLOW_BODY_BYTES = 3000
-"""Size of the body of a request that is sent slowly."""
+"""Bytes in the body of a slow request: long enough to be cut at two random places."""
 
 
 class Style(Enum):
@@ -56,9 +59,9 @@
 
 @frozen
 class Length:
-    """Duration of an answer: the number of events and the seconds before each.
+    """Size of an answer: the number of events and the pause in seconds before each.
 
-    Without events the answer is one body, sent after one pause.
+    With 0 events the answer is one body, sent after one pause.
     """
 
     events: int
@@ -66,7 +69,16 @@
 
 
 class Fault:
-    """How a connection failed before the answer was complete."""
+    """How a connection failed before the answer was complete.
+
+    Attributes:
+        NONE: It did not fail.
+        REFUSED: It could not be established.
+        SILENT: It was not established within `CONNECT_TIMEOUT`.
+        RESET: The gateway reset it.
+        ENDED: The gateway closed it, or sent a malformed answer.
+        HUNG: The answer was not complete after `ANSWER_TIMEOUT`.
+    """
 
     NONE = ""
     REFUSED = "refused"
@@ -86,19 +98,21 @@
         request_id: The request's id, sent in its head.
         vm: The VM that the request is sent to.
         style: How the caller uses its connections.
-        length: The duration of the answer that the engine is to give.
+        length: The size of the answer that the engine is to give.
         workspace: The workspace whose key the request has.
-        prompt: The length of the prompt in tokens; 0 if the request names none.
-        started_at: When the caller began to connect, or made the request.
+        prompt: The length of the prompt in tokens; with 0 none is sent.
+        started_at: When the caller began to connect; on an open connection, when the
+            record was created.
         connected_at: When the connection was established; 0 if it was not.
         sent_at: When the last byte was sent; 0 if it never was.
         head_sent: Whether the whole head, with the request's id, was sent.
-        closing_at: When an earlier answer on the connection came with `close`.
+        closing_at: When an earlier answer on the connection came with `close`; 0 if
+            none did.
         followed: Whether the next request was sent before this one's answer began, and
             was answered too.
         behind_cut: Whether an earlier answer on the connection was cut, so that no
             further one could follow.
-        head_at: When the head of the answer came.
+        head_at: When the head of the answer came; 0 if it did not.
         status: The status of the answer; 0 if there was none.
         close: Whether the answer has `Connection: close`.
         retry_after: The answer's Retry-After field; empty if there is none.
@@ -108,7 +122,8 @@
         fault: How the connection failed.
         ended_at: When the answer ended or the connection failed.
         fault_free: Whether the engine must keep to `length` and inject no fault.
-        time_limit: Seconds that the gateway has; 0 for the route's timeout.
+        time_limit: Time limit to send, in seconds; with 0 none is sent, and the route's
+            timeout applies.
     """
 
     request_id: str
@@ -138,7 +153,7 @@
 
     @property
     def target(self) -> str:
-        """The target, with a query that sets the engine's answer."""
+        """The target, with a query that prescribes the answer if it is fault-free."""
         path = "/chat/a" if self.length.events else "/book/a"
         script = f"?events={self.length.events}&pause={self.length.pause}&sound=1"
         return path + script if self.fault_free else path
@@ -171,11 +186,11 @@
     """A connection to a VM.
 
     Attributes:
-        connected_at: When it was established.
+        connected_at: When it was established, by the monotonic clock.
         unread: Received bytes that belong to the next answer.
         closing_at: When an answer came with `Connection: close`; 0 before.
-        previous: The request that was answered last.
-        was_cut: Whether an answer was cut.
+        previous: The request whose answer was read last; None before the first.
+        was_cut: Whether an answer began and was not completed.
         closed: Whether no further request can be sent.
     """
 
@@ -188,7 +203,7 @@
     closed: bool = False
 
     async def send(self, data: bytes) -> None:
-        """Send bytes; a failed connection is noticed when the answer is read."""
+        """Send bytes; on failure mark the connection closed instead of raising."""
         try:
             await self.stream.send(data)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -200,14 +215,14 @@
         self.record_sent(request)
 
     def record_sent(self, request: RequestRecord) -> None:
-        """Record that the last byte of a request was sent."""
+        """Record that a request was sent; without the time if the connection failed."""
         request.connected_at = self.connected_at
         request.head_sent = True
         if not self.closed:
             request.sent_at = time.monotonic()
 
     async def send_slowly(self, request: RequestRecord, rng: Random) -> None:
-        """Send a request in pieces; stop if an answer or a close comes meanwhile."""
+        """Send a request in three pieces; stop early if an answer or a close comes."""
         request.connected_at = self.connected_at
         body = b"a" * SLOW_BODY_BYTES
         head = request.head(body)
@@ -226,7 +241,10 @@
         self.record_sent(request)
 
     async def received_within(self, seconds: float) -> bool:
-        """Return whether bytes or a close come within some seconds."""
+        """Wait some seconds for bytes or a close; return whether one came.
+
+        The bytes are kept for the next answer.
+        """
         with anyio.move_on_after(seconds):
             try:
                 self.unread += await self.stream.receive()
@@ -236,7 +254,7 @@
         return False
 
     async def read(self, request: RequestRecord) -> None:
-        """Read the answer to a request and record the result."""
+        """Read the answer to a request; record it, or how the connection failed."""
         request.closing_at = self.closing_at
         request.behind_cut = self.was_cut
         request.fault = Fault.HUNG
@@ -259,7 +277,7 @@
             self.closing_at = request.head_at
 
     async def read_answer(self, request: RequestRecord) -> str:
-        """Read an answer to its end; return how the connection failed, if it did."""
+        """Read an answer to its end; return a member of `Fault`."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
         parser.send(h11.EndOfMessage())
@@ -288,7 +306,7 @@
 
 
 def record_head(request: RequestRecord, head: h11.Response) -> None:
-    """Record the head of an answer."""
+    """Record the time and the checked fields of an answer's head."""
     fields: Mapping[bytes, bytes] = dict(head.headers)
     request.head_at = time.monotonic()
     request.status = head.status_code
@@ -316,10 +334,10 @@
 
 
 NextRequest = Callable[[], RequestRecord]
-"""Returns the caller's next request to the same VM."""
+"""Returns the caller's next request, for the VM of the open connection."""
 
 IsOver = Callable[[], bool]
-"""Returns whether the run is over, so that no further request is sent."""
+"""Returns whether the test is over, so that no further request is sent."""
 
 
 async def send_once(
@@ -340,7 +358,7 @@
     next_request: NextRequest,
     rng: Random,
 ) -> None:
-    """Send several requests at once and read all their answers."""
+    """Send `PIPELINE_LENGTH` requests at once, then read their answers in order."""
     del rng
     requests = [request, *(next_request() for _ in range(PIPELINE_LENGTH - 1))]
     for item in requests:
@@ -355,7 +373,10 @@
     next_request: NextRequest,
     rng: Random,
 ) -> None:
-    """Send a second request while the answer to the first is on its way."""
+    """Send a second request within `CROSSING_DELAY` of the first.
+
+    It is not sent if the first answer has already ended the connection.
+    """
     await connection.send_request(request)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(connection.read, request)
@@ -373,7 +394,10 @@
     next_request: NextRequest,
     rng: Random,
 ) -> None:
-    """Send a request in pieces, half of the time after a normal one."""
+    """Send a request in pieces, in half of the cases after a whole one.
+
+    It is not sent if the connection closes after the whole one.
+    """
     if rng.random() < 0.5:
         earlier = next_request()
         await send_once(connection, earlier, next_request, rng)
@@ -405,7 +429,10 @@
     rng: Random,
     is_over: IsOver,
 ) -> None:
-    """Open a connection and send requests until it closes or the run is over."""
+    """Open a connection and send requests until it closes or the test is over.
+
+    With `Style.NEW` only one request is sent.
+    """
     connection = await connect(gateway, request)
     if connection is None:
         return
@@ -414,7 +441,7 @@
         while (
             request.style is not Style.NEW and not connection.closed and not is_over()
         ):
-            # An idle connection may be closed at any time; no request is lost.
+            # The gateway may close an idle connection at any time: no request is lost.
             if not await connection.received_within(rng.uniform(*KEPT_PAUSE)):
                 await SENDERS[request.style](
                     connection, next_request(), next_request, rng
--- a/tests/platform/kit/_logs.py
+++ b/tests/platform/kit/_logs.py
@@ -10,7 +10,7 @@
 
 
 def log_errors(path: Path) -> list[str]:
-    """Return the lines of a log that report an error or begin a traceback."""
+    """Return a text for each line of a log that has an error or begins a traceback."""
     lines = path.read_text(errors="replace").splitlines() if path.exists() else []
     return [f"{path.name} logged: {line[:400]}" for line in lines if is_error(line)]
 
@@ -22,6 +22,6 @@
     try:
         level = json.loads(line)["level"]
     except (ValueError, KeyError, TypeError):
-        # Not a line of the program's JSON log, for example one of the interpreter.
+        # Not a line of the gateway's JSON log: for example, the interpreter wrote it.
         return any(name in line for name in LEVELS)
     return level in LEVELS
--- a/tests/platform/kit/_processes.py
+++ b/tests/platform/kit/_processes.py
@@ -13,6 +13,7 @@
 from tests.platform.kit._world import Gateway
 
 POLL_INTERVAL = 0.02
+"""Seconds between two attempts to connect to a starting process."""
 
 
 @define(eq=False)
@@ -27,11 +28,11 @@
         listening_at: When it first accepted a connection; 0 before.
         sigterm_at: When it got its first SIGTERM; 0 before.
         exited_at: When its exit was noticed; 0 before.
-        code: The exit code, negative for a signal.
+        code: The exit code, negative for a signal; None before the exit.
         idle: Whether no request or connection was open when it got SIGTERM.
         logged: Whether it had written to its log before SIGTERM.
         killed: Whether the test killed it.
-        log_size: Size of the VM's log when the process was started.
+        log_size: Size in bytes of the VM's log when the process was started.
         ended: Set when the process has exited.
     """
 
@@ -52,7 +53,7 @@
         return self.started_at <= moment and not 0 < self.exited_at < moment
 
     def record_sigterm(self, gateway: Gateway) -> None:
-        """Record that the process is about to get SIGTERM; only the first counts."""
+        """Record the time of the first SIGTERM, just before it is sent."""
         if not self.sigterm_at and not self.exited_at:
             self.logged = gateway.log_size() > self.log_size
             self.sigterm_at = time.monotonic()
@@ -64,7 +65,7 @@
         self.ended.set()
 
     async def watch_start(self, gateway: Gateway) -> None:
-        """Record when the process first accepts a connection."""
+        """Record when the process first accepts a connection; return if it exits."""
         while not self.exited_at:
             try:
                 async with await anyio.connect_tcp(gateway.address, gateway.port):
@@ -75,7 +76,7 @@
 
 
 def start_process(gateway: Gateway, tasks: TaskGroup) -> ProcessRecord:
-    """Start a VM's process and watch it."""
+    """Start a VM's process, and record in the background when it listens and exits."""
     process = ProcessRecord(gateway.number, log_size=gateway.log_size())
     tasks.start_soon(process.watch_exit, gateway.start())
     tasks.start_soon(process.watch_start, gateway)
@@ -85,7 +86,7 @@
 def find_process(
     processes: Sequence[ProcessRecord], vm: int, moment: float
 ) -> ProcessRecord | None:
-    """Return the process of a VM that was running at a time."""
+    """Return the process of a VM that was running at a time, or None."""
     return next(
         (
             process
--- a/tests/platform/kit/_rules.py
+++ b/tests/platform/kit/_rules.py
@@ -1,4 +1,4 @@
-"""Rules on what a planned stop may do to requests, as the platform sets them."""
+"""The platform's rules on which requests a planned stop may leave unanswered."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 """Seconds before a process's exit in which its listener may already be closed."""
 
 CROSSING_WINDOW = 0.2
-"""Seconds in which a request and the close of its connection may cross."""
+"""Seconds after a request in which the close of its connection may cross it."""
 
 LATE_AFTER = 3.0
-"""Seconds after SIGTERM.  A request sent later must not be cut; a short one sent sooner
-must be served.
+"""Seconds after SIGTERM: a request sent later must not be cut, and a short one that was
+sent earlier must be served.
 """
 
 LAST_FRACTION = 1 / 6
-"""Last fraction of the grace, in which requests that still run may be cut."""
+"""Fraction of the grace, at its end, in which requests that still run may be cut."""
 
 
 @frozen
 class EngineRun:
-    """A run of a request at an engine, with times of the monotonic clock.
+    """A run of a request at an engine, with times of the monotonic clock in seconds.
 
     Attributes:
         started_at: When the run started.
-        ended_at: When it ended; 0 if it had not.
-        sent: Events that the engine sent.
+        ended_at: When the run ended; 0 if it had not.
+        sent: Number of events that the engine sent.
     """
 
     started_at: float
@@ -52,9 +52,9 @@
 def outlasts_grace(
     request: RequestRecord, process: ProcessRecord, runs: Sequence[EngineRun]
 ) -> bool:
-    """Return whether a request may be cut as it runs into the last part of the grace.
+    """Return whether a request may be cut because it ran into the end of the grace.
 
-    A request sent later than `LATE_AFTER` may not be cut.
+    A request sent more than `LATE_AFTER` seconds after SIGTERM may not be cut.
     """
     if not process.sigterm_at or not request.sent_at:
         return False
@@ -65,11 +65,13 @@
 
 
 def crossed_last_answer(request: RequestRecord) -> bool:
-    """Return whether a request crossed an answer that no other could follow.
+    """Return whether a request crossed the last answer on its connection.
 
-    Such an answer was cut, which is checked apart, or has `Connection: close`.  A
-    pipelined request does not count as crossing the latter: it was sent together with
-    the earlier request, so the gateway had it before that answer began.
+    The last answer was cut, which another check reports, or had `Connection: close`.
+    In the second case the request crossed it if the connection closed within
+    `CROSSING_WINDOW` after the request, or if the request was not sent before that
+    answer.  The latter does not apply to pipelined requests: the gateway has them
+    before that answer begins.
     """
     if request.behind_cut:
         return True
@@ -82,10 +84,10 @@
 
 
 def listener_may_be_closed(request: RequestRecord, process: ProcessRecord) -> bool:
-    """Return whether a connection failed when the listener was allowed to be closed.
+    """Return whether a connection failed while the listener was allowed to be closed.
 
-    That is before the process first listened, and in the last `LISTENER_MARGIN` seconds
-    before its exit.
+    This is allowed before the process first listens, and in the last `LISTENER_MARGIN`
+    seconds before it exits.
     """
     if not process.listening_at or request.ended_at < process.listening_at:
         return True
--- a/tests/platform/kit/_world.py
+++ b/tests/platform/kit/_world.py
@@ -17,10 +17,14 @@
 
 HOST = "127.0.0.1"
 WORKSPACES = {"acme": 30_000, "blue": 6_000, "vast": 10_000_000}
-"""Prepaid tokens by workspace; callers ask for more than the first two have."""
+"""Prepaid tokens by workspace; callers request more than the first two have."""
 
 EVENT_TOKENS = 5
+"""Number of tokens in one event."""
+
 GRACE = 8.0
+"""Seconds from SIGTERM until the platform kills a process."""
+
 ROOT = Path(__file__).resolve().parents[3]
 
 
@@ -53,8 +57,9 @@
     Attributes:
         port: The port that the gateway connects to.
         target: The port of the store.
-        mode: ``open``, ``slow`` (delays all bytes), ``silent`` (holds back all bytes),
-            ``deaf`` (holds back answers) or ``reset`` (closes connections).
+        mode: ``open``, ``slow`` (delays each piece by 0.15 s), ``silent`` (holds back
+            all bytes), ``deaf`` (holds back answers) or ``reset`` (closes connections).
+            Held bytes are forwarded as soon as a later mode allows it.
     """
 
     port: int
@@ -69,7 +74,7 @@
         await listener.serve(self.forward_connection)
 
     async def forward_connection(self, stream: ByteStream) -> None:
-        """Forward one connection until a side closes it."""
+        """Forward one connection until a side closes it or the mode is ``reset``."""
         if self.mode == "reset":
             return
         try:
@@ -103,7 +108,8 @@
 def address_of(number: int, first_port: int) -> str:
     """Return a gateway's loopback address.
 
-    The port of its metrics is fixed, so runs at the same time need distinct addresses.
+    The port of its metrics is fixed, so gateways that run at the same time need
+    different addresses.
     """
     return f"127.{1 + first_port % 250}.{1 + first_port // 250}.{number + 2}"
 
@@ -129,7 +135,7 @@
 
 
 def configuration() -> dict[str, Any]:
-    """Return the operator's configuration."""
+    """Return the operator's configuration: a streaming and a booking route."""
     stream = {"host": "chat.example", "service": "models", "timeout-ms": 5000}
     book = {"host": "book.example", "service": "models", "timeout-ms": 3000}
     return {
@@ -155,7 +161,7 @@
 
 @define(eq=False)
 class Gateway:
-    """One VM: its current process and what is needed to start another.
+    """One VM: its current process, and the settings to start its next one.
 
     Attributes:
         number: The VM's number.
@@ -164,7 +170,7 @@
         folder: Holds the settings file and the log.
         program: The module to run, with its arguments.
         process: The current process; None before the first start.
-        exit_codes: Exit codes of the earlier processes.
+        exit_codes: Exit codes of the earlier processes, in order.
     """
 
     number: int
@@ -190,7 +196,7 @@
         return self.log.stat().st_size if self.log.exists() else 0
 
     def start(self) -> subprocess.Popen[bytes]:
-        """Start the program with its output appended to the log."""
+        """Start the program as the new process, with its output appended to the log."""
         self.record_exit()
         path = self.folder / f"vm-{self.number}.toml"
         with self.log.open("ab") as output:
--- a/tests/platform/soak/__main__.py
+++ b/tests/platform/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak for several seeds and keep the logs of seeds with violations."""
+"""Run the soak for several seeds; files of seeds with violations go to ``out``."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.platform.soak import run_seed
 
 DEFAULT_SECONDS = 15.0
-"""How long faults are injected for each seed."""
+"""Seconds for which faults are injected with each seed."""
 
 
 def main() -> int:
--- a/tests/platform/soak/_checks.py
+++ b/tests/platform/soak/_checks.py
@@ -22,17 +22,20 @@
 from tests.platform.standin import has_fault
 
 RECOVERY_TIME = 4.0
-"""Seconds after the last fault from which requests must be served again."""
+"""Seconds after the end of all faults; of the requests that end later, at least one
+must be served.
+"""
 
 FAULT_FREE_TIME = 3.0
-"""A lost request counts as a violation of a stop only if no fault was injected in this
-many seconds before it.
+"""A request lost in a stop is a violation only if its VM had no fault in this many
+seconds before the request or the SIGTERM, whichever came first, nor until the loss.
 """
 
 TIME_LIMIT = 5.0
-"""Seconds that a gateway has for a request."""
+"""Time limit in seconds that callers send with each request."""
 
 SIGTERM_CODE = -15
+"""Exit code of a process that SIGTERM killed."""
 
 
 @frozen
@@ -41,9 +44,9 @@
 
     Attributes:
         vm: The VM's number.
-        started_at: When the fault began, by the monotonic clock.
-        ended_at: When it ended.
-        paused: Whether the process was paused.
+        started_at: When the fault began, by the monotonic clock in seconds.
+        ended_at: When the fault ended.
+        paused: Whether the fault paused the process.
     """
 
     vm: int
@@ -52,7 +55,7 @@
     paused: bool = False
 
     def overlaps(self, vm: int, began: float, ended: float) -> bool:
-        """Return whether the fault hit a VM between two times."""
+        """Return whether the fault affected a VM at any time between two given ones."""
         return self.vm == vm and self.started_at <= ended and self.ended_at >= began
 
 
@@ -65,7 +68,7 @@
         runs: The engines' runs of each request, by its id.
         processes: All processes of all VMs.
         faults: The injected faults.
-        faults_ended_at: When the last fault ended.
+        faults_ended_at: When the injection of faults ended.
     """
 
     requests: Sequence[RequestRecord]
@@ -100,7 +103,7 @@
 def check_spending(
     requests: Sequence[RequestRecord], runs: Mapping[str, Sequence[EngineRun]]
 ) -> list[str]:
-    """Return the workspaces that used more tokens than they had prepaid."""
+    """Return a violation for each workspace that used more than its prepaid tokens."""
     spent = dict.fromkeys(WORKSPACES, 0)
     for request in requests:
         if runs.get(request.request_id) and request.length.events:
@@ -114,7 +117,7 @@
 
 
 def check_answer(request: RequestRecord, runs: int) -> list[str]:
-    """Return the violations in the answer to one request."""
+    """Return the violations in one answer, given how often its request ran."""
     name, expected = request.request_id, request.length.events
     violations = []
     if request.status in (429, 503) and runs:
@@ -133,7 +136,7 @@
 
 
 def check_exit(process: ProcessRecord, faults: Sequence[InjectedFault]) -> list[str]:
-    """Return the violations in a process's exit."""
+    """Return the violations in a process's exit; none if it still runs."""
     name = f"vm-{process.vm}"
     if not process.exited_at:
         return []
@@ -147,7 +150,7 @@
         span = (process.vm, process.sigterm_at, process.exited_at)
         late = duration >= GRACE and not any(pause.overlaps(*span) for pause in pauses)
         return [f"{name} lived {duration:.2f} s after SIGTERM"] if late else []
-    # Before the program logs its first line, no signal handler is installed.
+    # Before its first log line, the program has no signal handler installed.
     before_first_line = process.code == SIGTERM_CODE and not process.logged
     if process.code == 0 or before_first_line:
         return []
@@ -189,8 +192,8 @@
         return (
             [f"{request.request_id} ran and was cut by a stop: {times}"] if cut else []
         )
-    # Closing a connection with unread bytes resets it, so after an orderly close the
-    # whole request had been read.
+    # Closing a connection resets it if received bytes are unread.  So before an orderly
+    # close, the gateway had read the whole request.
     read = (
         request.fault == Fault.ENDED
         and request.ended_at - request.sent_at > CROSSING_WINDOW
--- a/tests/platform/soak/_run.py
+++ b/tests/platform/soak/_run.py
@@ -48,13 +48,13 @@
 """Number of gateways, each on a VM of its own."""
 
 CALLERS = 8
-"""Callers that use a new connection for each request."""
+"""Number of callers that use a new connection for each request."""
 
 KEPT_CALLERS = 4
-"""Callers that keep a connection and use it until it is closed."""
+"""Number of callers that use each connection until it is closed."""
 
 CALLER_TIMEOUT = 6.0
-"""Seconds after which a caller gives up."""
+"""Seconds after which a caller with a new connection gives up its request."""
 
 SIGNALS_WITHIN = 3.0
 """Maximum seconds from a SIGTERM to a further signal."""
@@ -63,7 +63,7 @@
 
 
 BOOKING = Length(0, 0.0)
-"""Length of the answer to a booking: one body, for which no tokens are charged."""
+"""Size of the answer to a booking: one body, for which no tokens are charged."""
 
 
 @define(eq=False)
@@ -72,7 +72,7 @@
 
     Attributes:
         seed: Determines the random choices.
-        seconds: How long faults are injected.
+        seconds: For how many seconds faults are injected.
         folder: Holds the settings files and logs.
         program: The gateway's module, with its arguments.
         base: The first of the ports that the run uses.
@@ -81,8 +81,8 @@
         requests: The records of all requests.
         processes: The records of all processes.
         faults: The injected faults so far.
-        counts: Requests made so far, by the caller's number.
-        tasks: Runs the background tasks.
+        counts: Number of requests created so far, by the caller's number.
+        tasks: Task group of the proxies, processes and callers.
     """
 
     seed: int
@@ -99,11 +99,11 @@
     tasks: TaskGroup = field(init=False)
 
     def rng(self, name: str) -> random.Random:
-        """Return the random number generator of one task."""
+        """Return a random number generator whose seed contains the name of a task."""
         return random.Random(f"{self.seed} {name}")
 
     async def run(self) -> list[str]:
-        """Start the platform, run the soak and return the violations."""
+        """Run the soak with a stand-in of the platform; return the violations."""
         platform = subprocess.Popen(
             [sys.executable, "-m", "tests.platform.standin", str(self.base)], cwd=ROOT
         )
@@ -148,7 +148,7 @@
         return violations
 
     async def engine_records(self) -> dict[str, Any]:
-        """Fetch the stand-in's records of engine runs."""
+        """Fetch the stand-in's records: the engines' runs and the store's rows."""
         async with httpx.AsyncClient() as client:
             answer = await client.get(f"http://{HOST}:{self.base + 1}/")
         records: dict[str, Any] = answer.json()
@@ -168,7 +168,7 @@
         self.start(gateway)
 
     def start(self, gateway: Gateway) -> None:
-        """Start a VM's process."""
+        """Start a VM's process and record it."""
         self.processes.append(start_process(gateway, self.tasks))
 
     def current_process(self, gateway: Gateway) -> ProcessRecord:
@@ -180,7 +180,11 @@
         )
 
     async def write(self, key: str, value: Any) -> None:
-        """Write a row as the operator does, as soon as the store is up."""
+        """Write a row as the operator does, as soon as the store is up.
+
+        Raises:
+            RuntimeError: The store did not start within 100 attempts.
+        """
         async with httpx.AsyncClient() as client:
             for _ in range(100):
                 try:
@@ -195,7 +199,10 @@
         raise RuntimeError("the platform did not start")
 
     async def inject_faults(self, number: int) -> None:
-        """Inject faults one after another; two such tasks run at the same time."""
+        """Inject random faults one after another until cancelled.
+
+        Two such tasks run at the same time, so their faults may overlap.
+        """
         rng = self.rng(f"hurt {number}")
         while True:
             await anyio.sleep(rng.uniform(0.1, 1.5))
@@ -217,7 +224,7 @@
     async def disturb_paths(
         self, chosen: Sequence[int], mode: str, length: float
     ) -> None:
-        """Set the mode of some proxies for some seconds."""
+        """Set the mode of some proxies for some seconds, then set them to ``open``."""
         started_at = time.monotonic()
         for vm in chosen:
             self.proxies[vm].mode = mode
@@ -242,7 +249,11 @@
             )
 
     async def run_planned_work(self) -> None:
-        """Repeat planned work: overlapping stops, reloads and repeated signals."""
+        """Stop and reload gateways as an operator does, until cancelled.
+
+        Each time at random: overlapping stops, reloads, or a stop with a further
+        signal.
+        """
         rng = self.rng("plan")
         while True:
             await anyio.sleep(rng.uniform(0.1, 1.5))
@@ -265,7 +276,7 @@
                 await self.restart(order[:1], True, rng.uniform(0.2, 1.5))
 
     def reload(self, gateway: Gateway) -> None:
-        """Send SIGHUP to a process, unless it is still starting."""
+        """Send SIGHUP to a process, unless it does not listen yet."""
         if self.current_process(gateway).listening_at:
             gateway.send(signal.SIGHUP)
 
@@ -276,7 +287,11 @@
         number: signal.Signals,
         after: float,
     ) -> None:
-        """Send a further signal to a stopping process after some seconds."""
+        """Send a further signal to a process after some seconds.
+
+        It is not sent to a process that has been replaced, that got no SIGTERM or that
+        has never listened.
+        """
         await anyio.sleep(after)
         if (
             process is self.current_process(gateway)
@@ -290,10 +305,12 @@
     ) -> None:
         """Stop or kill processes and start new ones.
 
+        A process that still runs after the grace is killed.
+
         Args:
             gateways: The VMs to restart.
-            gently: Whether to stop with SIGTERM; otherwise the processes are killed.
-            down: Seconds from the exit to the new start.
+            gently: Whether to send SIGTERM; otherwise the processes are killed.
+            down: Seconds from the last exit to the new starts.
         """
         processes = [self.current_process(gateway) for gateway in gateways]
         for gateway, process in zip(gateways, processes, strict=True):
@@ -311,20 +328,23 @@
             self.replace(gateway)
 
     def kill(self, gateway: Gateway) -> None:
-        """Kill a process if it is running."""
+        """Kill a VM's process if it is running, and record that."""
         if gateway.process is not None and gateway.process.poll() is None:
             self.current_process(gateway).killed = True
             gateway.send(signal.SIGKILL)
 
     def replace(self, gateway: Gateway) -> None:
-        """Start a VM's next process; kill one that another task has started."""
+        """Start a VM's next process, after killing one that still runs.
+
+        Another task may have started the latter in the meantime.
+        """
         self.kill(gateway)
         if gateway.process is not None:
             gateway.process.wait()
         self.start(gateway)
 
     def end_faults(self) -> None:
-        """End all faults and start the processes that are down."""
+        """End all faults, and start all processes that have exited or are stopping."""
         for proxy in self.proxies:
             proxy.mode = "open"
         for gateway in self.gateways:
@@ -336,7 +356,7 @@
                 self.tasks.start_soon(self.restart_stopped, gateway, process)
 
     async def restart_stopped(self, gateway: Gateway, process: ProcessRecord) -> None:
-        """Start a VM again after its process, which got SIGTERM, has exited."""
+        """Start a VM again when its stopping process exits or the grace ends."""
         with anyio.move_on_after(process.sigterm_at + GRACE - time.monotonic()):
             await process.ended.wait()
         self.replace(gateway)
@@ -358,7 +378,7 @@
             await anyio.sleep(rng.uniform(0.0, 0.1))
 
     async def call_on_kept_connections(self, number: int) -> None:
-        """Send requests on kept connections until cancelled."""
+        """Send requests on one kept connection after another until cancelled."""
         rng = self.rng(f"keep {number}")
         style = rng.choice([Style.KEPT, Style.PIPELINED, Style.CROSSING])
         while True:
@@ -378,7 +398,7 @@
     def new_request(
         self, number: int, vm: int, style: Style, rng: random.Random
     ) -> RequestRecord:
-        """Return a new request of a caller with random workspace and size."""
+        """Record and return a new request of a caller, of random workspace and size."""
         workspace = rng.choice(list(WORKSPACES))
         events = rng.choice([1, 4, 20])
         prompt = rng.choice([20, 100, 400])
@@ -398,14 +418,18 @@
 
 
 def no_next_request() -> RequestRecord:
-    """Fail, as each of these connections carries one request only."""
+    """Raise an error, as the connection must carry only one request.
+
+    Raises:
+        AssertionError: Always.
+    """
     raise AssertionError("a new connection carries only one request")
 
 
 async def run_seed(
     seed: int, seconds: float, folder: Path, program: str = PROGRAM
 ) -> list[str]:
-    """Run one seed, print a summary and the violations, and return these."""
+    """Run one seed; print a summary and the violations, and return the violations."""
     soak_run = SoakRun(seed, seconds, folder, program)
     violations = await soak_run.run()
     status_counts: dict[int, int] = {}
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform: the store over HTTP and engines, in one process.
 
 Run ``python -m tests.platform.standin PORT``.  The store listens on that port, a server
-that reports the engines' runs on the next one, and the engines on those after it.  The
-store has the platform's published calls and a path, ``/operator``, by which tests write
-rows as the operator does.
+of records on the next one, and the engines on those after it.  The records are the
+engines' runs and the store's rows.  The store has the platform's published calls and a
+path, ``/operator``, by which tests write rows as the operator does.
 """
 
 from __future__ import annotations
@@ -43,13 +43,15 @@
 """Seconds between two writes of an engine's entry in the list of servers."""
 
 EVENT_TOKENS = 5
-"""Tokens of one event."""
+"""Number of tokens in one event."""
 
 EVENT_PAUSE = 0.02
-"""Seconds before an event, unless the request's script sets another pause."""
+"""Seconds before each event, unless the request's target sets another pause."""
 
 FAULT_PERIOD = 15
-"""One request in this many runs but gets no answer, and one gets a broken stream."""
+"""Of this many requests, on average one runs but gets no answer, and one gets a broken
+stream.
+"""
 
 NO_ANSWER = 0
 BROKEN_STREAM = 1
@@ -58,12 +60,13 @@
 
 @frozen
 class Script:
-    """The answer that a target asks of its engine, as in ``/chat/a?events=9&sound=1``.
+    """The answer that a request's target prescribes, as ``/chat/a?events=9&sound=1``.
 
     Attributes:
-        events: Events of the answer; None for as many as the maximum of tokens allows.
-        pause: Seconds before each event, and before an answer that is one body.
-        fault_free: Whether the engine injects no fault.
+        events: Number of events in the answer; None for as many as the request's
+            maximum number of tokens allows.
+        pause: Seconds before each event, or before an answer that is one body.
+        fault_free: Whether the engine must not inject a fault.
     """
 
     events: int | None = None
@@ -83,7 +86,10 @@
 
 
 def has_fault(request_id: str) -> bool:
-    """Return whether an engine gives a request no answer or a broken stream."""
+    """Return whether a request's id makes an engine inject a fault.
+
+    The engine injects none if the target has ``sound``.
+    """
     return zlib.crc32(request_id.encode()) % FAULT_PERIOD in (NO_ANSWER, BROKEN_STREAM)
 
 
@@ -102,14 +108,14 @@
 
 @define(eq=False)
 class StoreApp:
-    """Server of the store's calls."""
+    """Serves the store's calls from rows in memory."""
 
     history: RowHistory = field(factory=RowHistory)
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Answer one call."""
+        """Answer one call, with the version and the time of the store."""
         url = urlsplit(head.target.decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         calls: dict[str, Callable[[], Awaitable[tuple[int, Any]]]] = {
@@ -124,7 +130,7 @@
         await connection.answer(status, JSON, json.dumps(answer).encode())
 
     async def commit(self, raw: dict[str, Any]) -> tuple[int, Any]:
-        """Apply a transaction, or return the rows of its failed checks."""
+        """Apply a transaction; if checks fail, return 412 and the rows of these."""
         checks: list[Check] = []
         for item in raw["expected-revision"]:
             version = item["version-number"]
@@ -151,7 +157,7 @@
         return 200, {}
 
     async def get(self, query: dict[str, str]) -> tuple[int, Any]:
-        """Return the rows of a range of keys."""
+        """Return the rows of a range of keys, up to the limit, in order."""
         prefix = f"{query['table']}/{query.get('part', '')}/"
         low, high = query.get("from", ""), query.get("target", "\x7f" * 4)
         rows = [
@@ -164,7 +170,7 @@
         return 200, {"rows": encoded, "truncated": len(rows) > limit}
 
     async def feed(self, query: dict[str, str]) -> tuple[int, Any]:
-        """Wait for changes of a table and return them."""
+        """Wait for changes of a table and return them; none if the wait ends before."""
         table, after = query["table"], int(query["after-revision"])
         with anyio.move_on_after(int(query["wait-ms"]) / 1000):
             while not self.since(table, after):
@@ -189,17 +195,17 @@
 
 @define(eq=False)
 class Run:
-    """A run of a request at an engine, with times of the monotonic clock.
+    """A run of a request at an engine, with times of the monotonic clock in seconds.
 
     Attributes:
         request_id: The request's id.
         target: The request's target.
-        workspace: The workspace that the gateway named.
+        workspace: The workspace that the gateway named; empty if none.
         prompt: The length of the prompt in tokens.
         started_at: When the run started.
         ended_at: When the engine finished or noticed that the connection was closed; 0
-            while it runs.
-        sent: Events of the answer that were sent.
+            before that.
+        sent: Number of events sent.
     """
 
     request_id: str
@@ -211,14 +217,14 @@
     sent: int = 0
 
     def to_list(self) -> list[Any]:
-        """Return the fields in the order in which they are reported."""
+        """Return the fields in the order of a record of this run."""
         records = [self.request_id, self.target, self.workspace, self.prompt]
         return [*records, self.started_at, self.ended_at, self.sent]
 
 
 @define(eq=False)
 class EngineApp:
-    """An engine that serves both streams and answers of one body."""
+    """An engine: it answers ``/book/`` targets with one body, others with a stream."""
 
     name: str
     runs: list[Run]
@@ -227,7 +233,11 @@
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Run one request."""
+        """Run one request, or refuse it with 421 if it names another engine.
+
+        A request selected for the fault `NO_ANSWER` only has its connection closed,
+        unless it resumes a stream.
+        """
         fields = {name.decode(): value.decode() for name, value in head.headers}
         request_id = fields["x-ebonyhold-request-id"]
         identity = [(b"x-ebonyhold-request-id", request_id.encode())]
@@ -265,7 +275,11 @@
     async def stream(
         self, connection: CallerConnection, run: Run, numbers: range, fault: int
     ) -> None:
-        """Send the events of an answer; a broken stream closes early."""
+        """Send the events of an answer.
+
+        A stream selected for the fault `BROKEN_STREAM` closes before event 3, unless it
+        is resumed there or later.
+        """
         script = Script.from_target(run.target)
         for number in numbers:
             await anyio.sleep(script.pause)
@@ -295,7 +309,7 @@
 
 
 async def renew_entry(store: StoreApp, engine: EngineApp, port: int) -> None:
-    """Write an engine's entry at each interval until cancelled."""
+    """Write an engine's entry to the list of servers at intervals until cancelled."""
     sequence = 0
     while True:
         sequence += 1
@@ -305,7 +319,7 @@
 
 
 async def main(port: int, engines: int) -> None:
-    """Serve the store, the engines and the records of runs until the process ends."""
+    """Serve the store, the records and some engines until the process is killed."""
     store = StoreApp()
     runs: list[Run] = []
 
--- a/tests/platform/stops/__main__.py
+++ b/tests/platform/stops/__main__.py
@@ -1,4 +1,4 @@
-"""Run cases of the table by hand: ``FIRST_SEED SEEDS [CASE]``."""
+"""Run cases of the table by hand: ``FIRST_SEED SEEDS [CASE ...]``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Run cases and print the violations; return 1 if there were any."""
+    """Run the named cases, or all, and print the violations; return 1 if any."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
     names = sys.argv[3:] or [case.name for case in LONG_CASES]
     cases = [case for case in LONG_CASES if case.name in names]
--- a/tests/platform/stops/_cases.py
+++ b/tests/platform/stops/_cases.py
@@ -1,4 +1,4 @@
-"""Table of cases: which VMs stop how, and what their callers do meanwhile."""
+"""Table of cases: how VMs are stopped, and how callers use them meanwhile."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 MIDDLE = Length(20, 0.06)
 LONG = Length(60, 0.06)
 ENDLESS = Length(150, 0.06)
-"""9 s: longer than the grace."""
+"""A stream of 9 s, longer than the grace of 8 s."""
 
 USUAL_LENGTHS = (PLAIN, SHORT, MIDDLE)
-"""Answers that end well within the grace."""
+"""Answers of at most 1.2 s, much less than the grace."""
 
 ALL_LENGTHS = (PLAIN, DELAYED, SHORT, MIDDLE, LONG, ENDLESS)
 USUAL_STYLES = (Style.NEW, Style.KEPT)
-"""New and kept connections."""
+"""Connections for one request, and connections that are kept for several."""
 
 ALL_STYLES = tuple(Style)
 
@@ -57,12 +57,12 @@
     Attributes:
         name: The row's name.
         vms: The number of VMs in the domain.
-        overlap: How their stops overlap.
-        styles: How callers use connections; the first caller has the first style, and
-            so on.
-        lengths: The durations of answers, from which each request picks at random.
+        overlap: How the stops of these VMs overlap.
+        styles: How callers use connections; callers have the styles in turn.
+        lengths: The sizes of answers, of which each request has a random one.
         disturbance: Further events around the stops.
-        metered: Whether requests name tokens, which are charged to a prepaid workspace.
+        metered: Whether requests state numbers of tokens, which are charged to a
+            prepaid workspace.
         callers: The number of callers.
     """
 
@@ -96,7 +96,7 @@
     Case("three-rolling", vms=3, overlap=Overlap.ROLLING, lengths=ALL_LENGTHS),
     Case("three-together", vms=3, styles=ALL_STYLES),
 )
-"""The rows that run for each change."""
+"""The cases that CI runs."""
 
 LONG_CASES = (
     *CASES,
@@ -112,8 +112,11 @@
         for vms in (1, 2, 3)
         for overlap in Overlap
         for disturbance in Disturbance
-        # Stops during the start come at random times, so they have no other overlap.
+        # Stops during the start come at random times, whatever the overlap.
         if disturbance is not Disturbance.STARTING or overlap is Overlap.TOGETHER
     ),
 )
-"""The rows that are run by hand."""
+"""`CASES` and each combination of VMs, overlap and disturbance.
+
+They run by hand and in the tests marked `soak`.
+"""
--- a/tests/platform/stops/_checks.py
+++ b/tests/platform/stops/_checks.py
@@ -25,14 +25,16 @@
 """Seconds after SIGTERM from which each answer must have `Connection: close`."""
 
 QUICK_TIME = 0.1
-"""Maximum seconds that an engine takes for a short request."""
+"""Maximum seconds that an engine takes for a booking that counts as short."""
 
 IDLE_EXIT_TIME = 4.0
 """Seconds after SIGTERM within which an idle process must exit."""
 
 SIGTERM_CODE = -15
+"""Exit code of a process that SIGTERM killed."""
+
 NOT_RUN_STATUSES = (429, 503)
-"""Statuses by which a gateway states that the request did not run."""
+"""Statuses with which a gateway refuses a request that did not run."""
 
 
 def check(case: Case, evidence: Evidence) -> list[Violation]:
@@ -44,7 +46,7 @@
         moment = request.connected_at or request.ended_at
         process = find_process(evidence.processes, request.vm, moment)
         if process is None:
-            # No process of the VM was running.
+            # No process of the VM was running, so no rule applies.
             continue
         faults = check_request(
             request, process, evidence.runs.get(request.request_id, [])
@@ -60,7 +62,10 @@
 
 
 def describe_times(request: RequestRecord, process: ProcessRecord) -> str:
-    """Return what happened to a request, with times in seconds after SIGTERM."""
+    """Return the times of a request's events, in seconds after SIGTERM.
+
+    Without SIGTERM they are counted from the start of the process.
+    """
     origin = process.sigterm_at or process.started_at
     moments = {
         "asked": request.started_at,
@@ -85,7 +90,7 @@
         return [
             Violation(Guarantee.EXIT, f"{name} ended unasked with code {process.code}")
         ]
-    # Before the program logs its first line, no signal handler is installed.
+    # Before its first log line, the program has no signal handler installed.
     before_first_line = process.code == SIGTERM_CODE and not process.logged
     faults = []
     if process.code != 0 and not before_first_line:
@@ -102,7 +107,7 @@
 def check_request(
     request: RequestRecord, process: ProcessRecord, runs: Sequence[EngineRun]
 ) -> list[Violation]:
-    """Return the violations in one request."""
+    """Return the violations in the outcome of one request."""
     if not request.status:
         return check_unanswered(request, process, runs)
     faults = check_answer(request, process, runs)
@@ -135,16 +140,17 @@
     if len(runs) > 1:
         faults.append(f"ran {len(runs)} times")
     stopping = 0 < process.sigterm_at <= request.head_at - CLOSE_AFTER
-    # `close` is not required of an answer that another one follows, or of a cut one.
+    # An answer that is cut, or that another one follows, need not have `close`.
     if stopping and request.whole and not request.close and not request.followed:
         faults.append("was not told to close")
     return faults
 
 
 def check_served(request: RequestRecord, process: ProcessRecord) -> list[Violation]:
-    """Return the violation if a short request without prepaid tokens was refused early.
+    """Return the violation if a short booking sent soon after SIGTERM was refused.
 
-    A process that refused all requests would pass the other checks.
+    Such a request needs no prepaid tokens and no long run, so there is time for it.  A
+    process that refused all requests would pass the other checks.
     """
     quick = not request.length.events and request.length.pause <= QUICK_TIME
     early = 0 < process.sigterm_at <= request.sent_at <= process.sigterm_at + LATE_AFTER
@@ -160,7 +166,7 @@
 def check_unanswered(
     request: RequestRecord, process: ProcessRecord, runs: Sequence[EngineRun]
 ) -> list[Violation]:
-    """Return the violations in a request without an answer."""
+    """Return the violations in a request whose connection failed without an answer."""
     if not request.fault:
         return []
     if runs:
@@ -168,8 +174,8 @@
         return [Violation(Guarantee.ANSWER, "ran and was not answered")] if cut else []
     if crossed_last_answer(request):
         return []
-    # Closing a connection with unread bytes resets it.  So after an orderly close that
-    # is too late for a crossing, the whole request had been read.
+    # Closing a connection resets it if received bytes are unread.  So before an orderly
+    # close, the gateway had read the whole request, unless it was still in transit.
     read = request.fault == Fault.ENDED and request.sent_at > 0
     if read and request.ended_at - request.sent_at > CROSSING_WINDOW:
         return [Violation(Guarantee.ANSWER, "was read and not answered")]
--- a/tests/platform/stops/_domain.py
+++ b/tests/platform/stops/_domain.py
@@ -1,4 +1,4 @@
-"""The VMs of a domain, their processes, and which of them get new connections."""
+"""The VMs of a failure domain, their processes, and the choice of VMs for callers."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tests.platform.kit import GRACE, Gateway, ProcessRecord, start_process
 
 READINESS_INTERVAL = 1.0
-"""Seconds between the platform's readiness checks of a VM, and the timeout of one."""
+"""Seconds between two readiness checks of a VM; also the timeout of one check."""
 
 FAILURE_THRESHOLD = 2
-"""Readiness checks in a row without status 200 that take a VM out of rotation."""
+"""Number of failed readiness checks in a row that take a VM out of rotation."""
 
 POLL_INTERVAL = 0.02
-"""Seconds between two checks while a VM starts."""
+"""Seconds between two readiness checks while a VM starts."""
 
 START_TIMEOUT = 20.0
 """Seconds within which a VM must become ready."""
@@ -26,13 +26,13 @@
 
 @define(eq=False)
 class Domain:
-    """The VMs of a domain and the platform's view of them.
+    """The VMs of a failure domain and the results of their readiness checks.
 
     Attributes:
         gateways: The VMs.
-        tasks: Runs the background tasks.
+        tasks: Task group of the processes and the readiness checks.
         processes: All processes so far.
-        failed_checks: Readiness checks in a row without status 200, by VM.
+        failed_checks: Number of failed readiness checks in a row, by VM.
     """
 
     gateways: list[Gateway]
@@ -45,7 +45,7 @@
         return next(process for process in reversed(self.processes) if process.vm == vm)
 
     def start(self, vm: int) -> ProcessRecord:
-        """Start a VM's process and watch it."""
+        """Start a VM's process and record it."""
         process = start_process(self.gateways[vm], self.tasks)
         self.processes.append(process)
         return process
@@ -62,7 +62,11 @@
         return process
 
     async def wait_until_ready(self, vm: int) -> None:
-        """Wait until a VM's readiness check succeeds."""
+        """Wait until a VM's readiness check succeeds.
+
+        Raises:
+            TimeoutError: None succeeded within `START_TIMEOUT`.
+        """
         with anyio.fail_after(START_TIMEOUT):
             while True:
                 if await self.is_ready(vm):
@@ -70,7 +74,7 @@
                 await anyio.sleep(POLL_INTERVAL)
 
     async def is_ready(self, vm: int) -> bool:
-        """Return whether a VM's readiness check succeeds."""
+        """Return whether a VM's readiness check gets status 200 in time."""
         gateway = self.gateways[vm]
         probe = b"GET /ebonyhold/readiness HTTP/1.1\r\nhost: a\r\n\r\n"
         with anyio.move_on_after(READINESS_INTERVAL):
@@ -85,16 +89,16 @@
         return False
 
     async def poll_readiness(self, vm: int) -> None:
-        """Check a VM's readiness at each interval until cancelled."""
+        """Check a VM's readiness at intervals and count failures, until cancelled."""
         while True:
             ready = await self.is_ready(vm)
             self.failed_checks[vm] = 0 if ready else self.failed_checks.get(vm, 0) + 1
             await anyio.sleep(READINESS_INTERVAL)
 
     def choose_vm(self, rng: Random) -> int:
-        """Return the VM that gets a new connection, chosen as the platform does.
+        """Return a random VM for a new connection, chosen as by the platform.
 
-        If fewer than half of a domain's VMs are in rotation, all of them are used.
+        It is one of those in rotation, or of all if fewer than half are in rotation.
         """
         all_vms = range(len(self.gateways))
         rotation = [
--- a/tests/platform/stops/_findings.py
+++ b/tests/platform/stops/_findings.py
@@ -1,4 +1,4 @@
-"""The records of a case, and the violations found in them."""
+"""Types for the records of a case and for the violations found in them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,16 @@
 
 
 class Guarantee(Enum):
-    """Guarantees that hold for each planned stop."""
+    """What each planned stop must guarantee.
+
+    Attributes:
+        CONNECT: The listener accepts connections until the process exits.
+        ANSWER: A request that the gateway has read gets its whole answer, or a refusal
+            if it did not run.
+        SERVED: Short requests without prepaid tokens are served.
+        EXIT: The process exits in time, with code 0 and without logged errors.
+        MONEY: Budgets match the tokens served, and no tokens stay outstanding.
+    """
 
     CONNECT = "callers find an open door until the process ends"
     ANSWER = "what was read is answered, whole or truthfully"
@@ -23,7 +32,7 @@
 
 @frozen
 class Violation:
-    """A guarantee that did not hold, and how this showed."""
+    """A violated guarantee, and a description of what was observed."""
 
     guarantee: Guarantee
     text: str
--- a/tests/platform/stops/_money.py
+++ b/tests/platform/stops/_money.py
@@ -13,7 +13,11 @@
 
 
 def check_money(evidence: Evidence, case: Case) -> list[Violation]:
-    """Return the violations in budgets and grants after all processes exited."""
+    """Return the violations in budgets and grants after all processes have exited.
+
+    If the store could not be reached, charges may be missing and grants outstanding;
+    then only too large charges are violations.
+    """
     min_served, max_served = count_served(evidence)
     reachable = case.disturbance is not Disturbance.SILENT
     faults = []
@@ -42,10 +46,10 @@
 
 
 def count_served(evidence: Evidence) -> tuple[Counter[str], Counter[str]]:
-    """Return the minimum and maximum of tokens that each workspace was served.
+    """Return the minimum and the maximum number of tokens served to each workspace.
 
-    The maximum includes events of a cut answer that an engine sent and the caller did
-    not get.
+    The minimum counts the events that callers received, and the maximum all events that
+    engines sent; they differ for answers that were cut.
     """
     min_served: Counter[str] = Counter()
     max_served: Counter[str] = Counter()
--- a/tests/platform/stops/_run.py
+++ b/tests/platform/stops/_run.py
@@ -1,4 +1,4 @@
-"""Run one case: start a domain, send requests, stop its VMs and check the records."""
+"""Run a case: start VMs, send requests, stop the VMs and check the records."""
 
 from __future__ import annotations
 
@@ -44,22 +44,22 @@
 
 ROUTE_TIMEOUT_MS = 20_000
 CALLER_PAUSE = (0.02, 0.25)
-"""Range of seconds between a caller's connections."""
+"""Range of seconds from the end of a caller's connection to its next one."""
 
 TRAFFIC_BEFORE = (0.6, 1.6)
-"""Range of seconds with requests before the first stop."""
+"""Range of seconds from the callers' start to the first stop."""
 
 TOGETHER_WITHIN = 0.4
-"""Maximum seconds between stops that come together."""
+"""Maximum seconds between the stops of `Overlap.TOGETHER`."""
 
 ROLLING_APART = (0.7, 1.5)
-"""Range of seconds between rolling stops."""
+"""Range of seconds between one stop and the next of `Overlap.ROLLING`."""
 
 STARTING_WITHIN = 1.8
-"""Maximum seconds from a start to its SIGTERM in a stop during the start."""
+"""Maximum seconds from the start of a process to a SIGTERM during the start."""
 
 RESTART_AFTER = 0.3
-"""Seconds from a process's exit to the next start."""
+"""Seconds from the exit of a VM's process to the start of its next one."""
 
 SIGNALS = 3
 """Number of further signals to a stopping process."""
@@ -68,10 +68,10 @@
 """Maximum seconds from a SIGTERM to a further signal."""
 
 MAX_WAIT = 1.0
-"""Maximum seconds that a refused caller waits, whatever Retry-After says."""
+"""Maximum seconds that a refused caller waits, even if Retry-After is longer."""
 
 PARALLEL_CASES = 6
-"""Cases that run at the same time; each has some three processes."""
+"""Number of cases that run at the same time; each has some three processes."""
 
 
 @define(eq=False)
@@ -86,8 +86,8 @@
         base: The first of the ports that the run uses.
         proxies: The proxies to the store, by VM.
         requests: The records of all requests.
-        finished: Whether callers send no further requests.
-        domain: The VMs.
+        finished: Whether callers must send no further requests.
+        domain: The VMs and their processes.
     """
 
     case: Case
@@ -101,11 +101,11 @@
     domain: Domain = field(init=False)
 
     def rng(self, name: str) -> Random:
-        """Return the random number generator of one task."""
+        """Return a random number generator whose seed contains the name of a task."""
         return Random(f"{self.case.name} {self.seed} {name}")
 
     async def run(self) -> list[Violation]:
-        """Start the platform, run the case and return the violations."""
+        """Run the case with a stand-in of the platform; return the violations."""
         platform = self.start_platform()
         try:
             return await self.run_and_check()
@@ -144,7 +144,11 @@
         return violations
 
     async def configure(self) -> None:
-        """Write the operator's configuration as soon as the store is up."""
+        """Write the operator's configuration as soon as the store is up.
+
+        Raises:
+            RuntimeError: The store did not start within 200 attempts.
+        """
         rules = configuration()
         for route in rules["routes"]:
             route["timeout-ms"] = ROUTE_TIMEOUT_MS
@@ -177,7 +181,7 @@
         self.domain.start(vm)
 
     async def stop_starting(self) -> None:
-        """Stop each VM at a random time of its start while callers connect."""
+        """Stop each VM at a random time during its start, while callers connect."""
         rng = self.rng("stops")
         async with anyio.create_task_group() as callers:
             for number in range(self.case.callers):
@@ -189,7 +193,10 @@
             self.finished = True
 
     async def stop_under_traffic(self) -> None:
-        """Stop the VMs while callers send requests; then stop those that still run."""
+        """Stop the VMs while callers send requests; then stop those still running.
+
+        The latter are idle, as the callers have ended by then.
+        """
         for vm in range(self.case.vms):
             await self.domain.wait_until_ready(vm)
             self.domain.tasks.start_soon(self.domain.poll_readiness, vm)
@@ -206,7 +213,10 @@
                     stops.start_soon(self.stop_idle, vm)
 
     async def stop_all(self, rng: Random) -> None:
-        """Stop the VMs with the case's overlap."""
+        """Stop the VMs at the times that the case's overlap sets.
+
+        With `Overlap.ROLLING` and `Overlap.SERIES` they are started again.
+        """
         overlap, all_vms = self.case.overlap, range(self.case.vms)
         if overlap is Overlap.ALONE:
             await self.stop_after(0, 0.0)
@@ -227,7 +237,7 @@
                     delay += rng.uniform(*ROLLING_APART)
 
     async def stop_and_restart(self, vm: int, delay: float) -> None:
-        """Stop a VM after some seconds and start it again."""
+        """Stop a VM after some seconds, and start it again after its exit."""
         await self.stop_after(vm, delay)
         await self.restart(vm)
 
@@ -238,7 +248,7 @@
         await self.domain.wait_until_ready(vm)
 
     async def stop_after(self, vm: int, delay: float) -> ProcessRecord:
-        """Stop a VM after some seconds, with the case's disturbance."""
+        """Stop a VM after some seconds, and cause the case's disturbance around it."""
         rng = self.rng(f"trouble {vm}")
         disturbance = self.case.disturbance
         async with anyio.create_task_group() as tasks:
@@ -264,7 +274,7 @@
         self.domain.gateways[vm].send(number)
 
     async def stop_idle(self, vm: int) -> None:
-        """Stop a VM to which callers send no requests any more."""
+        """Stop a VM without open requests, and record that it was idle."""
         self.domain.current_process(vm).idle = True
         await self.domain.stop(vm)
 
@@ -290,7 +300,7 @@
             await anyio.sleep(min(MAX_WAIT, wait) + rng.uniform(*CALLER_PAUSE))
 
     def new_request(self, number: int, vm: int, rng: Random) -> RequestRecord:
-        """Return a new request of a caller with random workspace and size."""
+        """Record and return a new request of a caller, of random size and workspace."""
         case = self.case
         style = case.styles[number % len(case.styles)]
         length = rng.choice(case.lengths)
@@ -329,7 +339,11 @@
 async def run_cases(
     cases: Sequence[Case], seeds: Sequence[int], program: str = PROGRAM
 ) -> dict[str, list[Violation]]:
-    """Run cases at the same time; return the violations of each."""
+    """Run each case with each seed, at most `PARALLEL_CASES` at the same time.
+
+    Returns:
+        The violations by the case's name.
+    """
     limiter = anyio.CapacityLimiter(PARALLEL_CASES)
     found: dict[str, list[Violation]] = {case.name: [] for case in cases}
 
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names occur only in the adapter."""
+"""Only the adapter package contains names of the platform's formats."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -118,9 +118,10 @@
 
 
 def test_server_name_invalid_in_a_header() -> None:
-    """An entry with a name that no header can hold is refused.
+    """An entry whose name is not allowed in a header must be refused.
 
-    Otherwise each request for the server failed when its headers were encoded.
+    The gateway sends the name in a header, so each request for such a server would fail
+    when its headers are encoded.
     """
     with pytest.raises(MalformedEntryError):
         read_backend("i-\u0142", encode(ENTRY))
--- a/tests/platform/test_late_requests.py
+++ b/tests/platform/test_late_requests.py
@@ -31,7 +31,7 @@
 pytestmark = pytest.mark.anyio
 
 READY_TIMEOUT = 15.0
-"""Seconds for a gateway to start and to draw its first grant."""
+"""Seconds within which a gateway must start and draw its first grant, or must exit."""
 
 SLOW_AFTER = 2.2
 """Seconds from SIGTERM until the path to the store becomes slow, so that returning a
@@ -41,20 +41,21 @@
 LATE_FROM = 2.65
 LATE_UNTIL = 3.05
 LATE_INTERVAL = 0.02
-"""Late requests come at this interval between the two times, in seconds from SIGTERM.
+"""Seconds between late requests, which are sent from `LATE_FROM` until `LATE_UNTIL`
+seconds after SIGTERM.
 
 An idle gateway returns its grants from 2.6 s on and keeps the tokens until the store
 answers.
 """
 
 UNLIMITED = "free"
-"""A workspace without a limit: its requests need no grant, returned or not."""
+"""A workspace without a limit: its requests need no grant."""
 
 EVENT_PAUSE = 0.02
-"""Seconds before each event."""
+"""Seconds before each event of an answer."""
 
 LONG_EVENTS = 60
-"""Events of the late stream: 1.2 s, longer than returning the grants takes."""
+"""Number of events of a late stream, which takes 1.2 s; returning grants takes less."""
 
 
 @pytest.fixture
@@ -71,7 +72,7 @@
 
 @asynccontextmanager
 async def one_gateway(folder: Path) -> AsyncIterator[SoakRun]:
-    """Run one gateway with the stand-in of the platform."""
+    """Run one gateway with the stand-in of the platform; kill both at the end."""
     soak = SoakRun(0, 0.0, folder, PROGRAM)
     platform = start_platform(soak.base)
     try:
@@ -95,7 +96,7 @@
 async def send_request(
     soak: SoakRun, name: str, events: int, workspace: str = "vast"
 ) -> RequestRecord:
-    """Send one request and return its record; without events it is a booking."""
+    """Send one request and return its record; with 0 events it is a booking."""
     length = Length(events, EVENT_PAUSE)
     request = RequestRecord(name, 0, Style.NEW, length, workspace, 20 if events else 0)
     await use_connection(
@@ -105,7 +106,11 @@
 
 
 async def wait_until_served(soak: SoakRun) -> None:
-    """Send requests until one is served, which also draws a grant."""
+    """Send requests until one is served; the gateway then has a grant.
+
+    Raises:
+        TimeoutError: None was served within `READY_TIMEOUT`.
+    """
     with anyio.fail_after(READY_TIMEOUT):
         for number in range(1000):
             if (await send_request(soak, f"first-{number}", 1)).whole:
@@ -116,7 +121,7 @@
 async def send_late_requests(
     soak: SoakRun, sigterm_at: float, events: int, workspace: str
 ) -> list[RequestRecord]:
-    """Send late requests, each on its own connection, while the process is running."""
+    """Send late requests, each on its own connection, until the process exits."""
     requests: list[RequestRecord] = []
 
     async def send_late(number: int) -> None:
@@ -134,12 +139,12 @@
 
 
 def met_closed_listener(request: RequestRecord, process: ProcessRecord) -> bool:
-    """Return whether a connection was refused when the listener may be closed."""
+    """Return whether a connection was refused while the listener may be closed."""
     return request.fault == Fault.REFUSED and listener_may_be_closed(request, process)
 
 
 def was_answered(request: RequestRecord, runs: Container[str]) -> bool:
-    """Return whether a request got a whole answer, or was refused and did not run."""
+    """Return whether a request got its whole answer, or was refused and did not run."""
     if request.status == 200:
         return request.whole
     return request.status in (429, 503) and request.request_id not in runs
@@ -155,11 +160,10 @@
 ) -> None:
     """A late request must get an answer or a refusal while the process is running.
 
-    The stop checked only once that no request was under way, then returned its grants
-    while the listener still accepted.  New connections come even then: the platform
-    uses all VMs of a domain once fewer than half are in rotation.  20 of 20 late
-    streams were cut; with the listener closed early instead, all late requests were
-    refused a connection while the process was still running.
+    New connections come even late in a stop: the platform uses all VMs of a domain once
+    fewer than half are in rotation.  A gateway that checks for open requests only once,
+    before it returns its grants, cuts the requests that come in the meantime.  One that
+    closes its listener first refuses their connections instead.
     """
     async with one_gateway(tmp_path) as soak:
         await wait_until_served(soak)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Decoding of the settings file."""
+"""Decoding of the settings file, with and without optional or malformed settings."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_signals.py
+++ b/tests/platform/test_signals.py
@@ -14,7 +14,9 @@
 pytestmark = pytest.mark.anyio
 
 POLL_INTERVAL: float = 0.0005
-"""Seconds between two reads of the log: the interpreter exits within some 50 ms."""
+"""Seconds between two reads of the log; short, as the interpreter exits within some
+50 ms of the last line.
+"""
 
 
 @pytest.fixture
@@ -29,9 +31,9 @@
 ) -> None:
     """A signal after an orderly stop must not change the exit code.
 
-    A reload or a second stop may come while the interpreter exits.  The event loop had
-    removed its signal handlers by then, so four of four signals after the log line
-    `stopped` killed the process.
+    A reload or a second stop may come while the interpreter exits, after the log line
+    `stopped`.  The event loop has removed its signal handlers by then, so the default
+    action of the signal would kill the process.
     """
     async with one_gateway(tmp_path) as soak:
         await wait_until_served(soak)
@@ -46,14 +48,16 @@
 
 
 STARTS = 4
-"""Number of starts to try, as the critical time is only a few ms long."""
+"""Number of starts to test: the time without signal handlers could be only a few ms, so
+one start might miss it.
+"""
 
 
 async def test_signal_after_the_first_log_line_stops_in_order(tmp_path: Path) -> None:
-    """A signal after the first log line must lead to an orderly stop.
+    """A SIGTERM after the first log line must lead to an orderly stop.
 
-    One that came before the event loop had installed its signal handlers killed the
-    process, once in three runs of stops during the start.
+    If the line is logged before the signal handlers are installed, a SIGTERM between
+    the two kills the process.
     """
     codes = []
     async with one_gateway(tmp_path) as soak:
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: a short run for each change, and runs that find a removed guard."""
+"""The fault soak: a short run for CI, and runs that must detect a removed guard."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_a_short_soak_breaks_no_promise(tmp_path: Path) -> None:
-    """Kills, pauses, stops and faulty paths to the store lead to no violation."""
+    """Kills, pauses, stops and faulty paths to the store must not cause a violation."""
     assert anyio.run(run_seed, 1, 6.0, tmp_path) == []
 
 
@@ -26,7 +26,10 @@
     ],
 )
 def test_a_missing_guard_is_found(tmp_path: Path, guard: str, finding: str) -> None:
-    """The soak's checks find a gateway with one guard removed."""
+    """The soak must find a violation if one guard of the gateway is removed.
+
+    The random faults do not show it with every seed, so up to five seeds are run.
+    """
     program = f"tests.platform.weak_gateway {guard}"
     for seed in range(1, 6):
         folder = tmp_path / str(seed)
--- a/tests/platform/test_soak_checks.py
+++ b/tests/platform/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The soak's checks find violations and allow for injected faults."""
+"""The soak's checks find violations, except those that injected faults excuse."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def lost(**changes: Any) -> RequestRecord:
-    """Return a request whose connection closed without an answer."""
+    """Return a request whose connection closed without an answer, with some changes."""
     usual = {
         "request_id": WITHOUT_FAULT,
         "style": Style.KEPT,
@@ -67,7 +67,11 @@
 def test_process_exit(
     change: dict[str, Any], faults: list[InjectedFault], finding: str
 ) -> None:
-    """A process may exit only after SIGTERM or a kill, in time and with code 0."""
+    """A process may exit only if killed, or after SIGTERM in time and with code 0.
+
+    A pause of the process excuses a late exit, and a SIGTERM before the first log line
+    excuses code -15.
+    """
     found = " ".join(check_exit(evolve(STOPPED, **change), faults))
     assert finding in found
     assert bool(finding) is bool(found)
@@ -100,7 +104,7 @@
     faults: list[InjectedFault],
     finding: str,
 ) -> None:
-    """A request lost in a stop is a violation, unless an injected fault excuses it."""
+    """A request lost in a stop is a violation unless a fault or a rule excuses it."""
     evidence = Evidence([], {}, [STOPPED], faults)
     found = " ".join(check_stop(lost(**change), runs, evidence))
     assert finding in found
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def found(request: pytest.FixtureRequest) -> Found:
-    """Run the selected rows at the same time, once; return a lookup of violations."""
+    """Run all selected cases once, for all tests; return a lookup of violations."""
     chosen = {
         item.callspec.params.get("case")
         for item in request.session.items
@@ -43,7 +43,7 @@
 
 
 def text(violations: Iterable[Violation]) -> str:
-    """Return a line for each violation."""
+    """Return the texts of the violations, one a line."""
     return "\n".join(item.text for item in violations)
 
 
@@ -51,10 +51,10 @@
 def test_the_door_is_open_until_the_process_ends(case: Case, found: Found) -> None:
     """The listener must accept connections until the process exits.
 
-    It closed 2.6 s after SIGTERM while the gateway served streams for up to 5 s more.
     The platform sends new connections to all VMs of a domain while fewer than half are
-    in rotation, so up to a quarter of a day's requests found no connection: 1,312
-    attempts on one day.
+    in rotation.  A listener that closes 2.6 s after SIGTERM refuses these connections
+    for up to 5 s, while the process still serves streams.  This affects up to a quarter
+    of a day's requests; on one day 1,312 attempts found no connection.
     """
     assert not (lines := found(case, Guarantee.CONNECT)), lines
 
@@ -64,8 +64,8 @@
     """A request that the gateway has read must be answered.
 
     A request that waits behind an answer, or crosses it, may already be read when that
-    answer ends, but the stop then closed the connection.  The caller saw an orderly
-    close up to seconds after its last byte, and no engine ran the request.
+    answer ends.  If the stop closes the connection then, no engine runs the request,
+    and its caller gets an orderly close up to seconds after its last byte.
     """
     assert not (lines := found(case, Guarantee.ANSWER)), lines
 
@@ -74,9 +74,9 @@
 def test_what_ends_in_a_moment_is_taken(case: Case, found: Found) -> None:
     """A short request without prepaid tokens must be served, not refused.
 
-    An engine takes 0.02 s for it, so one that is sent within 3 s of SIGTERM ends long
-    before the kill, with or without the store.  A gateway that refused every request
-    would pass the other checks.
+    An engine takes 0.02 s for such a request and the store is not needed, so one that
+    is sent within 3 s of SIGTERM ends long before the kill.  A gateway that refused
+    every request would pass the other checks.
     """
     assert not (lines := found(case, Guarantee.SERVED)), lines
 
@@ -85,9 +85,9 @@
 def test_the_process_ends_well(case: Case, found: Found) -> None:
     """The process must exit in time, with code 0 and without logged errors.
 
-    A signal during the exit killed the process, with code -1 or -15: its handlers are
-    removed when its tasks are cancelled, and the interpreter takes some 0.1 s more to
-    exit.  A supervisor counts such an exit as a crash.
+    The signal handlers are removed when the tasks are cancelled, and the interpreter
+    takes some 0.1 s more to exit.  If a signal in this time kills the process, its code
+    is -1 or -15, which a supervisor counts as a crash.
     """
     assert not (lines := found(case, Guarantee.EXIT)), lines
 
@@ -96,9 +96,9 @@
 def test_money_is_whole_after_stops(case: Case, found: Found) -> None:
     """Budgets must match the tokens served, and no grant may stay outstanding.
 
-    Grants were returned while requests that the stop had cut still held tokens.  Those
-    requests settled later, so their charges were never filed, and the rest of the grant
-    stayed outstanding: the next incarnation had no record from which to recover it.
+    If grants are returned while requests that the stop has cut still hold tokens, these
+    requests settle too late: their charges are never filed.  The rest of the grant then
+    stays outstanding, as the next incarnation has no record from which to recover it.
     """
     assert not (lines := found(case, Guarantee.MONEY)), lines
 
@@ -106,6 +106,6 @@
 @pytest.mark.soak
 @pytest.mark.parametrize("case", LONG_CASES, ids=lambda case: case.name)
 def test_many_moments_of_a_stop_cost_callers_nothing(case: Case) -> None:
-    """The same guarantees with ten seeds, each overlap and each disturbance."""
+    """The guarantees must hold with ten seeds in each case, including the long ones."""
     lines = text(anyio.run(run_cases, [case], LONG_SEEDS)[case.name])
     assert not lines, lines
--- a/tests/platform/test_stops_checks.py
+++ b/tests/platform/test_stops_checks.py
@@ -1,4 +1,4 @@
-"""The checks of planned stops find each violation and allow what the rules allow."""
+"""The checks of planned stops find violations and accept what the rules allow."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run(ended_at: float, sent: int = 2) -> EngineRun:
-    """Return a run of the request."""
+    """Return an engine's run of the request, which began at 100.5 s."""
     return EngineRun(100.5, ended_at, sent)
 
 
@@ -47,7 +47,7 @@
 
 
 def lost(**changes: Any) -> RequestRecord:
-    """Return a request without an answer."""
+    """Return a request without an answer, with the given fields changed."""
     usual = {"status": 0, "close": False, "whole": False, "head_at": 0.0}
     return answered(**{**usual, "fault": Fault.ENDED, **changes})
 
@@ -130,7 +130,7 @@
     ("record", "runs"), [row[1:] for row in ACCEPTED], ids=[row[0] for row in ACCEPTED]
 )
 def test_allowed_outcome(record: RequestRecord, runs: list[EngineRun]) -> None:
-    """Outcomes that the rules allow are no violations."""
+    """An outcome that the rules allow must not be reported as a violation."""
     assert check_request(record, STOPPED, runs) == []
 
 
@@ -140,7 +140,7 @@
     ids=[row[0] for row in VIOLATIONS],
 )
 def test_violation(record: RequestRecord, runs: list[EngineRun], fault: str) -> None:
-    """Each way in which a stop can lose or corrupt an answer is a violation."""
+    """Each way in which a stop can lose or corrupt an answer must be reported."""
     assert fault in texts(check_request(record, STOPPED, runs))
 
 
@@ -157,7 +157,10 @@
     ],
 )
 def test_process_exit(change: dict[str, Any], fault: str) -> None:
-    """A process must exit only after SIGTERM, in time and with code 0."""
+    """A process must exit only after SIGTERM, in time and with code 0.
+
+    Code -15 is allowed if SIGTERM came before the first log line.
+    """
     found = texts(check_exit(evolve(STOPPED, **change), CASE))
     assert fault in found
     assert bool(fault) is bool(found)
@@ -177,7 +180,10 @@
 def test_budget_and_grant(
     spent: int, out: int, held: int, disturbance: Disturbance, faults: int
 ) -> None:
-    """The spent tokens must match those served, and no tokens may stay outstanding."""
+    """The spent tokens must match those served, and none may stay outstanding.
+
+    If the store could not be reached, only more spent than served is a violation.
+    """
     request = answered(length=SHORT, events=[1, 2])
     rows = {
         "prepaid/acme/budget": {"budget": {"spent": spent, "outstanding": out}},
@@ -189,7 +195,7 @@
 
 
 def test_refusing_a_short_request() -> None:
-    """Refusing a short request early in the stop is a violation."""
+    """A refusal of a short booking early in the stop must be reported."""
     request = answered(status=503, retry_after="1")
     found = check(CASE, Evidence([request], [STOPPED], {}, {}))
     assert [item.guarantee for item in found] == [Guarantee.SERVED]
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client with scripted answers, including the faults of each call."""
+"""The store's client with scripted answers: its requests, results and errors."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run on asyncio only; the scripted calls do no input or output."""
+    """Run on asyncio only, as the scripted calls depend on no event loop."""
     return "asyncio"
 
 
 @define(eq=False)
 class ScriptedCalls(HttpCalls):
-    """Calls that a function answers, without a connection."""
+    """HTTP calls that a function answers, without a connection."""
 
     handler: Handler = field(kw_only=True)
 
@@ -65,7 +65,7 @@
 
 
 def answer(status: int, body: Any = None) -> WholeAnswer:
-    """Return an answer with the given bytes, or with a value encoded as JSON."""
+    """Return an answer whose body is the given bytes, or the given value as JSON."""
     content = body if isinstance(body, bytes) else json.dumps(body).encode()
     return WholeAnswer(AnswerHead(status, []), content)
 
@@ -85,7 +85,7 @@
 
 
 def row(key: str, version: int, value: Any, **more: Any) -> dict[str, Any]:
-    """Return a row as the store sends it."""
+    """Return a row of table ``t`` and part ``p`` as the store sends it."""
     text = base64.b64encode(json.dumps(value).encode()).decode()
     address = {"table": "t", "part": "p", "key": key}
     return {**address, "value": text, "version-number": version, **more}
@@ -205,10 +205,11 @@
 
 
 async def test_snapshot_has_the_version_of_its_first_page() -> None:
-    """A change between two pages of a snapshot must be in the feed that follows it.
+    """The feed after a snapshot must contain changes made between two of its pages.
 
-    A server whose row was on the first page began to drain while later pages were read.
-    The feed started after the last page's version, so the router missed the change.
+    A server whose row is on the first page may begin to drain while later pages are
+    read.  With the last page's version, the feed would start after this change, and the
+    router would miss it.
     """
     pages = [
         {"rows": [row("a", 1, 1)], "truncated": True, "version-number": 8},
--- a/tests/platform/weak_gateway.py
+++ b/tests/platform/weak_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway with one guard removed, for the soak to find.
+"""A gateway with one guard removed, to test that the soak detects this.
 
 Run as ``python -m tests.platform.weak_gateway GUARD``.
 """
@@ -15,12 +15,15 @@
 
 
 def trust_nothing_was_used() -> None:
-    """Let a successor return all of its predecessor's grant except what is filed."""
+    """Make a successor return its predecessor's whole grant except the filed charges.
+
+    Tokens that the predecessor spent without filing them are then spent twice.
+    """
     Predecessor.limit = lambda self, workspace: 0  # type: ignore[method-assign]
 
 
 def repeat_everything() -> None:
-    """Let a request that may have run be sent again, whatever its kind."""
+    """Make the gateway resend requests that may have run, whatever their kind."""
     verdict = _forwarder.Forwarder.verdict
 
     def weakened(self, exchange, result):  # type: ignore[no-untyped-def]
@@ -31,7 +34,7 @@
 
 
 def fail_in_a_task() -> None:
-    """Let a task raise an unexpected error, at most some 30 s after the start."""
+    """Make a task raise an unexpected error, usually within some 30 s of the start."""
     expire = BackendTable.expire
 
     def weakened(self: BackendTable, now: float) -> None:
