--- a/ebonyhold/platform/_documents.py
+++ b/ebonyhold/platform/_documents.py
@@ -58,7 +58,7 @@
 
 
 DEFAULT_PRIORITY = 5
-"""Priority of a route that sets none, as engines assume for such requests."""
+"""Default priority of a route; engines assume the same for a request without one."""
 
 
 def seconds(milliseconds: Any) -> float:
--- a/ebonyhold/platform/_headers.py
+++ b/ebonyhold/platform/_headers.py
@@ -119,8 +119,8 @@
     def read_request(self, headers: Headers) -> CallerRequest:
         """Decode the headers of a caller's request.
 
-        Absent numbers of tokens are 0; an absent time limit or event to resume after
-        is None.
+        Absent numbers of tokens are 0.  An absent time limit is None, and so is an
+        absent number of the event after which to resume.
 
         Raises:
             MalformedRequestError: A field is malformed.
@@ -143,7 +143,8 @@
     def dispatch_headers(self, headers: Headers, dispatch: Dispatch) -> Headers:
         """Return the headers to send to a backend server.
 
-        These are the given ones except `NOT_FORWARDED`, and then the gateway's own.
+        These are the caller's fields except `NOT_FORWARDED`, and then the gateway's
+        own.  In a resumed stream, its `RESUME_AFTER` replaces the caller's.
         """
         resumes = dispatch.resume_after is not None
         kept = [
--- a/ebonyhold/platform/_store.py
+++ b/ebonyhold/platform/_store.py
@@ -165,7 +165,7 @@
         except BackendLostError as error:
             raise UnavailableError(f"{path}: {error}") from error
         if answer.head.status == HTTPStatus.GONE:
-            raise HistoryLostError(f"{path}: the store no longer keeps these changes")
+            raise HistoryLostError(path)
         check_status(path, answer)
         return decode_body(path, answer)
 
--- a/tests/platform/kit/_callers.py
+++ b/tests/platform/kit/_callers.py
@@ -72,12 +72,12 @@
     """How a connection failed before the answer was complete.
 
     Attributes:
-        NONE: It did not fail.
-        REFUSED: It could not be established.
-        SILENT: It was not established within `CONNECT_TIMEOUT`.
-        RESET: The gateway reset it.
-        ENDED: The gateway closed it, or sent a malformed answer.
-        HUNG: The answer was not complete after `ANSWER_TIMEOUT`.
+        NONE: No failure.
+        REFUSED: The attempt to connect failed.
+        SILENT: No connection within `CONNECT_TIMEOUT`.
+        RESET: The gateway reset the connection.
+        ENDED: The gateway closed the connection, or sent a malformed answer.
+        HUNG: No complete answer within `ANSWER_TIMEOUT`.
     """
 
     NONE = ""
--- a/tests/platform/soak/_checks.py
+++ b/tests/platform/soak/_checks.py
@@ -27,8 +27,9 @@
 """
 
 FAULT_FREE_TIME = 3.0
-"""A request lost in a stop is a violation only if its VM had no fault in this many
-seconds before the request or the SIGTERM, whichever came first, nor until the loss.
+"""A request lost in a stop is a violation only if its VM had no injected fault from
+this many seconds before the request or the SIGTERM, whichever came first, until the
+loss.
 """
 
 TIME_LIMIT = 5.0
--- a/tests/platform/soak/_run.py
+++ b/tests/platform/soak/_run.py
@@ -334,9 +334,9 @@
             gateway.send(signal.SIGKILL)
 
     def replace(self, gateway: Gateway) -> None:
-        """Start a VM's next process, after killing one that still runs.
+        """Start a VM's next process.
 
-        Another task may have started the latter in the meantime.
+        If one is running, which another task may have started, it is killed first.
         """
         self.kill(gateway)
         if gateway.process is not None:
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -235,8 +235,8 @@
     ) -> None:
         """Run one request, or refuse it with 421 if it names another engine.
 
-        A request selected for the fault `NO_ANSWER` only has its connection closed,
-        unless it resumes a stream.
+        With the fault `NO_ANSWER` the connection is closed without an answer.  Neither
+        a resumed stream nor a target with ``sound`` gets this fault.
         """
         fields = {name.decode(): value.decode() for name, value in head.headers}
         request_id = fields["x-ebonyhold-request-id"]
@@ -277,8 +277,9 @@
     ) -> None:
         """Send the events of an answer.
 
-        A stream selected for the fault `BROKEN_STREAM` closes before event 3, unless it
-        is resumed there or later.
+        With the fault `BROKEN_STREAM` the connection is closed before event 3.  Neither
+        a stream that starts at event 3 or later nor one whose target has ``sound`` gets
+        this fault.
         """
         script = Script.from_target(run.target)
         for number in numbers:
--- a/tests/platform/stops/_findings.py
+++ b/tests/platform/stops/_findings.py
@@ -18,7 +18,7 @@
         CONNECT: The listener accepts connections until the process exits.
         ANSWER: A request that the gateway has read gets its whole answer, or a refusal
             if it did not run.
-        SERVED: Short requests without prepaid tokens are served.
+        SERVED: Short bookings sent soon after SIGTERM are served.
         EXIT: The process exits in time, with code 0 and without logged errors.
         MONEY: Budgets match the tokens served, and no tokens stay outstanding.
     """
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -106,6 +106,6 @@
 @pytest.mark.soak
 @pytest.mark.parametrize("case", LONG_CASES, ids=lambda case: case.name)
 def test_many_moments_of_a_stop_cost_callers_nothing(case: Case) -> None:
-    """The guarantees must hold with ten seeds in each case, including the long ones."""
+    """The guarantees must hold in each case of `LONG_CASES` with ten seeds."""
     lines = text(anyio.run(run_cases, [case], LONG_SEEDS)[case.name])
     assert not lines, lines
--- a/tests/platform/weak_gateway.py
+++ b/tests/platform/weak_gateway.py
@@ -14,7 +14,7 @@
 from ebonyhold.prepaid import Predecessor
 
 
-def trust_nothing_was_used() -> None:
+def assume_nothing_was_used() -> None:
     """Make a successor return its predecessor's whole grant except the filed charges.
 
     Tokens that the predecessor spent without filing them are then spent twice.
@@ -22,7 +22,7 @@
     Predecessor.limit = lambda self, workspace: 0  # type: ignore[method-assign]
 
 
-def repeat_everything() -> None:
+def resend_everything() -> None:
     """Make the gateway resend requests that may have run, whatever their kind."""
     verdict = _forwarder.Forwarder.verdict
 
@@ -46,8 +46,8 @@
 
 
 GUARDS: dict[str, Callable[[], None]] = {
-    "proof": trust_nothing_was_used,
-    "not-run": repeat_everything,
+    "proof": assume_nothing_was_used,
+    "not-run": resend_everything,
     "sound-tasks": fail_in_a_task,
 }
 
