--- a/ebonyhold/platform/_headers.py
+++ b/ebonyhold/platform/_headers.py
@@ -144,7 +144,7 @@
         """Return the headers to send to a backend server.
 
         These are the caller's fields except `NOT_FORWARDED`, and then the gateway's
-        own.  In a resumed stream, its `RESUME_AFTER` replaces the caller's.
+        own.  For a resumed stream, `RESUME_AFTER` is replaced too.
         """
         resumes = dispatch.resume_after is not None
         kept = [
