--- a/ebonyhold/money/_claims.py
+++ b/ebonyhold/money/_claims.py
@@ -31,7 +31,7 @@
 from ebonyhold.types import AttemptId
 
 MAX_CLAIM_TRIES = 5
-"""Maximum tries to write one claim when the write conflicts with others."""
+"""Maximum tries to write one claim that conflicts or whose outcome is unknown."""
 
 
 @frozen
@@ -77,8 +77,8 @@
         """Write the claim, and return the reading on which it is based.
 
         A newer reading is returned if the row changed since `reading`. If the request
-        has completed in the meantime, its answer is to be replayed and no claim is
-        written.
+        has completed in the meantime, no claim is written, and the reading contains the
+        answer to replay.
 
         Raises:
             UnavailableError: The table cannot be reached, or all `MAX_CLAIM_TRIES`
@@ -114,10 +114,10 @@
     async def _reread(
         self, order: Order, reading: ClaimReading, attempt: AttemptId
     ) -> ClaimReading | None:
-        """Read the row again after a commit without success.
+        """Read the row again after a commit that conflicted or has an unknown outcome.
 
         Returns:
-            The new reading; None if the claim took effect.
+            The new reading; None if the row shows that the claim took effect.
         """
         key = reading.request.key
         router, row = await self.table.read((self.router.key, key))
--- a/ebonyhold/money/_demand.py
+++ b/ebonyhold/money/_demand.py
@@ -12,7 +12,7 @@
 """Time after which a request counts for 1/e (about a third) of a new one."""
 
 MIN_WINDOW: Seconds = 300.0
-"""Minimum time over which the demand is averaged, also soon after a first request."""
+"""Minimum time over which demand is averaged, even if the first request is newer."""
 
 
 @define
--- a/ebonyhold/money/_exchange.py
+++ b/ebonyhold/money/_exchange.py
@@ -123,7 +123,9 @@
     def _unreceived_transfer(
         self, grant: WorkspaceGrant, peer: RouterId, have: tuple[str, ...]
     ) -> GivenTransfer | None:
-        """Return an unsettled transfer to a peer that the peer has not received.
+        """Return an unsettled transfer that `peer` has not received; None if none is.
+
+        The names in `have` are those of the transfers that the peer has received.
 
         Sending the transfer again is safe, since a receiver counts each only once.
         """
@@ -152,7 +154,8 @@
     ) -> PeerMessage | None:
         """Journal a transfer from another router, then add its tokens to the grant.
 
-        Repeated and empty transfers, and those for another incarnation, are ignored.
+        Repeated and empty transfers, and those to another incarnation, are ignored. A
+        sealed or draining incarnation ignores all transfers.
         """
         assert isinstance(message, TransferGiven)
         transfer = message.transfer
--- a/ebonyhold/money/_grant_writer.py
+++ b/ebonyhold/money/_grant_writer.py
@@ -46,8 +46,8 @@
         on_discarded: Called once when a settlement can no longer take effect.
         budget: The budget as last read or written; None if it has no row or was not
             read.
-        in_doubt: The settlement that is planned and whose outcome is not known; None if
-            there is none.
+        in_doubt: The planned settlement whose outcome is not known yet; None if there
+            is none.
         reads_started: Number of reads started.
         last_read: Number of the latest read that succeeded; 0 before.
     """
--- a/ebonyhold/money/_incarnations.py
+++ b/ebonyhold/money/_incarnations.py
@@ -21,7 +21,7 @@
 
 
 class Incarnations:
-    """Starts a new incarnation of the router whenever one was sealed.
+    """Starts a new incarnation of the router whenever the current one is sealed.
 
     The router that recovers a sealed incarnation settles its grants, claims and running
     attempts. Requests that were refused with `SealedError` may begin again under the
@@ -108,7 +108,7 @@
 
         Raises:
             UnavailableError: The intent cannot be made durable; nothing ran.
-            SealedError: The permit's incarnation was sealed; begin again.
+            SealedError: The permit's incarnation was sealed; call `begin` again.
         """
         return await self.current.again(permit, backend, boot)
 
--- a/ebonyhold/money/_interface.py
+++ b/ebonyhold/money/_interface.py
@@ -18,7 +18,7 @@
 
 @frozen
 class Order:
-    """Parameters of a request that asks for a permit.
+    """Parameters of a request that needs a permit.
 
     Attributes:
         workspace: The workspace that pays.
--- a/ebonyhold/money/_journal.py
+++ b/ebonyhold/money/_journal.py
@@ -92,14 +92,16 @@
 
 @frozen
 class _Pin:
-    """A run or transfer, by name, whose segments must not be deleted yet."""
+    """Name of a run or transfer whose segments are kept until it is settled."""
 
     name: str
 
 
 @define(eq=False)
 class Journal:
-    """Journal of one incarnation, in the table or else in the object store.
+    """Journal of one incarnation.
+
+    Entries are appended to the table, or to the object store while the table fails.
 
     Entries are appended in the order in which they were queued, and no append starts
     before the previous one is durable or has failed. Recovery relies on that order:
@@ -113,8 +115,9 @@
             the incarnation is closed.
         appended: Number of entries made durable.
         segments: Number of segments written, by target.
-        pins: Names of the runs and transfers that keep each segment in the table.
-        pinned: Numbers of the segments that each run or transfer keeps.
+        pins: Names of the runs and transfers for which a segment is kept in the table,
+            by the segment's number.
+        pinned: Numbers of the segments kept for a run or transfer, by its name.
         deletable: Numbers of the segments that the next appends may delete.
         random: Source of random delays for all tasks of this incarnation.
     """
@@ -147,12 +150,13 @@
     def enqueue(
         self, *entries: JournalEntry, retry: bool = True, lazy: bool = False
     ) -> PendingAppend:
-        """Queue entries; wait on the returned append until they are durable.
+        """Queue entries and return at once; the returned append can be waited for.
 
         Args:
             entries: The entries, which are appended together.
             retry: Whether they stay queued after a failed append.
-            lazy: Whether they may wait for other entries, up to the outcome delay.
+            lazy: Whether the append may be delayed by up to `outcome_delay`, to include
+                later entries.
         """
         append = PendingAppend(entries, retry)
         if self.sealed.is_set():
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -114,7 +114,7 @@
     amount: Tokens,
     operator: str = "",
 ) -> bool:
-    """Return a part of a request's charge to the budget, once for each key.
+    """Return all or part of a request's charge to the budget, once for each key.
 
     Returns:
         Whether this call made the refund; False if an earlier call with the key did.
@@ -155,7 +155,8 @@
         ran: Whether the operator found that the request ran.
 
     Returns:
-        Whether this call settled the request; False if it had been settled that way.
+        Whether this call settled the request; False if it had been settled the same
+            way before.
 
     Raises:
         ValueError: There is no such request, its outcome is known, or it was refunded.
--- a/ebonyhold/money/_options.py
+++ b/ebonyhold/money/_options.py
@@ -17,7 +17,7 @@
         outcome_delay: Maximum time a chat's outcome waits for other journal entries.
             The delay exceeds the filing interval because an outcome need not be written
             if its bill is filed first. If the router crashes before either, recovery
-            looks up the attempt at its engine.
+            looks up the attempt at its backend server.
         bills_per_transaction: Maximum number of bills in one transaction.
         resize_interval: Interval between checks of a grant's size if no request needs
             tokens.
@@ -37,8 +37,8 @@
         max_peers: Maximum number of peers from which tokens are requested in one round.
         give_timeout: Maximum time a giver waits until a transfer is in its journal;
             after that it answers that it gives nothing.
-        deletions_per_append: Maximum number of settled segments that one append to the
-            table deletes.
+        deletions_per_append: Maximum number of settled journal segments that one append
+            to the table deletes.
     """
 
     filing_interval: Seconds = 1.0
--- a/ebonyhold/money/_recovery.py
+++ b/ebonyhold/money/_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of an incarnation by other routers, of which several may do so at once."""
+"""Recovery of an incarnation by other routers; several may recover it at once."""
 
 from __future__ import annotations
 
@@ -193,7 +193,10 @@
     async def _announce_given(
         self, reading: JournalReading
     ) -> dict[WorkspaceName, Tokens]:
-        """Write given transfers to the table, and end those that were lost.
+        """Write missing rows of given transfers, and return tokens of lost transfers.
+
+        A transfer is lost if its receiver was closed without having settled it. Its
+        tokens go back to the budget.
 
         Returns:
             The tokens of transfers that are still pending, by workspace.
--- a/ebonyhold/money/_retention.py
+++ b/ebonyhold/money/_retention.py
@@ -146,7 +146,8 @@
                 continue
             if await self.table.scan(f"{GRANT_PREFIX}{name}/", "", 1):
                 continue
-            # The row is deleted last, so that a later sweep repeats an interrupted one.
+            # The row is deleted last, so that a later sweep completes an interrupted
+            # deletion of the journal.
             while keys := await self.objects.keys(journal_prefix(name)):
                 for key in keys:
                     await self.objects.delete(key)
--- a/ebonyhold/money/_transfer_book.py
+++ b/ebonyhold/money/_transfer_book.py
@@ -36,7 +36,7 @@
 from ebonyhold.types import Tokens, WorkspaceName
 
 MAX_RECEIPTS = 32
-"""Maximum number of received transfers remembered, to be listed in requests.
+"""Maximum number of received transfers that requests for tokens can list.
 
 From the list a giver sees which of its transfers were lost, and sends these again.
 """
@@ -147,10 +147,10 @@
         raise UnavailableError(f"transfer {received.transfer} met other writers")
 
     async def _settle_all_given(self) -> None:
-        """Check all given transfers, unless they were checked a short time ago.
+        """Check all given transfers, at most once per `resize_interval`.
 
-        Transfers that the receiver has settled are dropped. Tokens that it can never
-        settle, because it is closed, become available again.
+        Transfers that their receivers have settled are dropped. If a receiver was
+        closed without settling a transfer, the tokens become available here again.
         """
         now = anyio.current_time()
         if now < self.checked_at + self.options.resize_interval:
@@ -160,7 +160,10 @@
             await self._settle_given(given)
 
     async def announce(self) -> None:
-        """Write unsettled given transfers to the table, where a later sweep ends them.
+        """Write a pending row for each given transfer that is not settled.
+
+        A later sweep finds the rows of lost transfers and returns their tokens to the
+        budget.
 
         Raises:
             PlatformError: The table could not be reached or kept conflicting.
--- a/ebonyhold/money/_treasury.py
+++ b/ebonyhold/money/_treasury.py
@@ -122,7 +122,7 @@
     ) -> None:
         """Run the tasks of journal and grants until the journal is sealed or closed.
 
-        Requests that then still wait for a hold are refused.
+        Requests that still wait for a hold at that time are refused.
         """
         journal = self._journal()
         self._exchange().register_handlers()
@@ -286,9 +286,9 @@
             return None
         bill = make_bill(run.intent, outcome)
         urgent = run.intent.kind is RequestKind.BOOKING
-        # Recovery can look up a chat at its engine, so a chat's outcome may wait. Other
-        # outcomes are written at once: only this router may know that a request did not
-        # run, or the answer of a service.
+        # Recovery can look up a chat at its backend server, so a chat's outcome may
+        # wait. Other outcomes are written at once, because recovery may be unable to
+        # find out that a request did not run, or what a service answered.
         chat = run.intent.kind is RequestKind.CHAT
         lazy = chat and outcome.state is not RequestState.NOT_RUN
         entry = evolve(outcome, charge=bill.charge)
--- a/ebonyhold/money/_upkeep.py
+++ b/ebonyhold/money/_upkeep.py
@@ -22,7 +22,7 @@
 """Mean time between two sweeps, which end pending transfers that were lost."""
 
 DELETE_INTERVAL: Seconds = 6 * 3600.0
-"""Mean time between two deletions of expired rows, which each read every bill."""
+"""Mean time between two deletions of expired rows. Each deletion reads every bill."""
 
 JOB = "upkeep of the money"
 """Key by which the responsible router is chosen; all routers must use the same key."""
@@ -32,7 +32,7 @@
 class Upkeep:
     """Returns the tokens of lost transfers and deletes expired rows.
 
-    Only one responsible router does so. If two routers both consider themselves
+    Only the responsible router does this. If two routers both consider themselves
     responsible, the second finds the work done: every write is conditional on the rows
     that were read.
 
@@ -59,7 +59,7 @@
     delete_at: Seconds = 0.0
 
     async def run(self) -> None:
-        """Call `run_once` at random intervals until cancelled, if responsible.
+        """Call `run_once` at random intervals, if this router is then responsible.
 
         A failure is logged, and the next interval tries again.
         """
--- a/ebonyhold/money/_verify.py
+++ b/ebonyhold/money/_verify.py
@@ -139,7 +139,7 @@
         _, owner, workspace = key.split("/", 2)
         sums[workspace].held += row.held
         # The row of an open router may be below zero for a time: the router may have
-        # given away tokens whose receipt is not settled yet.
+        # given away tokens that it received in a transfer that is not settled yet.
         if row.held < 0 and owner in closed:
             found.append(Discrepancy(key, "holds less than nothing", 0, row.held))
 
--- a/ebonyhold/money/_waiters.py
+++ b/ebonyhold/money/_waiters.py
@@ -77,5 +77,5 @@
         waiter.done.set()
 
     def waiting_before(self, read: int) -> list[Waiter]:
-        """Return the requests that waited before a read of the budget started."""
+        """Return the requests that began to wait before read number `read` started."""
         return [waiter for waiter in self.queue if waiter.reads_before < read]
--- a/ebonyhold/money/_workspace_grant.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -39,7 +39,7 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 MAX_SETTLEMENTS = 50
-"""Maximum settlements in a row before waiting requests are checked for a refusal."""
+"""Maximum settlements in a row, before waiting requests may be refused."""
 
 MAX_SETTLE_TRIES = 8
 """Maximum tries of one settlement that conflicts with other writers."""
@@ -192,7 +192,7 @@
         )
 
     async def run(self) -> None:
-        """Settle this grant in the table until it can be discarded or is sealed.
+        """Settle this grant until it can be discarded or the incarnation is sealed.
 
         Failures of the table are retried; waiting requests are refused in the meantime.
         """
@@ -333,7 +333,7 @@
                 self._unpin_run(run, unfiled.append, filed.verdict)
 
     def _unpin_run(self, run: str, append: PendingAppend, verdict: Verdict) -> None:
-        """Let the journal delete a run's segments, since its bill is settled.
+        """Let the journal delete a run's segments, since the run's bill is settled.
 
         The outcome is withdrawn if it is not written yet, because recovery needs only
         the request's row. If that row keeps another run's bill (`Verdict.LEAVE`), the
@@ -357,9 +357,9 @@
     async def _refuse_unservable(self) -> None:
         """Refuse waiting requests that cannot be served.
 
-        A request is refused at once if the budget, as last read, is exhausted. For the
-        others tokens are requested from peers, and those that then still lack tokens
-        are refused after the maximum wait of the grant policy.
+        A request is refused at once if it exceeds the unspent budget, as last read.
+        For the others, tokens are requested from peers. A request that still lacks
+        tokens is refused when it has waited for the maximum time of the grant policy.
         """
         self._grant_holds()
         for waiter in self.waiters.waiting_before(self.writer.last_read):
--- a/ebonyhold/prepaid/_account.py
+++ b/ebonyhold/prepaid/_account.py
@@ -42,10 +42,10 @@
 log = logging.getLogger(__name__)
 
 MAX_ATTEMPTS = 12
-"""Maximum attempts to commit in one round, if each conflicts with another router."""
+"""Maximum number of commits tried in one round, while each of them conflicts."""
 
 CONFLICT_BACKOFF: Seconds = 0.02
-"""Maximum random delay after a first conflict.
+"""Maximum random delay after the first conflict of a round.
 
 The maximum doubles with each of the next four conflicts, up to 0.32 s.  When several
 routers draw on one budget, only one transaction can succeed at a time, and the failed
@@ -66,7 +66,8 @@
         workspace: The workspace that owns the budget.
         router: The router that owns the grant.
         store: The store of budgets and grants.
-        prepaid: Returns the configuration's version and its prepaid tokens.
+        prepaid: Returns the configuration's version and the workspace's prepaid tokens
+            in that configuration.
         routers: Returns how many routers share the budget.
         default_typical: Returns the typical request size over all workspaces of this
             router; 0 if unknown.
@@ -79,7 +80,8 @@
         policy: Computes how much to draw or return.
         demand: The estimated demand at this router.
         grant: The grant's ledger and its stored rows.
-        asked: Total of the tokens needed by requests that wait for a draw or a renewal.
+        asked: Total tokens needed by the requests and transfers that wait for a draw
+            or a renewal.
         reachable: Whether the last completed round reached the store.
         closing: Whether the process is shutting down.  Nothing is drawn any more,
             because it would not be returned.
@@ -111,7 +113,7 @@
         self.grant = Grant(self.workspace, self.router, self.store, self.routers)
 
     def limit(self) -> Tokens:
-        """Return how many tokens may be used by now, since the incarnation started."""
+        """Return the maximum number of tokens that this incarnation may have used."""
         return self.limits.limit(self.workspace, anyio.current_time())
 
     def try_hold(self, amount: Tokens) -> bool:
@@ -189,7 +191,7 @@
 
     @property
     def usable(self) -> Tokens:
-        """Available tokens, as far as the current limit allows their use."""
+        """Number of available tokens that may be used within the current limit."""
         headroom = self.limit() - self.grant.used
         return max(0, min(self.grant.ledger.available, headroom))
 
@@ -222,7 +224,7 @@
         return given
 
     def log_refusal(self, amount: Tokens, request: RequestId) -> None:
-        """Log a refusal with the budget and limit behind it and their ages."""
+        """Log a refused hold with the cached budget, the limit and the age of each."""
         budget = self.budget
         log.info(
             "tokens refused",
@@ -257,7 +259,7 @@
             self.asked -= amount
 
     async def draw(self) -> None:
-        """Draw what waiting requests lack, unless another task has just done so.
+        """Run a round, unless another task has drawn the needed tokens in the meantime.
 
         A store error is only logged.
         """
--- a/ebonyhold/prepaid/_allowance.py
+++ b/ebonyhold/prepaid/_allowance.py
@@ -31,7 +31,7 @@
 
 
 HEADROOM_RENEWALS = 4.0
-"""Headroom while the store is slow: the demand during this many renewal delays."""
+"""Number of renewal delays for which the headroom covers the expected demand."""
 
 MAX_HEADROOM = 2.0
 """Maximum headroom of a limit, in requests of the typical size."""
@@ -48,7 +48,7 @@
         rate: Expected demand, in tokens per second.
         typical: Typical request size, in tokens.
         cover: Tokens that should be available when an outage begins.
-        horizon: Length of the outage that `cover` and the later rate are meant for.
+        horizon: Length of the outage for which `cover` and `later_rate` are computed.
         level: Unspent fraction of the budget.
         delay: Typical time until a renewal is acknowledged.
     """
@@ -85,7 +85,8 @@
     If the mean demand of an outage is less than one request, it is no useful estimate.
     The limit then has headroom for one request and grows by `cover` during an outage.
 
-    Headroom, early rate and that growth are reduced as the budget is spent.
+    The headroom, the early rate and the growth by `cover` are smaller if less of the
+    budget is left.
     """
     factor = allowance_factor(inputs.level)
     mean = inputs.rate * inputs.horizon
--- a/ebonyhold/prepaid/_books.py
+++ b/ebonyhold/prepaid/_books.py
@@ -21,7 +21,7 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 REREAD_INTERVAL: Seconds = 0.2
-"""Minimum time between budget reads while requests need more than it has left.
+"""Minimum time between two reads of a budget that has too few tokens left to draw.
 
 Otherwise each refused request would cost two store calls.  Five reads a second for
 each workspace are enough to notice tokens that other routers return.
@@ -91,9 +91,10 @@
         """Return whether a request exceeds the budget even if all grants are returned.
 
         Other routers may return their grants, so only filed charges and this router's
-        own unfiled ones count as spent.  Because of unfiled charges of other routers,
-        the result may be False for an exhausted budget; the caller then retries once
-        more.  It is also False if the cached budget is unknown or too old to decide.
+        own unfiled ones count as spent.  The unfiled charges of other routers are not
+        known here, so the result may be False for an exhausted budget; the refused
+        request may then be retried.  The result is also False if the cached budget is
+        unknown or too old to decide.
 
         Args:
             amount: Maximum cost of the request.
@@ -176,7 +177,7 @@
         return rows
 
     def update_from_conflict(self, conflict: ConflictError) -> None:
-        """Cache the rows of a conflict response, or mark both as unknown if one lacks.
+        """Cache both rows of a conflict response; if one is missing, cache none.
 
         Many routers write the same budget.  Reading both rows after each conflict
         would take two more calls, and make the next conflict more likely.
--- a/ebonyhold/prepaid/_changes.py
+++ b/ebonyhold/prepaid/_changes.py
@@ -98,5 +98,5 @@
 
 
 def check_version(key: str, version: int) -> Check:
-    """Return the check that a row has a version, or is absent if the version is 0."""
+    """Return the check for a row's version; version 0 means that the row is absent."""
     return AtVersion(key, version) if version else Absent(key)
--- a/ebonyhold/prepaid/_demand.py
+++ b/ebonyhold/prepaid/_demand.py
@@ -14,7 +14,8 @@
     """Estimates the demand in tokens per second and the typical request size.
 
     Attributes:
-        time_constant: Time after which a request counts for about a third.
+        time_constant: Time after which a request's weight has decayed to 1/e (about a
+            third).
         weight: Sum of the requested tokens, in which each request decays with its age.
         started_at: When the first request was counted; None before.
         updated_at: When `weight` was last updated.
@@ -28,7 +29,7 @@
     typical: float = 0.0
 
     def record(self, amount: Tokens, now: Seconds) -> None:
-        """Add a request whose tokens were held to the estimate."""
+        """Add a request to the estimate; only requests that got a hold are recorded."""
         if self.started_at is None:
             self.started_at = now
             self.typical = float(amount)
--- a/ebonyhold/prepaid/_grant.py
+++ b/ebonyhold/prepaid/_grant.py
@@ -64,8 +64,8 @@
     def used(self) -> Tokens:
         """Tokens of the stored grant that are charged, held or given away.
 
-        Tokens received from other routers are subtracted.  They are not part of this
-        router's grant row, from which a successor computes the unused tokens.
+        Tokens received from other routers are subtracted.  They do not count as drawn
+        in this router's grant row, from which a successor computes the unused tokens.
         """
         return self.charged + self.ledger.held + self.net_given
 
@@ -100,8 +100,8 @@
     async def reclaim(self, predecessor: Predecessor) -> None:
         """Move the tokens that a predecessor provably left unused to this grant.
 
-        Nothing is moved if the predecessor has no grant or provably left no tokens.  No
-        change may be in doubt when this is called.
+        Nothing is moved if the predecessor has no grant, or may have used all its
+        tokens.  No change may be in doubt when this method is called.
 
         Raises:
             PlatformError: The store call failed, or another router changed a row first.
--- a/ebonyhold/prepaid/_holders.py
+++ b/ebonyhold/prepaid/_holders.py
@@ -1,12 +1,12 @@
 """The choice of the routers that hold a workspace's tokens.
 
 If every router of a large fleet drew on a budget, the grants would be smaller than a
-request.  Instead a few routers, the workspace's holders, draw on it, and every other
-router has a holder set the tokens of each request aside.  All routers compute the same
-holders.
+request.  Instead a few routers, the workspace's holders, draw on it.  Every other
+router requests a hold from a holder for each of its requests.  All routers compute the
+same holders.
 
-This matters if a workspace's requests are spread over so many routers that each router
-receives one only once in many seconds.
+Holders are useful if a workspace's requests are spread over so many routers that each
+router receives one only once in many seconds.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 SMALL_FLEET = 12
 """Number of routers up to which each router is a holder of every workspace.
 
-Even shares of a budget are then large compared with a request, and each router serves
-its own callers without a call to another one.
+In such a fleet, an equal share of a budget is large compared with a request, and each
+router serves its own callers without a call to another router.
 """
 
 MIN_HOLDERS = 6
--- a/ebonyhold/prepaid/_lent.py
+++ b/ebonyhold/prepaid/_lent.py
@@ -72,8 +72,8 @@
 
         Returns:
             `HELD`, or why not: `EXHAUSTED` or `UNREACHABLE` if the grant refused, and
-            `UNAVAILABLE` if this router stops, knows no budget of the workspace, or has
-            received the settlement already.
+            `UNAVAILABLE` if this router is about to stop, the workspace has no budget,
+            or the hold's settlement has already arrived.
         """
         grant = None if self.closing() else self.find_grant(wanted.workspace)
         if grant is None:
@@ -94,8 +94,8 @@
     def settle(self, hold: HoldId, charge: Tokens) -> None:
         """End a hold and charge `charge`, limited to the range from 0 to the hold.
 
-        The settlement of an unknown hold charges nothing; it was sent twice, or
-        arrived before the request for the hold.
+        The settlement of an unknown hold charges nothing.  Such a settlement was sent
+        twice, or arrived after the hold expired or before the request for the hold.
         """
         remote = self.open.pop(hold, None)
         if remote is None:
--- a/ebonyhold/prepaid/_limits.py
+++ b/ebonyhold/prepaid/_limits.py
@@ -1,9 +1,9 @@
 """How many tokens of its grants a router may use, according to its stored renewals.
 
 With each renewal a router stores, for each grant, how many tokens it may have used by
-then (the *ceiling*) and the rate at which that number may grow afterwards.  It never
-uses more.  If it is killed, its successor on the same VM can compute from the last
-renewal and the time since then how many tokens were certainly left unused.
+then (the *ceiling*) and the rates at which that number may grow afterwards.  The router
+never uses more.  If it is killed, its successor on the same VM can compute from the
+last renewal and the time since then how many tokens were certainly left unused.
 
 The growth serves requests during an outage of the store, when no renewal succeeds.
 Because the limit grows with time, a kill during normal operation loses few tokens, and
@@ -140,13 +140,14 @@
     def not_lowered(
         self, workspace: WorkspaceName, limit: SpendingLimit, now: Seconds
     ) -> SpendingLimit:
-        """Return a limit raised to at least the limits of all possible renewals."""
+        """Return a limit raised to the current limit and to the highest rates sent."""
         sent = [r.limits.get(workspace, ZERO_LIMIT) for r in self.possible]
         later = max(limit.later_rate, *(s.later_rate for s in sent))
         early = max(limit.early_rate, *(s.early_rate for s in sent))
-        # After `EARLY_PERIOD` the limits already grow at the later rate, and must not
-        # return to the early one.  With the later rate before that, a kill of the
-        # router could lose a tenth of a budget.
+        # After `EARLY_PERIOD` the limits already grow at the later rate, and a new
+        # renewal must not slow them down to the early rate.  Before the end of that
+        # period the early rate is kept: if the limits grew at the later rate from the
+        # start, a kill of the router could lose a tenth of a budget.
         long_outage = self.age(now) > EARLY_PERIOD
         ceiling = max(limit.ceiling, self.limit(workspace, now))
         return SpendingLimit(ceiling, later if long_outage else early, later)
--- a/ebonyhold/prepaid/_purse.py
+++ b/ebonyhold/prepaid/_purse.py
@@ -19,8 +19,8 @@
 MAX_HOLDERS_ASKED = 3
 """Maximum number of holders tried for one request, one after the other.
 
-Each holder that does not answer delays the request.  If three do not, this router is
-probably cut off from all others, and holds tokens of its own grant.
+Each holder that does not answer delays the request.  If three do not answer, this
+router is probably cut off from all others.  It then holds tokens of its own grant.
 """
 
 
@@ -31,7 +31,7 @@
     EXHAUSTED = "exhausted"
     UNREACHABLE = "unreachable"
     UNAVAILABLE = "unavailable"
-    """No tokens are held, but the next holder or the own grant may be tried."""
+    """No tokens are held; the next holder or this router's own grant may be tried."""
 
 
 @frozen
--- a/ebonyhold/prepaid/_reclaim.py
+++ b/ebonyhold/prepaid/_reclaim.py
@@ -47,7 +47,7 @@
     limits: Limits = field(factory=dict)
 
     def limit(self, workspace: WorkspaceName) -> Tokens:
-        """Return how many tokens of a grant the predecessor can have used at most."""
+        """Return the maximum number of tokens of a grant that may have been used."""
         limit = self.limits.get(workspace, ZERO_LIMIT)
         return limit.after(self.elapsed + CLOCK_MARGIN)
 
--- a/ebonyhold/prepaid/_transfers.py
+++ b/ebonyhold/prepaid/_transfers.py
@@ -2,9 +2,10 @@
 
 The giver counts transferred tokens as used, within its limit, before it answers.  The
 receiver does not add them to the drawn tokens of its own grant row, from which a
-successor computes the unused ones.  So each grant can still be reclaimed by its own row
-and limit, and if the answer is lost, neither router can spend the tokens.  Both routers
-file the transferred tokens in their rows with the next change of their grants.
+successor computes the unused ones.  So a successor can still compute the unused tokens
+of each grant from that grant's row and limit alone.  If the answer is lost, neither
+router can spend the tokens.  Both routers file the transferred tokens in their rows
+with the next change of their grants.
 
 Transfers serve requests at a router that has no tokens of its own while the store is
 unreachable, or while all tokens of the budget are granted to routers.
--- a/ebonyhold/prepaid/_treasury.py
+++ b/ebonyhold/prepaid/_treasury.py
@@ -72,8 +72,8 @@
         options: The options of the prepaid budgets.
         accounts: The grants opened so far, by workspace.
         paused_until: Earliest time of each grant's first round after an outage.
-        guard: Runs a function and returns whether it succeeded.  An unexpected error
-            in the return of one grant must not end the return of the others.
+        guard: Runs a function, catches unexpected errors and returns whether there were
+            none.  So after an error in one grant, `close` still returns the others.
         closing: Whether the process is shutting down.  No tokens are drawn or reclaimed
             any more, because they might not be returned.
         holds: Number of request holds created so far; numbers their identifiers.
@@ -147,8 +147,8 @@
     def configured_budget(self, workspace: WorkspaceName) -> tuple[int, Tokens]:
         """Return the configuration's version and a workspace's prepaid tokens.
 
-        Both are 0 if the workspace has no budget.  A stored budget then stays as it is,
-        because its version is never below 0.
+        Both are 0 if the workspace has no budget.  A stored budget is then not changed:
+        only a version above the stored one changes it, and 0 is never above.
         """
         version, prepaid = self.prepaid(workspace)
         return (version, prepaid) if prepaid is not None else (0, 0)
@@ -175,11 +175,12 @@
                     tasks.start_soon(self.maintain, grant)
 
     def stock_unmet(self) -> None:
-        """Open grants of held workspaces before their first request, at random times.
+        """Open grants before the first request of their workspaces.
 
-        Otherwise the first request of a workspace would find no tokens during an
-        outage.  The random times spread the first draws of routers that start together
-        and would otherwise conflict at each budget.
+        Otherwise that request would find no tokens during an outage.  Only grants of
+        workspaces of which this router is a holder are opened, at random times.  This
+        spreads the first draws of routers that start together, which would otherwise
+        conflict at each budget.
         """
         if self.closing or not self.fleet_known():
             return
@@ -218,9 +219,9 @@
     async def reclaim(self, predecessor: Predecessor) -> bool:
         """Reclaim the tokens that a predecessor provably left unused in its grants.
 
-        Only grants that the predecessor's limits list can have been used.  A grant that
-        the predecessor drew just before it was killed may be missing there, and is not
-        reclaimed.
+        Only the grants listed in the predecessor's limits are reclaimed.  A grant drawn
+        just before the predecessor was killed may not be listed; its tokens stay
+        granted, though none of them was used.
 
         Returns:
             False if a grant could not be reclaimed or the process is shutting down,
--- a/ebonyhold/prepaid/_types.py
+++ b/ebonyhold/prepaid/_types.py
@@ -88,7 +88,8 @@
 
     Attributes:
         transaction: The transaction.
-        after: Both rows after the commit, with 0 in place of their new versions.
+        after: Both rows after the commit.  Their version fields are not set, because
+            the new versions are known only after the commit.
         drawn: Tokens moved from the budget to the grant.
         returned: Tokens moved back to the budget; they were removed from the ledger
             before the change is sent.
@@ -118,8 +119,9 @@
         tick: Interval between two periodic checks of a grant.
         draw_timeout: Maximum time that a request, or another router's request for a
             transfer, waits for tokens from the store.
-        file_after: Time after the last filing from which a periodic check files new
-            charges even if no tokens are moved, so that operators see recent spending.
+        file_after: Maximum age of the last filing.  After that time a periodic check
+            files new charges even if it moves no tokens, so that operators see recent
+            spending.
         demand_time_constant: Time constant of the exponential decay in the demand
             estimate.
     """
--- a/tests/money/chaos.py
+++ b/tests/money/chaos.py
@@ -193,7 +193,7 @@
         if manager.me not in self.fleet.routers:
             return
         if forgotten:
-            # The engine was restarted in the meantime, and the stream broke.
+            # The backend server was restarted in the meantime, and the stream broke.
             state = RequestState.UNKNOWN
             await manager.finish(permit, _outcome(permit, state, wanted.hold))
             return
@@ -349,7 +349,7 @@
         self.check_runs()
 
     def check_runs(self) -> None:
-        """Check that no run that the engine started has a row in state `NOT_RUN`."""
+        """Check that no run started by the backend server has the state `NOT_RUN`."""
         for row_key in self.fleet.table.matching("request/", "", 100_000):
             _, workspace, name = row_key.key.split("/")
             row = request(self.fleet, workspace, name)
--- a/tests/money/test_operators.py
+++ b/tests/money/test_operators.py
@@ -95,7 +95,7 @@
 
 
 def test_ruling_on_a_run_without_evidence() -> None:
-    """The engine has lost an attempt, and the policy is not to charge the hold.
+    """The backend server lost an attempt, and the policy is not to charge the hold.
 
     The hold stays stranded, and the run is listed until an operator settles it.
     """
--- a/tests/money/test_partitions.py
+++ b/tests/money/test_partitions.py
@@ -70,9 +70,10 @@
 def test_paused_router_resumes_after_recovery() -> None:
     """A router is paused between its durable intent and the dispatch.
 
-    In the meantime another router recovers it, and its caller retries there. When it
-    resumes and dispatches, the engine refuses the closed attempt, and its next append
-    finds the seal, in the table or in the object store.
+    In the meantime another router recovers the paused one, and the caller retries
+    there. When the paused router resumes and dispatches, the backend server refuses the
+    closed attempt. The next append of that router's journal finds the seal, in the
+    table or in the object store.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -99,10 +100,10 @@
 
 
 def test_paused_router_resumes_after_its_journal_was_deleted() -> None:
-    """A router is paused until it was recovered and its journal was deleted.
+    """A router is paused while it is recovered and its journal is deleted.
 
-    Its seal in the object store must be kept. Otherwise the router would find its next
-    segment number free and spend from a grant that was returned.
+    The journal's seal in the object store must be kept. Otherwise the router would find
+    its next segment number free and spend from a grant that was returned.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -243,7 +244,7 @@
 
 
 def test_engine_that_exceeds_its_bound() -> None:
-    """An engine generates more than its bound; the workspace pays only the hold."""
+    """A chat costs more than its hold; the workspace pays only the hold."""
 
     async def scenario(fleet: MemoryFleet) -> None:
         await fleet.top_up("w", 100, "t")
@@ -261,7 +262,7 @@
 
 
 def test_begin_before_registration_is_refused() -> None:
-    """A router without its row must refuse requests, as it could not be recovered."""
+    """A router without a row cannot be recovered, so it must refuse requests."""
 
     async def scenario(fleet: MemoryFleet) -> None:
         manager = Treasury("a.1", fleet.table, fleet.objects, lambda: fleet.policy)
--- a/tests/money/test_platform_faults.py
+++ b/tests/money/test_platform_faults.py
@@ -153,8 +153,8 @@
 def test_router_crashes_during_table_outage() -> None:
     """A router crashes during a table outage, with its last bills only in the store.
 
-    Recovery fails until the table is back, then bills from the journal in the object
-    store.
+    Recovery fails until the table is back, then files the bills from the journal in the
+    object store.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -274,7 +274,7 @@
 def test_refusal_is_exhausted_only_if_the_table_shows_it(
     prepaid: int, reachable: bool, error: type[EbonyholdError]
 ) -> None:
-    """A request is refused as exhausted only if the table shows that the budget is.
+    """A request is refused as exhausted only if the budget in the table is exhausted.
 
     While other requests hold the last tokens, or the table cannot be read, callers must
     be allowed to retry, and not be made to buy more tokens.
@@ -299,8 +299,8 @@
     """A request is refused as not run, and its intent reaches the journal later.
 
     The appends to the table and the object store are delayed until after the refusal.
-    Then the router crashes and the engine restarts. The outcome that follows the intent
-    shows that nothing ran, so the caller must not be charged.
+    Then the router crashes and the backend server restarts. The outcome that follows
+    the intent shows that nothing ran, so the caller must not be charged.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/money/test_router_crashes.py
+++ b/tests/money/test_router_crashes.py
@@ -100,8 +100,8 @@
     """A chat is billed once, whenever its router crashes.
 
     The router crashes at the given step. Another router seals its journal, looks up the
-    open attempts at the engine, files the bill and returns the rest of the grant. A
-    second recovery of the same router changes nothing.
+    open attempts at the backend server, files the bill and returns the rest of the
+    grant. A second recovery of the same router changes nothing.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
@@ -131,9 +131,9 @@
 def test_chat_whose_engine_restarted(
     rule: UnknownOutcome, state: RequestState | None, spent: int, outstanding: int
 ) -> None:
-    """An engine restarts after the router crashed, so the chat's outcome is unknown.
+    """A backend server restarts after a router crash, so a chat's outcome is unknown.
 
-    The engine reports that the attempt never ran, but under another boot identifier, so
+    The server reports that the attempt never ran, but under another boot identifier, so
     its report proves nothing. The policy in the document decides: the hold is charged,
     or it stays stranded and is listed until an operator settles it.
     """
@@ -309,8 +309,8 @@
 def test_request_that_ends_after_its_router_stopped() -> None:
     """A stream ends after the daemon has stopped its tasks.
 
-    Settling it must not fail. The outcome is lost with the process, and recovery looks
-    up the attempt at the engine.
+    Settling the request must not fail. Its outcome is lost with the process, so
+    recovery looks up the attempt at the backend server.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/money/test_transfers.py
+++ b/tests/money/test_transfers.py
@@ -181,9 +181,9 @@
 
 
 def test_transfer_that_arrives_twice() -> None:
-    """Guards against counting a transfer twice that is delivered three times.
+    """Guards against counting a transfer more than once.
 
-    Two of the deliveries arrive at the same time.
+    The transfer is delivered three times, two of them at the same time.
     """
 
     async def scenario(fleet: MemoryFleet) -> None:
--- a/tests/prepaid/kit.py
+++ b/tests/prepaid/kit.py
@@ -76,7 +76,7 @@
     Attributes:
         vm: The VM of the router that sends the requests.
         routers: All routers by VM.
-        lose: Number of the next transfers whose answers are lost.
+        lose: How many of the next transfers lose their answers.
     """
 
     vm: str
--- a/tests/prepaid/test_account.py
+++ b/tests/prepaid/test_account.py
@@ -141,7 +141,7 @@
 
 
 async def test_request_above_the_limit_raises_it() -> None:
-    """The grant covers a large request, but the limit allows only a usual one."""
+    """The grant covers a large request, but a renewal must raise the limit first."""
     history = RowHistory()
     one = router(history, 1_000_000)
     await one.renew()
@@ -217,8 +217,8 @@
 async def test_older_configuration_does_not_restore_a_budget() -> None:
     """Guards against restoring a lowered budget.
 
-    One router has the newer configuration, another one still has the older one with the
-    larger budget, and must not write it.
+    One router has the newer configuration.  Another one still has the older one with
+    the larger budget, and must not write that budget.
     """
     history = RowHistory()
     one = router(history, 100_000)
@@ -266,9 +266,9 @@
 ) -> None:
     """Guards against losing returned tokens after an unexpected exception.
 
-    The store client raises it for a return of tokens, which have left the ledger.  If
-    the change were not recorded as in doubt, the tokens would neither be added back nor
-    counted as returned.
+    The store client raises the exception while tokens are returned that have already
+    left the ledger.  If the change were not recorded as in doubt, the tokens would
+    neither be added back nor counted as returned.
     """
     history = RowHistory()
     one = router(history)
--- a/tests/prepaid/test_histories.py
+++ b/tests/prepaid/test_histories.py
@@ -42,7 +42,7 @@
     Attributes:
         seed: Seed of all random choices.
         weaken: Removes a safeguard from each new incarnation of a router.
-        assume: Changes what a successor knows about its predecessor.
+        assume: Changes the limits of a predecessor before its successor reclaims.
         history: The store.
         routers: The current incarnation of each VM's router.
         prepaid: The configured budgets, the latest last.
@@ -182,7 +182,7 @@
         setattr(faults, switch, 1)
 
     async def kill(self) -> None:
-        """Kill a router and start its successor; its requests cost their whole holds.
+        """Kill a router, charge its requests' whole holds, and start its successor.
 
         Delayed writes of the killed router take effect after the start.
         """
--- a/tests/prepaid/test_holder_histories.py
+++ b/tests/prepaid/test_holder_histories.py
@@ -81,8 +81,8 @@
     async def start_request(self) -> None:
         """Start a request with a local or a remote hold.
 
-        Some requests for a remote hold are given up, and settled with a charge of 0
-        after the request for the hold arrives, and sometimes also before.
+        Some remote holds are given up: they are settled with a charge of 0 after the
+        request for the hold has arrived, and sometimes also before.
         """
         if self.random.random() < 0.4:
             await super().start_request()
--- a/tests/prepaid/test_limits.py
+++ b/tests/prepaid/test_limits.py
@@ -12,7 +12,7 @@
 def in_doubt(age: float) -> LimitBook:
     """Return limits with a confirmed renewal and one in doubt.
 
-    They were sent at 0 s and at `age` seconds.
+    These renewals were sent at 0 s and at `age` seconds.
     """
     limits = LimitBook()
     limits.took_effect(limits.propose(WANTED, 0.0).number)
@@ -34,9 +34,9 @@
 ) -> None:
     """Guards against the wrong rate if a renewal is confirmed after one in doubt.
 
-    At the later rate soon after a renewal, a power cut of all VMs would lose a tenth of
-    a budget.  In a long outage the later rate must stay, because each renewal would
-    otherwise restart the early period.
+    If limits grew at the later rate soon after a renewal, a power cut of all VMs would
+    lose a tenth of a budget.  In a long outage they must keep the later rate, because
+    each renewal would otherwise restart the early period.
     """
     limits = in_doubt(age)
     renewal = limits.propose(WANTED, age)
--- a/tests/prepaid/test_treasury.py
+++ b/tests/prepaid/test_treasury.py
@@ -48,8 +48,7 @@
 async def test_stopping_router_retries_returns_until_its_timeout() -> None:
     """Guards against giving up long before the timeout while writes are throttled.
 
-    The tokens would stay granted: after a stop no successor reclaims them, because the
-    stop removes the row of the router's limits.
+    The tokens would stay granted until a successor of this router reclaims them.
     """
     history = RowHistory()
     one = router(history)
@@ -97,9 +96,9 @@
 async def test_grant_opened_during_the_return_draws_nothing(late: str) -> None:
     """Guards against draws of a grant that is opened while a router returns its grants.
 
-    Either a request opens the grant, or the task that opens grants ahead of requests.
-    The return covers only grants that were open when it began, so the tokens of the
-    new grant would stay granted.
+    The grant is opened by a request, or by the task that opens grants ahead of
+    requests.  The return covers only grants that were open when it began, so the tokens
+    of the new grant would stay granted.
     """
     history = RowHistory()
     one = router(history)
@@ -125,8 +124,8 @@
 async def test_grant_opened_after_the_return_draws_nothing() -> None:
     """Guards against draws of a grant that is opened after the return of all grants.
 
-    Nothing would return its tokens: the return is over, and the stop removes the row of
-    limits without which no successor can reclaim them.
+    Nothing would return its tokens: the return is over, and a stop that returned all
+    grants removes the row of limits, without which no successor can reclaim them.
     """
     history = RowHistory()
     one = router(history)
