--- a/ebonyhold/operators/__init__.py
+++ b/ebonyhold/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators: the daemon's control interface and its client."""
+"""The HTTP interface for operators of a router, and its client."""
 
 from ebonyhold.operators._accounts import TableAccounts
 from ebonyhold.operators._app import OperatorsApp
--- a/ebonyhold/operators/_accounts.py
+++ b/ebonyhold/operators/_accounts.py
@@ -1,4 +1,4 @@
-"""Budgets and bills as the platform's table has them."""
+"""Budgets and bills, read from and written to the platform's table."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 from ebonyhold.scans import scan_rows
 from ebonyhold.types import RequestId, Tokens, WorkspaceName
 
-BUDGETS_AT_ONCE = 200
-"""Rows of one read."""
+BUDGETS_PER_READ = 200
+"""Maximum number of budget rows in one read of the table."""
 
 
 @frozen
 class TableAccounts:
-    """The `BudgetSource` and the `BillSource` of a table."""
+    """Implements `BudgetSource` and `BillSource` on a table."""
 
     table: Table
 
     async def budgets(
         self, workspaces: tuple[WorkspaceName, ...]
     ) -> tuple[Budget, ...]:
-        """Return budgets; a workspace without a row has all zeros."""
+        """Return the budget of each workspace, all zeros if it has no row."""
         found: list[Budget] = []
-        for first in range(0, len(workspaces), BUDGETS_AT_ONCE):
-            names = workspaces[first : first + BUDGETS_AT_ONCE]
+        for first in range(0, len(workspaces), BUDGETS_PER_READ):
+            names = workspaces[first : first + BUDGETS_PER_READ]
             rows = await self.table.read(tuple(budget_key(name) for name in names))
             found.extend(map(budget_of, names, rows))
         return tuple(found)
@@ -51,7 +51,7 @@
     async def top_up(
         self, workspace: WorkspaceName, key: str, amount: Tokens, operator: str
     ) -> Budget:
-        """Add prepaid tokens; the same key adds them once.
+        """Add prepaid tokens once per key, and return the new budget.
 
         Raises:
             BudgetError: The key was used for another amount.
@@ -70,11 +70,11 @@
         amount: Tokens,
         operator: str,
     ) -> Budget:
-        """Give billed tokens back; the same key gives them back once.
+        """Refund billed tokens once per key, and return the new budget.
 
         Raises:
-            BudgetError: The request was not billed as much, or the key was used
-                for another refund.
+            BudgetError: The request has no bill, the amount exceeds what is left
+                of its charge, or the key was used for another refund.
         """
         try:
             await refund(self.table, workspace, request, key, amount, operator)
@@ -83,7 +83,7 @@
         return (await self.budgets((workspace,)))[0]
 
     async def bills(self, workspace: WorkspaceName, after: str, limit: int) -> BillPage:
-        """Return a page of a workspace's requests, in the order of their keys."""
+        """Return a page of a workspace's bills and claims, ordered by request id."""
         prefix = request_key(workspace, "")
         last = request_key(workspace, after) if after else ""
         rows = await self.table.scan(prefix, last, limit)
@@ -100,10 +100,11 @@
     async def rule(
         self, workspace: WorkspaceName, request: RequestId, *, ran: bool
     ) -> None:
-        """Settle a bill whose outcome is unknown, on an operator's word.
+        """Record whether a request with an unknown outcome ran, and settle its bill.
 
         Raises:
-            BudgetError: There is no such bill, or its outcome is known.
+            BudgetError: There is no such bill, its outcome is known and different,
+                or a charge to be removed was partly refunded.
         """
         try:
             await rule(self.table, workspace, request, ran=ran)
@@ -111,7 +112,10 @@
             raise BudgetError(str(error)) from error
 
     async def verify(self, workspaces: tuple[WorkspaceName, ...]) -> Verification:
-        """Check that the rows of these workspaces, or all rows, add up."""
+        """Check the rows of these workspaces, or all rows if none is given.
+
+        The whole table is read in both cases.
+        """
         wanted = set(workspaces)
         found = [
             Discrepancy(workspace_of(each.key), each.finding, each.expected, each.found)
@@ -122,18 +126,18 @@
         return Verification(count, tuple(found))
 
     async def count_budgets(self) -> int:
-        """Return how many budgets the table has."""
+        """Return the number of budget rows in the table."""
         return len([row async for row in scan_rows(self.table, BUDGET_PREFIX)])
 
 
 def budget_of(workspace: WorkspaceName, row: Row | None) -> Budget:
-    """Return a budget from its row."""
+    """Return the budget in a row, or one of all zeros if there is no row."""
     value = BudgetRow() if row is None else from_json(row.value, BudgetRow)
     return Budget(workspace, value.prepaid, value.outstanding, value.spent)
 
 
 def workspace_of(key: str) -> WorkspaceName:
-    """Return the workspace that a row is about.
+    """Return the workspace in the key of a row.
 
     >>> workspace_of("grant/r.1/w"), workspace_of("request/w/q")
     ('w', 'w')
--- a/ebonyhold/operators/_app.py
+++ b/ebonyhold/operators/_app.py
@@ -21,7 +21,7 @@
 from ebonyhold.operators import _recovery_endpoints as _recovery_endpoints
 from ebonyhold.operators import _status_endpoints as _status_endpoints
 from ebonyhold.operators._context import OperatorsContext, endpoints
-from ebonyhold.operators._document_endpoints import OPERATOR
+from ebonyhold.operators._document_endpoints import OPERATOR_SCOPE_KEY
 from ebonyhold.operators._errors import (
     NotFoundError,
     Refusal,
@@ -35,19 +35,22 @@
 
 @frozen
 class OperatorsApp:
-    """Answers operators, the metrics collector and health checks."""
+    """Handles requests of operators, metrics collectors and health checks."""
 
     context: OperatorsContext
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one ASGI connection."""
+        """Handle an HTTP request or the lifespan events; ignore other scopes."""
         if scope["type"] == "lifespan":
             await answer_lifespan(receive, send)
         elif scope["type"] == "http":
             await self.answer(Request(scope, receive), send)
 
     async def answer(self, request: Request, send: Send) -> None:
-        """Answer one request, whatever goes wrong."""
+        """Handle one request; answer errors with a refusal in JSON.
+
+        Nothing is sent if the caller has closed the connection.
+        """
         try:
             await self.dispatch(request, send)
         except CallerGoneError:
@@ -60,14 +63,21 @@
             )
             await send_refusal(request, send, refusal)
         except Exception:
-            # A fault here must not end the daemon's listener: the operator gets
-            # a refusal, and the log has the cause.
+            # An unexpected exception must not stop the daemon's listener. Its text
+            # goes to the log only, as it may contain internal data.
             logger.exception("operator's request failed", extra={"path": request.path})
             refusal = Refusal(500, "internal", "see the router's log")
             await send_refusal(request, send, refusal)
 
     async def dispatch(self, request: Request, send: Send) -> None:
-        """Find the endpoint, check the key, and let it answer."""
+        """Check the operator's key if required, and call the endpoint's handler.
+
+        An unknown path also requires a key.
+
+        Raises:
+            UnauthorizedError: A key is required, and the request has no valid one.
+            NotFoundError: No endpoint matches the method and path.
+        """
         found = endpoints.find(request.method, request.path)
         if isinstance(found, NotFound) or not found.endpoint.open:
             self.authenticate(request)
@@ -77,19 +87,21 @@
         await found.endpoint.handler(self.context, request, send)
 
     def authenticate(self, request: Request) -> None:
-        """Find out which operator asks.
+        """Find the operator by the request's key, and store the name in the scope.
 
         Raises:
-            UnauthorizedError: The request carries no operator's key.
+            UnauthorizedError: The request has no key, or an unknown one.
         """
         try:
             self.context.keys.reload()
         except SettingsError:
-            # A file that is being replaced may be missing for a moment; the
-            # keys read before stay valid.
-            logger.warning("operators' keys could not be read again")
+            # The file may be missing briefly while it is replaced, so the keys
+            # that were read before stay valid.
+            logger.warning(
+                "operator key file could not be read; the previous keys stay valid"
+            )
         key = request.bearer()
         operator = self.context.keys.find(key) if key else None
         if operator is None:
             raise UnauthorizedError("the request carries no operator's key")
-        request.scope[OPERATOR] = operator
+        request.scope[OPERATOR_SCOPE_KEY] = operator
--- a/ebonyhold/operators/_client.py
+++ b/ebonyhold/operators/_client.py
@@ -12,28 +12,28 @@
 from ebonyhold.types import Json, Seconds
 
 DEFAULT_TIMEOUT: Seconds = 60.0
-"""Longer than a publication that meets lost answers takes."""
+"""Longer than a publication takes, including its retries after lost responses."""
 
 
 class UnreachableError(EbonyholdError):
-    """The router's operators' interface cannot be reached."""
+    """The request did not reach the router, or a GET request got no response."""
 
     code = "unreachable"
 
 
 class UnansweredError(EbonyholdError):
-    """The router may have done what was asked, but did not say so."""
+    """No response arrived; the router may or may not have acted on the request."""
 
     code = "unanswered"
 
 
 class RemoteError(EbonyholdError):
-    """The router refused.
+    """The router refused the request, or its response is not a JSON object.
 
     Attributes:
         status: The HTTP status.
-        remote_code: The router's code for the error.
-        detail: What it told beyond code and message.
+        remote_code: The error code in the response, or ``bad_answer``.
+        detail: The error's details in the response; empty if there are none.
     """
 
     code = "refused"
@@ -48,16 +48,16 @@
 
 
 def open_http() -> httpx.Client:
-    """Return an HTTP client."""
+    """Return an HTTP client with `DEFAULT_TIMEOUT`."""
     return httpx.Client(timeout=DEFAULT_TIMEOUT)
 
 
 @define
 class OperatorsClient:
-    """Calls one router's operators' interface.
+    """Client of one router's operators' interface.
 
     Attributes:
-        server: Its base URL.
+        server: The base URL of the interface.
         key: The operator's key.
         http: The HTTP client.
     """
@@ -67,7 +67,7 @@
     http: httpx.Client = field(factory=lambda: open_http())
 
     def __enter__(self) -> OperatorsClient:
-        """Return the client."""
+        """Return the client itself."""
         return self
 
     def __exit__(
@@ -76,7 +76,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Close the connections."""
+        """Close the HTTP client."""
         self.http.close()
 
     def call(
@@ -88,19 +88,20 @@
         value: Json = None,
         body: bytes | None = None,
     ) -> dict[str, Any]:
-        """Call an endpoint and return its JSON answer.
+        """Call an endpoint and return the JSON object in its response.
 
         Args:
             method: The HTTP method.
-            path: The path behind the base URL.
-            query: The query's parameters.
-            value: A JSON body, or
-            body: a body as it is.
+            path: The path below the base URL.
+            query: The parameters of the query.
+            value: The body, sent as JSON; ignored if `body` is given.
+            body: The body, sent unchanged.
 
         Raises:
-            UnreachableError: The call had no effect.
-            UnansweredError: It may have had one.
-            RemoteError: The router refused.
+            UnreachableError: The call failed and changed nothing.
+            UnansweredError: The call got no response and may have had an effect.
+            RemoteError: The router refused the request, or its response is not a
+                JSON object.
         """
         try:
             response = self.http.request(
@@ -112,15 +113,15 @@
                 headers={"authorization": f"Bearer {self.key}"},
             )
         except (httpx.TransportError, httpx.InvalidURL) as error:
-            raise classify(error, method)(f"{self.server}: {error}") from error
+            raise error_class(error, method)(f"{self.server}: {error}") from error
         return read_answer(response)
 
 
-def classify(error: Exception, method: str) -> type[EbonyholdError]:
-    """Tell a call that had no effect from one that may have had one.
+def error_class(error: Exception, method: str) -> type[EbonyholdError]:
+    """Return the exception class for a failed call, by its possible effect.
 
-    A connection that breaks after the request went out shows as a timeout or a
-    reset, whether the router has acted or not; only a read is harmless then.
+    If the connection breaks after the request was sent, the router may have acted
+    on the request; a GET request changes nothing either way.
     """
     never_sent = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
     if method == "GET" or isinstance(error, (*never_sent, httpx.InvalidURL)):
@@ -129,10 +130,10 @@
 
 
 def read_answer(response: httpx.Response) -> dict[str, Any]:
-    """Return a response's JSON object.
+    """Return the JSON object in a response.
 
     Raises:
-        RemoteError: It is a refusal, or no JSON object.
+        RemoteError: The response is a refusal, or not a JSON object.
     """
     try:
         value = response.json()
--- a/ebonyhold/operators/_context.py
+++ b/ebonyhold/operators/_context.py
@@ -1,4 +1,4 @@
-"""What every endpoint of the operators' interface can reach."""
+"""The context passed to every endpoint, and helpers that read requests."""
 
 from __future__ import annotations
 
@@ -20,27 +20,28 @@
 from ebonyhold.operators._keys import OperatorKeys
 from ebonyhold.types import Json
 
-MOST_REQUEST = 65_536
-"""The largest request that is not a document, in bytes."""
+MAX_REQUEST = 65_536
+"""Maximum body size in bytes, except for whole documents."""
 
 
 def no_metrics() -> bytes:
-    """Return no metrics."""
+    """Return an empty metrics page."""
     return b""
 
 
 @define
 class OperatorsContext:
-    """The parts of the daemon behind the operators' interface.
+    """The parts of the daemon that the endpoints use.
 
     Attributes:
-        keys: Who is an operator.
-        configuration: The document in force and its versions.
-        status: How the fleet is.
-        budgets: The budgets in the table.
-        bills: The bills in the table.
-        recoveries: What recovery could not settle, or None.
-        metrics: Renders metrics in the Prometheus text format.
+        keys: The operators' keys.
+        configuration: The document in force at this router, and its older versions.
+        status: Source of the fleet's status.
+        budgets: Access to the budgets in the table.
+        bills: Access to the bills in the table.
+        metrics: Returns the metrics in the Prometheus text format.
+        recoveries: Access to requests that recovery could not settle, or None if
+            this router runs no recovery.
     """
 
     keys: OperatorKeys
@@ -55,17 +56,17 @@
         """Return the document in force.
 
         Raises:
-            NotFoundError: No document was applied yet.
+            NotFoundError: This router has no document yet.
         """
         if self.configuration.document is None:
             raise NotFoundError("no document has been applied yet")
         return self.configuration.document
 
     def workspaces(self, name: str = "") -> tuple[str, ...]:
-        """Return the named workspace, or all of them.
+        """Return the given name if it is a workspace; without a name, all names.
 
         Raises:
-            NotFoundError: There is no such workspace.
+            NotFoundError: There is no such workspace, or no document yet.
         """
         names = tuple(each.name for each in self.document().workspaces)
         if not name:
@@ -76,16 +77,18 @@
 
 
 endpoints: Endpoints[OperatorsContext] = Endpoints()
-"""All endpoints; the modules that define them fill it."""
+"""Registry of all endpoints; importing an endpoint module adds its own."""
 
 
 async def read_object(request: Request) -> dict[str, Json]:
-    """Read a JSON object from a request's body.
+    """Return the JSON object in a request's body.
 
     Raises:
-        BadRequestError: It is none.
+        BadRequestError: The body is not a JSON object.
+        BodyTooLargeError: The body exceeds `MAX_REQUEST` bytes.
+        CallerGoneError: The connection closed before the body was complete.
     """
-    body = await request.body(MOST_REQUEST)
+    body = await request.body(MAX_REQUEST)
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -95,11 +98,11 @@
     return value
 
 
-def take_text(value: dict[str, Json], name: str, default: str | None = None) -> str:
-    """Return a text from a request.
+def get_text(value: dict[str, Json], name: str, default: str | None = None) -> str:
+    """Return a string member of a JSON object, or the default if it is missing.
 
     Raises:
-        BadRequestError: It is missing, or not a text.
+        BadRequestError: The value is not a string, or is missing without a default.
     """
     found = value.get(name, default)
     if not isinstance(found, str):
@@ -107,11 +110,11 @@
     return found
 
 
-def take_amount(value: dict[str, Json], name: str) -> int:
-    """Return a positive whole number from a request.
+def get_amount(value: dict[str, Json], name: str) -> int:
+    """Return a member of a JSON object that must be an integer above 0.
 
     Raises:
-        BadRequestError: It is something else.
+        BadRequestError: The value is missing or anything else.
     """
     found = value.get(name)
     if not isinstance(found, int) or isinstance(found, bool) or found <= 0:
@@ -120,10 +123,10 @@
 
 
 def query_number(request: Request, name: str, default: int) -> int:
-    """Return a number of the query.
+    """Return an integer parameter of the query, or the default if it is missing.
 
     Raises:
-        BadRequestError: It is no number.
+        BadRequestError: The value is not made of 1 to 15 decimal digits.
     """
     text = request.query(name, str(default))
     if not (text.isascii() and text.isdigit() and len(text) < 16):
--- a/ebonyhold/operators/_document_endpoints.py
+++ b/ebonyhold/operators/_document_endpoints.py
@@ -26,49 +26,52 @@
 )
 from ebonyhold.types import Json
 
-MOST_DOCUMENT = 64 * 1024 * 1024
-"""The largest document that is accepted, in bytes."""
+MAX_DOCUMENT = 64 * 1024 * 1024
+"""Maximum size of a document in bytes."""
 
 DEFAULT_HISTORY = 20
-MOST_HISTORY = 1000
+"""Versions in one answer unless the query sets a limit."""
 
-OPERATOR = "ebonyhold.operator"
-"""Where the scope keeps the name of the operator who asks."""
+MAX_HISTORY = 1000
+"""Maximum number of versions in one answer."""
+
+OPERATOR_SCOPE_KEY = "ebonyhold.operator"
+"""Key of the ASGI scope that stores the name of the authenticated operator."""
 
 
 def operator_of(request: Request) -> str:
-    """Return the operator who asks."""
-    return str(request.scope[OPERATOR])
+    """Return the name of the operator who sent an authenticated request."""
+    return str(request.scope[OPERATOR_SCOPE_KEY])
 
 
 def base_of(request: Request) -> int:
-    """Return the version that a change is based on.
+    """Return the version that a change is based on, from the query.
 
-    There is no default: an operator who has not looked at a version must not
-    overwrite it.
+    There is no default, so that a change cannot overwrite a version that its
+    author has not named.
 
     Raises:
-        BadRequestError: It is missing.
+        BadRequestError: The parameter is missing or not a number.
     """
     if not request.query("based_on"):
         raise BadRequestError("based_on is missing; 0 stands for no document yet")
     return query_number(request, "based_on", 0)
 
 
-async def check_aside(body: bytes) -> CheckResult:
-    """Check a document in a thread of its own.
+async def check_in_thread(body: bytes) -> CheckResult:
+    """Check a document in a worker thread.
 
-    The check of a large document takes seconds, which the streams of callers
-    must not wait for.
+    The check of a large document takes seconds and would block the event loop,
+    which also serves the callers' streams.
     """
     return await anyio.to_thread.run_sync(check_bytes, body, datetime.now(UTC))
 
 
 def require_document(result: CheckResult) -> Document:
-    """Return a checked document.
+    """Return the document of a check result.
 
     Raises:
-        FindingsError: It has findings that forbid its use.
+        FindingsError: The document has errors and cannot be used.
     """
     if result.document is None:
         raise FindingsError(result.findings)
@@ -76,13 +79,13 @@
 
 
 def findings_of(result: CheckResult) -> list[Json]:
-    """Return findings as JSON."""
+    """Return the findings of a check as JSON."""
     return [finding_to_json(each) for each in result.findings]
 
 
 @endpoints.add("GET", "/v1/document")
 async def show(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Answer with the document in force, or with an older version."""
+    """Send the document in force, or the version that the query names."""
     version = query_number(request, "version", 0) or context.configuration.version
     context.document()
     state = await context.configuration.read_version(version)
@@ -92,17 +95,17 @@
 
 @endpoints.add("POST", "/v1/check")
 async def check(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Answer with all findings of a document."""
-    result = await check_aside(await request.body(MOST_DOCUMENT))
+    """Check the document in the body without applying it; send all findings."""
+    result = await check_in_thread(await request.body(MAX_DOCUMENT))
     usable = result.document is not None
     await send_json(send, 200, {"usable": usable, "findings": findings_of(result)})
 
 
 @endpoints.add("PUT", "/v1/document")
 async def apply(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Put a document into force."""
+    """Publish the document in the body as a new version, unless nothing differs."""
     based_on = base_of(request)
-    result = await check_aside(await request.body(MOST_DOCUMENT))
+    result = await check_in_thread(await request.body(MAX_DOCUMENT))
     document = require_document(result)
     version = await context.configuration.publish(
         document, based_on, operator_of(request)
@@ -113,15 +116,15 @@
 
 @endpoints.add("GET", "/v1/history")
 async def history(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Answer with the newest versions."""
-    limit = min(MOST_HISTORY, query_number(request, "limit", DEFAULT_HISTORY))
+    """Send the newest versions, the newest first, without their documents."""
+    limit = min(MAX_HISTORY, query_number(request, "limit", DEFAULT_HISTORY))
     heads = await context.configuration.history(limit)
     await send_json(send, 200, {"versions": [to_json(head) for head in heads]})
 
 
 @endpoints.add("POST", "/v1/rollback")
 async def roll_back(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Put an old content into force again, as a new version."""
+    """Publish the document of an older version as a new version."""
     wanted = query_number(request, "version", 0)
     based_on = base_of(request)
     state = await context.configuration.read_version(wanted)
--- a/ebonyhold/operators/_errors.py
+++ b/ebonyhold/operators/_errors.py
@@ -1,4 +1,4 @@
-"""How errors look to operators: one JSON shape, one status for each class."""
+"""Errors sent to operators as JSON, with one HTTP status for each class."""
 
 from __future__ import annotations
 
@@ -19,26 +19,33 @@
 
 
 class BadRequestError(EbonyholdError):
-    """The request cannot be understood."""
+    """The request is malformed, or lacks a required value."""
 
     code = "bad_request"
 
 
 class NotFoundError(EbonyholdError):
-    """There is no such thing."""
+    """The path, workspace, part or document in the request does not exist."""
 
     code = "not_found"
 
 
 class UnauthorizedError(EbonyholdError):
-    """The request carries no operator's key."""
+    """The request has no key of an operator, or an unknown one."""
 
     code = "unauthorized"
 
 
 @frozen
 class Refusal:
-    """What an operator's client receives for an error."""
+    """An error response to an operator.
+
+    Attributes:
+        status: The HTTP status.
+        code: The error code for programs.
+        message: The error message for people.
+        detail: Further data, or None.
+    """
 
     status: int
     code: str
@@ -46,7 +53,7 @@
     detail: Json = None
 
 
-STATUSES: tuple[tuple[type[EbonyholdError], int], ...] = (
+HTTP_STATUSES: tuple[tuple[type[EbonyholdError], int], ...] = (
     (BadRequestError, 400),
     (UnauthorizedError, 401),
     (NotFoundError, 404),
@@ -58,12 +65,17 @@
     (UnavailableError, 503),
     (UnknownOutcomeError, 504),
 )
-"""The HTTP status of each error; any other is 500."""
+"""HTTP status of each error class and its subclasses; the first match applies.
+
+Any other error has status 500.
+"""
 
 
 def refusal_of(error: EbonyholdError) -> Refusal:
-    """Return what the client receives for an error."""
-    status = next((code for kind, code in STATUSES if isinstance(error, kind)), 500)
+    """Return the error response for an exception."""
+    status = next(
+        (code for kind, code in HTTP_STATUSES if isinstance(error, kind)), 500
+    )
     message = str(error)
     if isinstance(error, FindingsError):
         message = f"{len(error.findings)} findings"
@@ -71,7 +83,7 @@
 
 
 def detail_of(error: EbonyholdError) -> Json:
-    """Return what is known beyond code and message."""
+    """Return the findings, or the version that won a race; None for other errors."""
     if isinstance(error, FindingsError):
         return {"findings": [finding_to_json(each) for each in error.findings]}
     if isinstance(error, LostRaceError):
@@ -91,7 +103,7 @@
 
 
 async def send_refusal(request: Request, send: Send, refusal: Refusal) -> None:
-    """Send a refusal."""
+    """Send an error response as JSON, and discard an unread request body."""
     error: dict[str, Json] = {"code": refusal.code, "message": refusal.message}
     if refusal.detail is not None:
         error["detail"] = refusal.detail
--- a/ebonyhold/operators/_interface.py
+++ b/ebonyhold/operators/_interface.py
@@ -1,4 +1,4 @@
-"""What the operators' interface asks of the daemon around it."""
+"""Data types and protocols that the daemon implements for the operators' interface."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @frozen
 class GrantStatus:
-    """What a router holds of one workspace's budget.
+    """One router's grant from a workspace's budget.
 
     Attributes:
-        workspace: Whose budget.
-        available: Tokens that nothing in flight holds.
+        workspace: The workspace that owns the budget.
+        available: Tokens of the grant that are not held for a request.
         held: Tokens held for requests in flight.
     """
 
@@ -35,19 +35,21 @@
 
 @frozen
 class RouterStatus:
-    """One router, as it described itself last.
+    """Status of one router, from its reply or from the membership list.
 
     Attributes:
-        router: Its incarnation.
-        domain: Its failure domain.
-        version: The configuration version in force there.
+        router: The id of the router's incarnation.
+        domain: The router's failure domain; may be empty if it did not reply.
+        version: The configuration version in force there; 0 if it did not reply.
         state: ``alive``, ``suspect``, ``leaving`` or ``gone``.
-        in_flight: Requests it runs now.
-        grants: What it holds of the budgets.
-        confirmed_age: Seconds since it last confirmed its version; negative for
-            never.
-        seen_age: Seconds since it was last heard of.
-        stranded: Tokens that wait for its recovery.
+        in_flight: Requests in flight at the router.
+        grants: The router's grants, the largest first; a long list may be cut.
+        confirmed_age: Seconds since the router last confirmed that its version is
+            the newest; negative if it never did or did not reply.
+        seen_age: Seconds since the last message from the router: 0 if it replied,
+            negative if there was none.
+        stranded: Tokens that the last attempt to recover the router left in its
+            grants; 0 before the first attempt.
     """
 
     router: RouterId
@@ -63,14 +65,15 @@
 
 @frozen
 class BackendStatus:
-    """One backend server, as this router sees it.
+    """Status of one backend server.
 
     Attributes:
-        backend: Its name.
-        domain: Its failure domain.
-        state: ``serving``, ``leaving``, ``stopped``, ``ejected`` or ``unknown``.
-        in_flight: Requests that all known routers have there.
-        held_by: The routers that still have requests there.
+        backend: The server's name.
+        domain: The server's failure domain.
+        state: ``serving``, ``leaving`` (gets no new requests, some are in flight),
+            ``stopped`` (none are left), ``ejected`` or ``unknown``.
+        in_flight: Requests in flight there, summed over all routers that replied.
+        held_by: The routers that have these requests.
     """
 
     backend: BackendName
@@ -82,7 +85,7 @@
 
 @frozen
 class FleetStatus:
-    """The fleet, as one router knows it."""
+    """Status of all routers and backend servers that one router knows."""
 
     routers: tuple[RouterStatus, ...] = ()
     backends: tuple[BackendStatus, ...] = ()
@@ -90,27 +93,34 @@
 
 @frozen
 class Readiness:
-    """Whether callers should be sent here, and if not, why not."""
+    """Whether this router can take requests, and the reasons if it cannot."""
 
     ready: bool
     reasons: tuple[str, ...] = ()
 
 
 class StatusSource(Protocol):
-    """Knows how the fleet is."""
+    """Source of the status of the fleet and of this router."""
 
     async def fleet(self) -> FleetStatus:
-        """Return what is known of all routers and backend servers."""
+        """Return the status of all known routers and backend servers."""
         ...
 
     def readiness(self) -> Readiness:
-        """Tell whether this router can take requests."""
+        """Return whether this router can take requests."""
         ...
 
 
 @frozen
 class Budget:
-    """One workspace's budget, as the table has it."""
+    """One workspace's budget, read from the table.
+
+    Attributes:
+        workspace: The workspace that owns the budget.
+        prepaid: Tokens bought: the sum of all top-ups.
+        outstanding: Tokens granted to routers and not yet billed or returned.
+        spent: Tokens of filed bills, less refunds.
+    """
 
     workspace: WorkspaceName
     prepaid: Tokens
@@ -119,13 +129,13 @@
 
     @property
     def remaining(self) -> Tokens:
-        """Tokens that nobody holds and nobody spent."""
+        """Tokens that are neither granted to a router nor spent."""
         return self.prepaid - self.outstanding - self.spent
 
 
 @frozen
 class Bill:
-    """One request's bill."""
+    """A request's row in the table: a claim while the request runs, then its bill."""
 
     workspace: WorkspaceName
     request: RequestId
@@ -134,7 +144,13 @@
 
 @frozen
 class BillPage:
-    """Some bills, and where the next page begins; empty at the end."""
+    """One page of bills.
+
+    Attributes:
+        bills: The bills and claims, ordered by request id.
+        next_after: The `after` value that gets the next page; empty if this page
+            was not full.
+    """
 
     bills: tuple[Bill, ...]
     next_after: str = ""
@@ -142,13 +158,13 @@
 
 @frozen
 class Discrepancy:
-    """Rows that do not add up.
+    """A row of the table that contradicts the other rows.
 
     Attributes:
-        workspace: Whose.
-        finding: What is wrong.
-        expected: What the other rows say, in tokens.
-        found: What the row says, in tokens.
+        workspace: The workspace that the row belongs to.
+        finding: What is wrong, in words.
+        expected: The value computed from the other rows, in tokens.
+        found: The value in the row, in tokens.
     """
 
     workspace: WorkspaceName
@@ -159,11 +175,11 @@
 
 @frozen
 class Verification:
-    """The outcome of checking bills against budgets.
+    """The result of checking budgets against top-ups, grants, bills and refunds.
 
     Attributes:
-        workspaces: Budgets that were checked.
-        discrepancies: What does not add up.
+        workspaces: The number of budgets checked.
+        discrepancies: All discrepancies found.
     """
 
     workspaces: int
@@ -171,12 +187,12 @@
 
 
 class BudgetSource(Protocol):
-    """Reads and changes budgets in the table."""
+    """Access to the budgets in the table."""
 
     async def budgets(
         self, workspaces: tuple[WorkspaceName, ...]
     ) -> tuple[Budget, ...]:
-        """Return budgets; a workspace without a row has all zeros.
+        """Return the budget of each workspace, all zeros if it has no row.
 
         Raises:
             UnavailableError: The table cannot be reached.
@@ -186,11 +202,15 @@
     async def top_up(
         self, workspace: WorkspaceName, key: str, amount: Tokens, operator: str
     ) -> Budget:
-        """Add prepaid tokens; the same key adds them once.
+        """Add prepaid tokens once per key, and return the new budget.
+
+        A repeated call with the same key and amount adds nothing.
 
         Raises:
-            UnavailableError: It had no effect.
-            UnknownOutcomeError: Repeat it with the same key.
+            UnavailableError: The top-up failed or the budget could not be read
+                afterwards; repeat the call with the same key.
+            UnknownOutcomeError: The tokens may have been added; repeat the call
+                with the same key.
             BudgetError: The key was used for another amount.
         """
         ...
@@ -203,28 +223,35 @@
         amount: Tokens,
         operator: str,
     ) -> Budget:
-        """Give billed tokens back; the same key gives them back once.
+        """Refund billed tokens once per key, and return the new budget.
+
+        A repeated call with the same key, request and amount refunds nothing.
 
         Raises:
-            UnavailableError: It had no effect.
-            UnknownOutcomeError: Repeat it with the same key.
-            BudgetError: The request was not billed as much, or the key was used
-                for another refund.
+            UnavailableError: The refund failed or the budget could not be read
+                afterwards; repeat the call with the same key.
+            UnknownOutcomeError: The refund may have been made; repeat the call
+                with the same key.
+            BudgetError: The request has no bill, the amount exceeds what is left
+                of its charge, or the key was used for another refund.
         """
         ...
 
 
 @frozen
 class OpenRun:
-    """A run of a sealed router whose outcome nobody can tell.
+    """A request of a sealed incarnation that recovery could not settle.
+
+    A sealed incarnation can write nothing more to its journal. The outcome of the
+    request's last attempt is not known yet.
 
     Attributes:
         router: The sealed incarnation.
-        workspace: Who pays.
-        request: The request.
-        attempt: Its last attempt.
+        workspace: The workspace that pays for the request.
+        request: The request's id.
+        attempt: The id of the last attempt.
         backend: The backend server of that attempt.
-        hold: Tokens that stay out of reach until an operator settles it.
+        hold: Tokens held for the request until it is settled.
     """
 
     router: RouterId
@@ -236,10 +263,10 @@
 
 
 class RecoverySource(Protocol):
-    """Knows what recovery could not settle by itself."""
+    """Access to the requests that recovery could not settle by itself."""
 
     async def open_runs(self) -> tuple[OpenRun, ...]:
-        """Try all sealed routers again and return what still waits.
+        """Try to recover all sealed routers again; return the requests still open.
 
         Raises:
             UnavailableError: The platform cannot be reached.
@@ -249,36 +276,49 @@
     async def settle(
         self, router: RouterId, attempt: AttemptId, charge: Tokens | None
     ) -> None:
-        """Settle a run on an operator's word.
+        """Settle an open request with the charge that an operator decided.
 
         Args:
             router: The sealed incarnation.
-            attempt: The run's attempt.
-            charge: What it cost in tokens, or None when it did not run.
+            attempt: The id of the request's last attempt.
+            charge: The tokens to bill, or None if the request did not run.
 
         Raises:
-            BudgetError: The router is not sealed, or has no such run open.
+            BudgetError: The router is not sealed, or has no such attempt open.
             UnavailableError: The platform cannot be reached.
         """
         ...
 
 
 class BillSource(Protocol):
-    """Reads bills from the table, and settles unknown ones."""
+    """Access to the bills in the table."""
 
     async def rule(
         self, workspace: WorkspaceName, request: RequestId, *, ran: bool
     ) -> None:
-        """Settle a bill whose outcome is unknown, on an operator's word.
+        """Record whether a request with an unknown outcome ran, and settle its bill.
+
+        A bill already settled in the same way is left as it is.
+
+        Args:
+            workspace: The workspace that pays.
+            request: The request's id.
+            ran: What the operator decided: True keeps the charge, False removes it.
 
         Raises:
-            BudgetError: There is no such bill, or its outcome is known.
+            BudgetError: There is no such bill, its outcome is known and different,
+                or a charge to be removed was partly refunded.
             UnavailableError: The table cannot be reached.
         """
         ...
 
     async def bills(self, workspace: WorkspaceName, after: str, limit: int) -> BillPage:
-        """Return a page of a workspace's bills and claims, ordered by request.
+        """Return a page of a workspace's bills and claims, ordered by request id.
+
+        Args:
+            workspace: The workspace.
+            after: The request id after which the page begins; empty for the first.
+            limit: The maximum number of bills, at least 1.
 
         Raises:
             UnavailableError: The table cannot be reached.
@@ -286,7 +326,9 @@
         ...
 
     async def verify(self, workspaces: tuple[WorkspaceName, ...]) -> Verification:
-        """Check that the bills of these workspaces, or of all, add up.
+        """Check the rows of these workspaces, or all rows if none is given.
+
+        Rows that are written during the check may appear as discrepancies.
 
         Raises:
             UnavailableError: The table cannot be reached.
--- a/ebonyhold/operators/_keys.py
+++ b/ebonyhold/operators/_keys.py
@@ -1,4 +1,4 @@
-"""Who is an operator: keys that are kept as hashes only."""
+"""The operators' keys, stored only as SHA-256 hashes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from ebonyhold.exceptions import SettingsError
 
 SHA256_LENGTH = 64
+"""Hexadecimal digits of a SHA-256 hash."""
 
 
 @frozen
 class OperatorKey:
-    """One operator's key, as its SHA-256."""
+    """One operator's name and the SHA-256 hash of the key, in hexadecimal."""
 
     name: str
     sha256: str
@@ -23,12 +24,13 @@
 
 @define
 class OperatorKeys:
-    """The operators' keys, read again when their file changes.
+    """The operators' keys, read from a file.
 
     Attributes:
-        path: The file, one ``name:hexadecimal`` a line; ``#`` begins a comment.
-        keys: What it held when it was last read.
-        stamp: Its change time and size then.
+        path: The file, one ``name:sha256`` a line; ``#`` begins a comment.
+        keys: The keys from the last successful read of the file.
+        stamp: The file's modification time in nanoseconds and its size in bytes at
+            that read.
     """
 
     path: Path
@@ -36,10 +38,12 @@
     stamp: tuple[int, int] = (0, -1)
 
     def reload(self) -> None:
-        """Read the file if it has changed.
+        """Read the file if its modification time or size has changed.
+
+        After an error the previous keys stay, and the next call tries again.
 
         Raises:
-            SettingsError: It cannot be read, or a line has another form.
+            SettingsError: The file cannot be read, or a line is malformed.
         """
         try:
             status = self.path.stat()
@@ -52,10 +56,10 @@
         self.stamp = stamp
 
     def find(self, key: str) -> str | None:
-        """Return the operator who holds a key, or None.
+        """Return the name of the operator to whom a key belongs, or None.
 
-        Every hash is compared, each in constant time, so that the time taken
-        tells nothing about the key.
+        Every hash is compared, each in constant time, so that the response time
+        reveals nothing about the keys.
         """
         digest = hashlib.sha256(key.encode()).hexdigest()
         found: str | None = None
@@ -66,10 +70,10 @@
 
 
 def parse_keys(text: str) -> tuple[OperatorKey, ...]:
-    """Read the lines of a file of keys.
+    """Return the keys in the text of a key file.
 
     Raises:
-        SettingsError: A line has another form.
+        SettingsError: A line is not ``name:sha256``.
     """
     keys: list[OperatorKey] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -84,6 +88,6 @@
 
 
 def is_sha256(text: str) -> bool:
-    """Tell whether a text is a SHA-256 in hexadecimal."""
+    """Return whether a text is a SHA-256 hash in hexadecimal, of either case."""
     digits = set("0123456789abcdef")
     return len(text) == SHA256_LENGTH and set(text.lower()) <= digits
--- a/ebonyhold/operators/_part_endpoints.py
+++ b/ebonyhold/operators/_part_endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoints for one part of the document: a workspace, a stop, a route.
+"""Endpoints that change one part of the document: a workspace, a stop, a route.
 
-A form that changes one part sends that part.  The version in force is then
-changed and checked without anybody writing or reading the rest of it.
+The client sends only this part. The router puts it into the document in force, checks
+the result and publishes it as a new version.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ebonyhold.coordination import to_json
 from ebonyhold.document import Document, check_document, check_part, to_plain
 from ebonyhold.exceptions import LostRaceError
-from ebonyhold.operators._context import MOST_REQUEST, OperatorsContext, endpoints
+from ebonyhold.operators._context import MAX_REQUEST, OperatorsContext, endpoints
 from ebonyhold.operators._document_endpoints import (
     base_of,
     findings_of,
@@ -28,20 +28,21 @@
 from ebonyhold.operators._errors import BadRequestError, NotFoundError
 from ebonyhold.types import Json
 
-MOST_ATTEMPTS = 5
-"""Publications of one part that follow whoever was faster."""
+MAX_ATTEMPTS = 5
+"""Maximum attempts to publish one change without ``based_on``."""
 
 STOPS = "stops"
+"""The section of the document that lists the planned stops."""
 
 
 @frozen
 class PartChange:
-    """What is to become of one part.
+    """A change of one part of the document.
 
     Attributes:
-        section: The document's list that it belongs to.
-        name: Its name in that list.
-        part: What it becomes, or None when it goes.
+        section: The list of the document that has the part.
+        name: The name of the part in this list.
+        part: The new part, or None to remove the old one.
     """
 
     section: str
@@ -51,8 +52,10 @@
     def apply(self, document: Document) -> Document:
         """Return the document with this change.
 
+        A new part is added at the end of its list; an existing one keeps its place.
+
         Raises:
-            NotFoundError: There is no such part that could go.
+            NotFoundError: The part to remove does not exist.
         """
         attribute = LIST_PARTS[self.section].name
         parts = list(getattr(document, self.section))
@@ -67,7 +70,7 @@
 
 @endpoints.add("GET", "/v1/stops")
 async def list_stops(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Answer with the planned stops and what still holds their servers."""
+    """Send the planned stops, and which routers still use each backend server."""
     fleet = await context.status.fleet()
     stops = [to_plain(stop) for stop in context.document().stops]
     backends = [to_json(backend) for backend in fleet.backends]
@@ -76,35 +79,35 @@
 
 @endpoints.add("PUT", "/v1/stops/{name}")
 async def plan_stop(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Plan a stop, or move the one of that name."""
+    """Add a planned stop, or replace the one of this name."""
     await put(context, request, STOPS, send)
 
 
 @endpoints.add("DELETE", "/v1/stops/{name}")
 async def cancel_stop(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Cancel a planned stop."""
+    """Remove a planned stop from the document."""
     change = PartChange(STOPS, request.parameters["name"], None)
     await send_json(send, 200, await publish(context, request, change))
 
 
 @endpoints.add("PUT", "/v1/parts/{section}/{name...}")
 async def put_part(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Add or replace one part."""
+    """Add or replace one part of the section in the path."""
     await put(context, request, section_of(request), send)
 
 
 @endpoints.add("DELETE", "/v1/parts/{section}/{name...}")
 async def delete_part(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Remove one part."""
+    """Remove one part of the section in the path."""
     change = PartChange(section_of(request), request.parameters["name"], None)
     await send_json(send, 200, await publish(context, request, change))
 
 
 def section_of(request: Request) -> str:
-    """Return the list that a part belongs to.
+    """Return the section of the document that the path names.
 
     Raises:
-        NotFoundError: The document has no such list.
+        NotFoundError: The document has no such section.
     """
     section = request.parameters["section"]
     if section not in LIST_PARTS:
@@ -115,13 +118,15 @@
 async def put(
     context: OperatorsContext, request: Request, section: str, send: Send
 ) -> None:
-    """Add or replace a part with the one in the request's body.
+    """Publish the part in the request's body, and answer with the new version.
 
     Raises:
-        BadRequestError: The body is not text.
-        FindingsError: The part has findings.
+        BadRequestError: The body is not UTF-8.
+        FindingsError: The part has findings, or the changed document has errors.
+        NotFoundError: This router has no document yet.
+        LostRaceError: Another version was accepted; see `publish`.
     """
-    body = await request.body(MOST_REQUEST)
+    body = await request.body(MAX_REQUEST)
     try:
         text = body.decode()
     except UnicodeDecodeError as error:
@@ -135,14 +140,19 @@
 async def publish(
     context: OperatorsContext, request: Request, change: PartChange
 ) -> Json:
-    """Publish one change.
+    """Publish one change, and return the new version and the findings as JSON.
+
+    If the query has no ``based_on`` and another version was accepted meanwhile, the
+    change is published again on top of that version, since it affects only one part.
+    With ``based_on`` there is only one attempt.
 
-    Without a version to be based on it follows whoever was faster, since it
-    touches nothing else; with one, the loser of a race is refused as ever.
+    Raises:
+        LostRaceError: Another version was accepted since ``based_on``, or during
+            each of `MAX_ATTEMPTS` attempts.
     """
     if request.query("based_on"):
         return await publish_once(context, request, change, base_of(request))
-    for _ in range(MOST_ATTEMPTS - 1):
+    for _ in range(MAX_ATTEMPTS - 1):
         try:
             base = context.configuration.version
             return await publish_once(context, request, change, base)
@@ -155,16 +165,17 @@
 async def publish_once(
     context: OperatorsContext, request: Request, change: PartChange, base: int
 ) -> Json:
-    """Publish the document in force with one change.
+    """Publish the document in force with one change, based on version `base`.
 
     Raises:
-        NotFoundError: There is no such part that could go.
-        FindingsError: The document does not allow it.
-        LostRaceError: Another version was accepted meanwhile.
+        NotFoundError: The part to remove does not exist, or there is no document
+            yet.
+        FindingsError: The changed document has errors.
+        LostRaceError: Another version was accepted since `base`.
     """
     changed = change.apply(context.document())
-    # Aside of the event loop: a large document takes long enough to be noticed
-    # by the streams of callers.
+    # The check of a large document would block the event loop, which also serves
+    # the callers' streams, so it runs in a worker thread.
     result = await anyio.to_thread.run_sync(check_document, changed, datetime.now(UTC))
     checked = require_document(result)
     operator = operator_of(request)
--- a/ebonyhold/operators/_recovery_endpoints.py
+++ b/ebonyhold/operators/_recovery_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints for what recovery could not settle by itself."""
+"""Endpoints for requests whose outcome an operator has to decide."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 from ebonyhold.types import Json, Tokens
 
 
-def source(context: OperatorsContext) -> RecoverySource:
-    """Return what knows of recoveries.
+def recovery_source(context: OperatorsContext) -> RecoverySource:
+    """Return the `RecoverySource` of this router.
 
     Raises:
-        NotFoundError: This daemon recovers nobody.
+        NotFoundError: This router runs no recovery.
     """
     if context.recoveries is None:
         raise NotFoundError("this router recovers nobody")
     return context.recoveries
 
 
-def take_charge(value: dict[str, Json]) -> Tokens | None:
-    """Return what a run cost; None, said as null, when it did not run.
+def get_charge(value: dict[str, Json]) -> Tokens | None:
+    """Return the ``charge`` member of a JSON object in tokens, or None for null.
+
+    Null means that the request did not run.
 
     Raises:
-        BadRequestError: It is missing or no amount.
+        BadRequestError: The value is missing, or neither null nor an integer of at
+            least 0.
     """
     found = value.get("charge", "")
     if found is None:
@@ -35,11 +38,11 @@
     return found
 
 
-def take_ran(value: dict[str, Json]) -> bool:
-    """Return whether a request ran.
+def get_ran(value: dict[str, Json]) -> bool:
+    """Return whether a request ran, from the ``ran`` member of a JSON object.
 
     Raises:
-        BadRequestError: It is missing.
+        BadRequestError: The value is missing or not a boolean.
     """
     found = value.get("ran")
     if not isinstance(found, bool):
@@ -49,25 +52,25 @@
 
 @endpoints.add("GET", "/v1/recoveries")
 async def list_open(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Answer with the runs that wait for evidence or for an operator."""
-    runs = await source(context).open_runs()
+    """Try to recover all sealed routers again; send the requests still open."""
+    runs = await recovery_source(context).open_runs()
     await send_json(send, 200, {"runs": [to_json(each) for each in runs]})
 
 
 @endpoints.add("POST", "/v1/recoveries/{router}/{attempt}")
 async def settle(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Settle one run on the operator's word."""
-    charge = take_charge(await read_object(request))
+    """Settle one open request with the charge that the operator decided."""
+    charge = get_charge(await read_object(request))
     parameters = request.parameters
-    recoveries = source(context)
+    recoveries = recovery_source(context)
     await recoveries.settle(parameters["router"], parameters["attempt"], charge)
     await send_json(send, 200, {"attempt": parameters["attempt"], "charge": charge})
 
 
 @endpoints.add("POST", "/v1/bills/{workspace}/{request}/ruling")
 async def rule_bill(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Settle a bill whose outcome is unknown, on the operator's word."""
-    ran = take_ran(await read_object(request))
+    """Record the operator's decision whether a request with an unknown outcome ran."""
+    ran = get_ran(await read_object(request))
     parameters = request.parameters
     await context.bills.rule(parameters["workspace"], parameters["request"], ran=ran)
     await send_json(send, 200, {"request": parameters["request"], "ran": ran})
--- a/tests/operators/fakes.py
+++ b/tests/operators/fakes.py
@@ -1,4 +1,4 @@
-"""A router's parts behind the operators' interface, in memory."""
+"""In-memory fakes of the daemon's parts that the operators' interface uses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @define
 class FakeStatus:
-    """A status that tests set."""
+    """Status source that returns the values set by a test."""
 
     status: FleetStatus = field(factory=FleetStatus)
     ready: Readiness = field(factory=lambda: Readiness(True))
@@ -44,7 +44,7 @@
 
 @define
 class FakeAccounts:
-    """Budgets and bills; it fails when told to."""
+    """Budgets and bills in memory; `error`, if set, is raised when a budget is read."""
 
     prepaid: dict[str, int] = field(factory=dict)
     keys: set[str] = field(factory=set)
@@ -83,13 +83,13 @@
         self.keys.add(f"{request} {'ran' if ran else 'did not run'}")
 
     async def verify(self, workspaces: tuple[str, ...]) -> Verification:
-        # No name stands for all rows: here those of one budget.
+        # Without names all rows are checked; this fake then counts one budget.
         return Verification(len(workspaces) or 1, self.discrepancies)
 
 
 @define
 class FakeRecoveries:
-    """One run that waits, until it is settled."""
+    """One open request, which is removed once it is settled."""
 
     runs: tuple[OpenRun, ...] = (OpenRun("a.1", "w", "q", "a.1~1~1", "e1", 100),)
     charges: list[int | None] = field(factory=list)
@@ -106,7 +106,7 @@
 
 @define
 class Bench:
-    """All of it, wired."""
+    """The context of the operators' interface and the fakes in it."""
 
     context: OperatorsContext
     table: MemoryTable
@@ -116,7 +116,7 @@
 
 
 def make_bench(folder: Path) -> Bench:
-    """Wire the operators' interface to fakes; its keys are kept in a folder."""
+    """Return a context with fakes; write a key file with `KEY` for ana to a folder."""
     keys = folder / "operator-keys"
     keys.write_text(f"ana:{hashlib.sha256(KEY.encode()).hexdigest()}\n")
     table, objects = MemoryTable(), MemoryObjects()
--- a/tests/operators/test_accounts.py
+++ b/tests/operators/test_accounts.py
@@ -1,4 +1,4 @@
-"""Budgets and bills come from the table's rows."""
+"""Tests of budgets and bills read from and written to the table."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
 
 
 def billed(charge: int) -> RequestRow:
+    """Return the row of a complete request with a charge in tokens."""
     return RequestRow(
         RequestState.COMPLETE, RequestKind.CHAT, "r.1", "a", "e", "d", charge,
         filed_at=1.0,
@@ -37,6 +38,7 @@
 
 @pytest.fixture
 async def accounts() -> TableAccounts:
+    """Return workspace w: 100 tokens prepaid, q1 billed at 10 and q2 at 20."""
     table = MemoryTable()
     found = TableAccounts(table)
     await found.top_up("w", "first", 100, "ana")
@@ -47,6 +49,7 @@
 
 
 async def test_budgets(accounts: TableAccounts) -> None:
+    """A workspace without a budget row has a budget of all zeros."""
     assert await accounts.budgets(("w", "new")) == (
         Budget("w", 100, 0, 30),
         Budget("new", 0, 0, 0),
@@ -54,20 +57,23 @@
 
 
 async def test_pages_of_bills(accounts: TableAccounts) -> None:
+    """A page that is not full has no next page."""
     page = await accounts.bills("w", "", 1)
     assert ([each.request for each in page.bills], page.next_after) == (["q1"], "q1")
     page = await accounts.bills("w", page.next_after, 2)
     assert ([each.request for each in page.bills], page.next_after) == (["q2"], "")
 
 
-async def test_a_refund_is_made_once(accounts: TableAccounts) -> None:
+async def test_refund_is_made_once_per_key(accounts: TableAccounts) -> None:
+    """A repeated refund with the same key must not give the tokens back twice."""
     for _ in range(2):
         budget = await accounts.refund("w", "k", "q1", 4, "ana")
         assert budget.spent == 26
     assert (await accounts.verify(("w",))).discrepancies == ()
 
 
-async def test_what_does_not_add_up_is_found(accounts: TableAccounts) -> None:
+async def test_verify_reports_discrepancies(accounts: TableAccounts) -> None:
+    """A wrong sum is reported, but not if only another workspace is checked."""
     assert isinstance(accounts.table, MemoryTable)
     accounts.table.put(budget_key("w"), to_json(BudgetRow(100, 0, 25)))
     (found,) = (await accounts.verify(("w",))).discrepancies
@@ -83,25 +89,27 @@
         lambda accounts: accounts.refund("w", "k", "none", 1, "ana"),
     ],
 )
-async def test_what_cannot_be(
+async def test_invalid_changes_are_refused(
     accounts: TableAccounts, change: Callable[[TableAccounts], Awaitable[Budget]]
 ) -> None:
+    """A reused key, too large a refund and a refund without a bill are refused."""
     with pytest.raises(BudgetError):
         await change(accounts)
 
 
-def test_all_rows_are_verified_without_a_name() -> None:
-    """A fault in the books of a workspace that was taken out goes unseen.
+def test_verify_without_names_checks_all_rows() -> None:
+    """Discrepancies of workspaces removed from the document must be reported.
 
-    ``bill verify`` looked only at workspaces of the document in force.
+    They are missed if ``bill verify`` checks only the workspaces of the document in
+    force, since a removed workspace keeps its rows.
     """
 
-    async def story() -> tuple[int, list[str]]:
+    async def verify_all() -> tuple[int, list[str]]:
         table = MemoryTable()
         table.put(budget_key("taken-out"), to_json(BudgetRow(0, 0, 7)))
         found = await TableAccounts(table).verify(())
         return found.workspaces, [each.workspace for each in found.discrepancies]
 
-    count, workspaces = anyio.run(story, backend="trio")
+    count, workspaces = anyio.run(verify_all, backend="trio")
     assert count == 1
     assert set(workspaces) == {"taken-out"}
--- a/tests/operators/test_app.py
+++ b/tests/operators/test_app.py
@@ -1,4 +1,4 @@
-"""The operators' interface answers operators, and nobody else."""
+"""Tests of the operators' interface over HTTP."""
 
 from __future__ import annotations
 
@@ -66,20 +66,21 @@
         ("/nowhere", KEY, 404),
     ],
 )
-async def test_only_operators_are_answered(
+async def test_endpoints_require_a_key(
     client: httpx.AsyncClient, path: str, key: str, status: int
 ) -> None:
+    """All paths except the health checks require a key, unknown paths included."""
     response = await client.get(path, headers={"authorization": f"Bearer {key}"})
     assert response.status_code == status
 
 
-async def test_a_key_is_exchanged_without_a_restart(
+async def test_key_file_is_reloaded_without_a_restart(
     client: httpx.AsyncClient, bench: Bench
 ) -> None:
-    """A leaked key must stop working at once.
+    """A leaked key must stop working as soon as it is replaced in the key file.
 
-    The operator replaces the file; while it is away, the old keys stay valid,
-    and a file that cannot be read does not open the interface.
+    While the file is missing or malformed, the old keys stay valid, so that
+    replacing the file does not lock operators out.
     """
     path = bench.context.keys.path
     assert (await client.get("/v1/status")).status_code == 200
@@ -91,7 +92,8 @@
     assert (await client.get("/v1/status")).status_code == 401
 
 
-async def test_document_comes_back(client: httpx.AsyncClient) -> None:
+async def test_get_applied_document(client: httpx.AsyncClient) -> None:
+    """Status 404 is sent before the first document and for an unknown version."""
     assert (await client.get("/v1/document")).status_code == 404
     assert (await apply(client)).json() == {"version": 1, "findings": []}
     shown = (await client.get("/v1/document")).json()
@@ -99,7 +101,8 @@
     assert (await client.get("/v1/document?version=9")).status_code == 404
 
 
-async def test_findings_are_told_with_their_place(client: httpx.AsyncClient) -> None:
+async def test_findings_have_line_and_column(client: httpx.AsyncClient) -> None:
+    """Each finding has a line, a column and a path; a check reports usability."""
     response = await apply(client, BASE.replace("fleet: f", "fleet: 1"))
     assert response.status_code == 422
     finding = response.json()["error"]["detail"]["findings"][0]
@@ -108,13 +111,13 @@
     assert checked.json()["usable"] is False
 
 
-async def test_the_loser_of_a_race_is_told_what_changed(
+async def test_lost_race_reports_what_changed(
     client: httpx.AsyncClient,
 ) -> None:
-    """Two operators edit version 1; the second to apply must not undo the first.
+    """A change based on an outdated version must not undo a newer one.
 
-    Ana publishes more slots for e1.  Ben, who still looks at version 1, applies
-    his: he is refused and reads that the slots of e1 changed.
+    Two documents are based on version 1. The second to be applied is refused, and
+    the refusal names what the first changed: the slots of e1.
     """
     await apply(client)
     slots = BASE.replace("domain: a, models: [m]", "domain: a, models: [m], slots: 9")
@@ -128,6 +131,7 @@
 
 
 async def test_history_and_rollback(client: httpx.AsyncClient) -> None:
+    """A rollback publishes the old document as a new version, shown in the history."""
     await apply(client)
     await apply(client, BASE.replace("fleet: f", "fleet: g"), 1)
     response = await client.post("/v1/rollback?version=1&based_on=2")
@@ -138,6 +142,7 @@
 
 
 async def test_stops_are_planned_moved_and_cancelled(client: httpx.AsyncClient) -> None:
+    """Each change of a stop is a new version; the stop's times are shown in UTC."""
     await apply(client)
     assert (await client.put("/v1/stops/x", json=STOP)).json()["version"] == 2
     moved = STOP | {"ends": "2027-01-02T00:00:00+05:45"}
@@ -150,8 +155,11 @@
     assert (await client.delete("/v1/stops/x")).status_code == 404
 
 
-async def test_a_part_is_changed_alone(client: httpx.AsyncClient) -> None:
-    """A console of forms sends one workspace, not the document of all of them."""
+async def test_one_part_is_changed(client: httpx.AsyncClient) -> None:
+    """A part is added or removed without sending the whole document.
+
+    The findings of the changed document are returned.
+    """
     await apply(client)
     body = f"keys: [{{id: k, sha256: {'b' * 64}}}]\nprepaid: 7\n"
     put = await client.put("/v1/parts/workspaces/new", content=body)
@@ -181,9 +189,10 @@
         ("DELETE", "models/m?based_on=x", b"", 400),
     ],
 )
-async def test_a_part_that_cannot_be(
+async def test_invalid_part_is_refused(
     client: httpx.AsyncClient, method: str, path: str, body: bytes, status: int
 ) -> None:
+    """Malformed, misnamed or outdated parts and unknown names are refused."""
     await apply(client)
     response = await client.request(method, f"/v1/parts/{path}", content=body)
     assert response.status_code == status
@@ -201,21 +210,22 @@
         ({"ends": JANUARY}, 422),
     ],
 )
-async def test_a_stop_that_cannot_be(
+async def test_invalid_stop_is_refused(
     client: httpx.AsyncClient, change: dict[str, Any], status: int
 ) -> None:
+    """A stop with bad times, unknown fields or a wrong target is refused."""
     await apply(client)
     response = await client.put("/v1/stops/x", json=STOP | change)
     assert response.status_code == status
 
 
-async def test_a_stop_follows_a_faster_operator(
+async def test_stop_is_published_again_after_a_conflict(
     client: httpx.AsyncClient, bench: Bench
 ) -> None:
-    """A planned stop must not be lost because a budget changed in between.
+    """A planned stop must not be refused because another version was accepted.
 
-    Another router accepts a version while this one plans the stop: the commit
-    conflicts, and the stop is planned again on top of that version.
+    Another router publishes version 2, which this router has not read yet. The
+    commit of the stop conflicts and is repeated on top of version 2.
     """
     await apply(client)
     other = make_bench(bench.context.keys.path.parent).context.configuration
@@ -229,6 +239,7 @@
 
 
 async def test_budgets(client: httpx.AsyncClient, bench: Bench) -> None:
+    """A top-up repeated with its key adds once; budgets and bills can be read."""
     await apply(client)
     body = {"key": "k1", "amount": 5}
     for _ in range(2):
@@ -255,9 +266,10 @@
         ("w/refunds", {"key": "k", "amount": 5}, 400),
     ],
 )
-async def test_a_top_up_that_cannot_be(
+async def test_invalid_top_up_or_refund_is_refused(
     client: httpx.AsyncClient, path: str, body: Any, status: int
 ) -> None:
+    """An unknown workspace, a bad amount or a bad key is refused."""
     await apply(client)
     response = await client.post(f"/v1/budgets/{path}", json=body)
     assert response.status_code == status
@@ -271,9 +283,10 @@
         (BudgetError("too much"), 409, "budget"),
     ],
 )
-async def test_failures_keep_their_code(
+async def test_errors_have_status_and_code(
     client: httpx.AsyncClient, bench: Bench, error: Any, status: int, code: str
 ) -> None:
+    """Each error class has its own HTTP status and error code."""
     await apply(client)
     bench.accounts.error = error
     response = await client.get("/v1/budgets")
@@ -293,25 +306,28 @@
         ("POST", "/v1/status", b"", 404),
     ],
 )
-async def test_a_request_that_cannot_be(
+async def test_malformed_request_is_refused(
     client: httpx.AsyncClient, method: str, path: str, content: bytes, status: int
 ) -> None:
+    """Bad queries, deeply nested or oversized bodies and wrong methods are refused."""
     response = await client.request(method, path, content=content)
     assert response.status_code == status
 
 
-async def test_readiness_names_its_reasons(
+async def test_readiness_reports_reasons(
     client: httpx.AsyncClient, bench: Bench
 ) -> None:
+    """A router that cannot take requests answers 503 with the reasons."""
     bench.status.ready = Readiness(False, ("no document",))
     response = await client.get("/readyz")
     assert response.status_code == 503
     assert response.json() == {"ready": False, "reasons": ["no document"]}
 
 
-async def test_a_fault_is_answered_without_its_text(
+async def test_unexpected_error_is_answered_without_its_text(
     client: httpx.AsyncClient, bench: Bench
 ) -> None:
+    """The text of an unexpected exception may be secret and is not sent."""
     bench.accounts.error = RuntimeError("secret")  # type: ignore[assignment]
     await apply(client)
     response = await client.get("/v1/budgets")
--- a/tests/operators/test_recovery_endpoints.py
+++ b/tests/operators/test_recovery_endpoints.py
@@ -1,4 +1,4 @@
-"""Operators settle what recovery could not."""
+"""Tests of the endpoints that settle requests with an unknown outcome."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 pytestmark = pytest.mark.anyio
 
-RUN = "/v1/recoveries/a.1/a.1~1~1"
-OTHER = "/v1/recoveries/a.1/a.1~2~1"
+OPEN_ATTEMPT = "/v1/recoveries/a.1/a.1~1~1"
+UNKNOWN_ATTEMPT = "/v1/recoveries/a.1/a.1~2~1"
 BILL = "/v1/bills/w/q/ruling"
 
 
@@ -26,23 +26,24 @@
 @pytest.mark.parametrize(
     ("path", "value", "status"),
     [
-        (RUN, {"charge": 40}, 200),
-        (RUN, {"charge": 0}, 200),
-        (RUN, {"charge": None}, 200),
-        (RUN, {}, 400),
-        (RUN, {"charge": -1}, 400),
-        (RUN, {"charge": True}, 400),
-        (RUN, {"charge": "40"}, 400),
-        (OTHER, {"charge": 40}, 409),
+        (OPEN_ATTEMPT, {"charge": 40}, 200),
+        (OPEN_ATTEMPT, {"charge": 0}, 200),
+        (OPEN_ATTEMPT, {"charge": None}, 200),
+        (OPEN_ATTEMPT, {}, 400),
+        (OPEN_ATTEMPT, {"charge": -1}, 400),
+        (OPEN_ATTEMPT, {"charge": True}, 400),
+        (OPEN_ATTEMPT, {"charge": "40"}, 400),
+        (UNKNOWN_ATTEMPT, {"charge": 40}, 409),
         (BILL, {"ran": True}, 200),
         (BILL, {"ran": False}, 200),
         (BILL, {}, 400),
         (BILL, {"ran": 1}, 400),
     ],
 )
-async def test_settling(
+async def test_settle_open_requests(
     tmp_path: Path, path: str, value: dict[str, Any], status: int
 ) -> None:
+    """A valid charge settles the open attempt; invalid values are refused."""
     bench = make_bench(tmp_path)
     transport = httpx.ASGITransport(OperatorsApp(bench.context))
     headers = {"authorization": f"Bearer {KEY}"}
@@ -51,6 +52,6 @@
     ) as client:
         answer = await client.post(path, json=value)
         assert answer.status_code == status, answer.text
-        left = (await client.get("/v1/recoveries")).json()["runs"]
-    settled = path == RUN and status == 200
-    assert [one["attempt"] for one in left] == ([] if settled else ["a.1~1~1"])
+        remaining = (await client.get("/v1/recoveries")).json()["runs"]
+    settled = path == OPEN_ATTEMPT and status == 200
+    assert [one["attempt"] for one in remaining] == ([] if settled else ["a.1~1~1"])
