--- a/ebonyhold/operators/_accounts.py
+++ b/ebonyhold/operators/_accounts.py
@@ -112,9 +112,9 @@
             raise BudgetError(str(error)) from error
 
     async def verify(self, workspaces: tuple[WorkspaceName, ...]) -> Verification:
-        """Check the rows of these workspaces, or all rows if none is given.
+        """Check the budgets of these workspaces, or all if none is given.
 
-        The whole table is read in both cases.
+        All budgets, top-ups, grants, bills and refunds are read in both cases.
         """
         wanted = set(workspaces)
         found = [
--- a/ebonyhold/operators/_app.py
+++ b/ebonyhold/operators/_app.py
@@ -87,7 +87,7 @@
         await found.endpoint.handler(self.context, request, send)
 
     def authenticate(self, request: Request) -> None:
-        """Find the operator by the request's key, and store the name in the scope.
+        """Find the operator by the request's key, and store the name in the ASGI scope.
 
         Raises:
             UnauthorizedError: The request has no key, or an unknown one.
--- a/ebonyhold/operators/_client.py
+++ b/ebonyhold/operators/_client.py
@@ -118,10 +118,11 @@
 
 
 def error_class(error: Exception, method: str) -> type[EbonyholdError]:
-    """Return the exception class for a failed call, by its possible effect.
+    """Return `UnansweredError` if a failed call may have had an effect.
 
-    If the connection breaks after the request was sent, the router may have acted
-    on the request; a GET request changes nothing either way.
+    The router may have acted on a request that was sent before the connection broke.
+    If the request was not sent, or is a GET request, which changes nothing, the
+    result is `UnreachableError`.
     """
     never_sent = (httpx.ConnectError, httpx.ConnectTimeout, httpx.UnsupportedProtocol)
     if method == "GET" or isinstance(error, (*never_sent, httpx.InvalidURL)):
--- a/ebonyhold/operators/_context.py
+++ b/ebonyhold/operators/_context.py
@@ -25,7 +25,7 @@
 
 
 def no_metrics() -> bytes:
-    """Return an empty metrics page."""
+    """Return an empty body; used if no other source of metrics is set."""
     return b""
 
 
--- a/ebonyhold/operators/_errors.py
+++ b/ebonyhold/operators/_errors.py
@@ -25,7 +25,7 @@
 
 
 class NotFoundError(EbonyholdError):
-    """The path, workspace, part or document in the request does not exist."""
+    """What the request refers to does not exist, such as a path or a workspace."""
 
     code = "not_found"
 
--- a/ebonyhold/operators/_interface.py
+++ b/ebonyhold/operators/_interface.py
@@ -48,8 +48,8 @@
             the newest; negative if it never did or did not reply.
         seen_age: Seconds since the last message from the router: 0 if it replied,
             negative if there was none.
-        stranded: Tokens that the last attempt to recover the router left in its
-            grants; 0 before the first attempt.
+        stranded: Tokens held for the router's requests that the last attempt to
+            recover the router could not settle; 0 before the first attempt.
     """
 
     router: RouterId
@@ -326,8 +326,9 @@
         ...
 
     async def verify(self, workspaces: tuple[WorkspaceName, ...]) -> Verification:
-        """Check the rows of these workspaces, or all rows if none is given.
+        """Check the budgets of these workspaces, or all if none is given.
 
+        Each budget is compared with its top-ups, grants, bills and refunds.
         Rows that are written during the check may appear as discrepancies.
 
         Raises:
--- a/ebonyhold/operators/_part_endpoints.py
+++ b/ebonyhold/operators/_part_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that change one part of the document: a workspace, a stop, a route.
+"""Endpoints that change one part of the document, such as a workspace or a stop.
 
 The client sends only this part. The router puts it into the document in force, checks
 the result and publishes it as a new version.
@@ -32,7 +32,7 @@
 """Maximum attempts to publish one change without ``based_on``."""
 
 STOPS = "stops"
-"""The section of the document that lists the planned stops."""
+"""The section of the document that lists planned stops of backend servers."""
 
 
 @frozen
@@ -79,7 +79,7 @@
 
 @endpoints.add("PUT", "/v1/stops/{name}")
 async def plan_stop(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Add a planned stop, or replace the one of this name."""
+    """Add a planned stop, or replace the one with this name."""
     await put(context, request, STOPS, send)
 
 
@@ -122,6 +122,7 @@
 
     Raises:
         BadRequestError: The body is not UTF-8.
+        BodyTooLargeError: The body exceeds `MAX_REQUEST` bytes.
         FindingsError: The part has findings, or the changed document has errors.
         NotFoundError: This router has no document yet.
         LostRaceError: Another version was accepted; see `publish`.
--- a/ebonyhold/operators/_status_endpoints.py
+++ b/ebonyhold/operators/_status_endpoints.py
@@ -36,7 +36,7 @@
 
 @endpoints.add("GET", "/healthz", open_to_all=True)
 async def health(context: OperatorsContext, request: Request, send: Send) -> None:
-    """Send status 200, whatever the state of the running process."""
+    """Send status 200 while the process is running, ready or not."""
     await send_text(send, 200, "ok\n")
 
 
