--- a/ebonyhold/coordination/_bills.py
+++ b/ebonyhold/coordination/_bills.py
@@ -100,12 +100,13 @@
 
 @frozen
 class LedgerChange:
-    """The changes to one grant that are requested of a settlement.
+    """The changes that a settlement is to make to one grant.
 
     Attributes:
         bills: Bills to file.
-        draw: Tokens to draw from the budget, if it has as many left.
-        give_back: Tokens to return to the budget, if the grant holds as many.
+        draw: Tokens to draw from the budget; fewer are drawn if it has fewer left.
+        give_back: Tokens to return to the budget; fewer are returned if the grant holds
+            fewer.
     """
 
     bills: tuple[Bill, ...] = ()
@@ -165,8 +166,8 @@
     if row is None:
         return Verdict.FILE
     if row.state is RequestState.RUNNING:
-        # The claim may belong to another run of the request, which has not ended yet.
-        # That run may still execute the request.
+        # The claim may be that of another run, which has not ended and may still
+        # execute the request.
         by_another_run = run_of(row.attempt) != run_of(bill.attempt)
         if by_another_run and bill.state is RequestState.NOT_RUN:
             return Verdict.LEAVE
--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -77,7 +77,7 @@
 """Minimum of the rate, as a share of the full rate."""
 
 REFUSAL_WINDOW = 1.0
-"""Refusals within this time after a counted one are ignored, in seconds.
+"""Time after a counted refusal in which further ones are ignored, in seconds.
 
 A burst of refusals is caused by one overload; counting each of them would reduce the
 rate to its minimum.
--- a/ebonyhold/coordination/_claims.py
+++ b/ebonyhold/coordination/_claims.py
@@ -104,9 +104,9 @@
 ) -> Transaction:
     """Return the transaction that claims a request which `decide_claim` lets run.
 
-    A row with a bill keeps it, and one more repeat is counted.  The transaction checks
-    the router's row: a late claim of a sealed incarnation would otherwise leave the
-    request marked as running, with no router left to settle it.
+    If the row has a bill, the bill stays and the row's count of repeats grows by one.
+    The transaction checks the router's row: a late claim of a sealed incarnation would
+    otherwise leave the request marked as running, with no router left to settle it.
     """
     old = request.value
     if old is not None and old.filed_at and old.state is not RequestState.NOT_RUN:
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -86,7 +86,11 @@
     """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return the change to the wanted grant; none within the tolerances."""
+        """Return the change that restores the wanted level of available tokens.
+
+        If requests wait, their need is drawn in addition.  Otherwise nothing changes
+        while the level is within the tolerances.
+        """
         wanted = self.wanted(view)
         left = max(view.budget.remaining, 0) if view.budget else 0
         if view.need:
@@ -125,9 +129,9 @@
         """Return how much of the cover the remaining budget allows, in tokens.
 
         The calculation uses the tokens that would be left in the budget after the draw
-        or return.  With those left before, a router that holds most of a budget would
-        alternately return all of its tokens and draw them again, and its grant would be
-        empty in half of the outages.
+        or return.  If it used the tokens left before the change, a router that holds
+        most of a budget would alternately return all of its tokens and draw them again,
+        and its grant would be empty in half of the outages.
         """
         if view.budget is None:
             return cover
--- a/ebonyhold/coordination/_joining.py
+++ b/ebonyhold/coordination/_joining.py
@@ -17,7 +17,7 @@
 SUFFICIENT_SHARE = 0.9
 """A router that knows less than this share of the expected members requests pages.
 
-While a router is joining, it requests pages until it knows all of them.
+While a router is joining, it requests pages until it knows all expected members.
 """
 
 
@@ -49,9 +49,10 @@
     def lacks_members(self) -> bool:
         """Return whether the router knows fewer members than expected.
 
-        Expected are as many as the platform lists or as the last answer reported,
-        whichever is more.  A router that has just started needs all of them.  Later a
-        few may be missing, because the list may still contain routers that are gone.
+        The expected number is that of the platform's list or that in the last answer,
+        whichever is larger.  A router that has just started needs all expected members.
+        Later a few may be missing, because the list may still contain routers that are
+        gone.
         """
         expected = max(len(self.view.listed or {}), self.reported_count)
         sufficient = expected if self.is_joining else SUFFICIENT_SHARE * expected
--- a/ebonyhold/coordination/_journal.py
+++ b/ebonyhold/coordination/_journal.py
@@ -94,7 +94,10 @@
         )
 
     def open_runs(self) -> tuple[tuple[Intent, ...], ...]:
-        """Return the attempts of each run without an outcome; a server may run them."""
+        """Return the attempts of each run without an outcome, by run.
+
+        Backend servers may have executed them, or may still do so.
+        """
         return tuple(
             tuple(attempts)
             for run, attempts in self.intents.items()
--- a/ebonyhold/coordination/_leases.py
+++ b/ebonyhold/coordination/_leases.py
@@ -71,7 +71,11 @@
     until: Seconds
 
     def holds(self, now: Seconds) -> bool:
-        """Return whether the holder may act now; a pause may follow the check."""
+        """Return whether the holder may act now.
+
+        The process may be paused after this check, so the lease can have expired when
+        the holder acts.
+        """
         return now < self.until
 
 
--- a/ebonyhold/coordination/_members.py
+++ b/ebonyhold/coordination/_members.py
@@ -184,8 +184,9 @@
         """Add an incarnation that is known only from its row in the table.
 
         The row is ignored if the incarnation is already a member, or if another
-        incarnation of its name is present, which may still be serving.  If the row's
-        incarnation is the later one, an update from that router replaces the other.
+        incarnation of its name is present, which may still be serving.  If the
+        incarnation in the row is the later one, an update that it sends declares the
+        other one gone.
         """
         same = self.by_name.get(update.name, [])
         if update.router in self.members or any(other.present for other in same):
@@ -214,7 +215,7 @@
         return member
 
     def change(self, member: Member, update: MemberUpdate, now: Seconds) -> None:
-        """Replace a member's update, and the times of its suspicion and its end."""
+        """Replace a member's update, and adapt `silent_at` and `gone_at` to it."""
         self.present_count -= member.counted
         member.update = update
         self.present_count += member.counted
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -93,7 +93,7 @@
         )
 
     def status_of(self, member: Member) -> MemberStatus:
-        """Return a member's status; a listed stop makes an alive member leaving.
+        """Return a member's status: LEAVING if it is alive but listed as leaving.
 
         Each router reads the platform's list itself, so the entries are not gossiped.
         A router would refute a gossiped entry that is outdated, and the next read of
@@ -180,7 +180,7 @@
     def tick(self, now: Seconds) -> list[Outgoing]:
         """Run the steps that are due, and return the heartbeats to send.
 
-        It sets `wake_at` to the time of the next step.
+        Also set `wake_at` to the time of the next step.
         """
         self.detect_pause(now)
         out: list[Outgoing] = []
@@ -201,7 +201,7 @@
         return self.options.period * spread * self.joining.period_factor(now)
 
     def detect_pause(self, now: Seconds) -> None:
-        """Detect a pause of this process, and ignore silence during it.
+        """Detect a pause of this process, so that no peer is suspected because of it.
 
         A call that is at least half a period late is taken for a pause.  After a pause
         all answers seem late, and the whole fleet would be suspected at once.  So the
@@ -392,14 +392,17 @@
         return Beat(kind, sequence, updates, known=known)
 
     def update_about(self, to: RouterId) -> tuple[MemberUpdate, ...]:
-        """Return the update about a receiver that is not alive, which may refute it."""
+        """Return the update about a receiver if it is known and not alive.
+
+        The receiver refutes the update if it is false.
+        """
         member = self.view.members.get(to)
         if member is None or member.update.status is MemberStatus.ALIVE:
             return ()
         return (member.update,)
 
     def sample(self, count: int, without: RouterId) -> list[Member]:
-        """Return at most `count` random members with status alive, except one."""
+        """Return at most `count` random alive members, other than `without`."""
         alive = [
             member
             for member in self.view.present()
--- a/ebonyhold/coordination/_orders.py
+++ b/ebonyhold/coordination/_orders.py
@@ -1,17 +1,18 @@
 """Placement of models: which engine loads or unloads which model, without flapping.
 
 One router at a time decides, under a lease with a fencing number.  Engines that check
-the number refuse an order of an earlier holder.  Other engines execute every order, so
-an order of a holder that was paused between its check of the lease and its send may be
-executed much later.  The effects of such a late order are limited:
+the number refuse an order of an earlier lease holder.  Other engines execute every
+order.  A lease holder that was paused between its check of the lease and the sending of
+an order may thus have that order executed much later.  The effects are limited:
 
 - A late load does no harm, but a late unload may.  So an unload is written to the table
-  before it is sent, and deleted from it once answered.
-- An unload in the table that was not answered may still be executed at any time. Later
-  holders do not count that engine as serving the model.  They count it again after it
-  was sent a load with a later fencing number, if it checks these and so refuses the
-  unload.  Otherwise they count it again after `doubt_for`; an unload executed even
-  later has the same effect as an engine that restarts without models.
+  before it is sent, and deleted from the table once the engine has answered.
+- An unload in the table that was not answered may still be executed at any time.  So
+  later lease holders do not count that engine as serving the model.  If the engine
+  checks fencing numbers, they send it a load with a higher number, after which it
+  refuses the unload and counts again.  Otherwise it counts again after `doubt_for`; an
+  unload executed even later has the same effect as an engine that restarts without
+  models.
 - Orders are derived repeatedly from the engines' reports.  The effect of a late order
   appears in the next report and is corrected by the next order.
 """
@@ -94,7 +95,8 @@
     """When models are loaded and unloaded.
 
     Attributes:
-        least: The minimum number of engines for each model, in several failure domains.
+        least: The minimum number of engines for each model, spread over the failure
+            domains.
         load_above: The load per slot above which one more engine loads a model.
         unload_below: The load per slot below which one engine unloads it.
         up_after: How long the load must stay above `load_above`, in seconds.
@@ -124,7 +126,8 @@
 
     Attributes:
         policy: The thresholds and limits.
-        loading: Loads that were ordered and are not reported yet, with their times.
+        loading: Ordered loads that the engines have not reported as done, with the
+            times of the orders.
         since: For a model and an action, since when the action's condition has held.
     """
 
@@ -150,13 +153,13 @@
         self.forget_loading(engines, now)
         in_doubt = {(row.order.backend, row.order.model) for row in unanswered}
         for model in models:
-            holders = [
+            loaded = [
                 engine for engine in engines if model in engine.loaded and engine.usable
             ]
             confirmed = [
-                engine for engine in holders if (engine.name, model) not in in_doubt
+                engine for engine in loaded if (engine.name, model) not in in_doubt
             ]
-            order = self.decide_model(model, engines, holders, confirmed, now)
+            order = self.decide_model(model, engines, loaded, confirmed, now)
             if order is not None:
                 return order
         return None
@@ -165,7 +168,7 @@
         self,
         model: str,
         engines: Sequence[EngineView],
-        holders: Sequence[EngineView],
+        loaded: Sequence[EngineView],
         confirmed: Sequence[EngineView],
         now: Seconds,
     ) -> EngineOrder | None:
@@ -174,12 +177,12 @@
         Args:
             model: The model.
             engines: All engines, as reported.
-            holders: The usable engines that have loaded it.
-            confirmed: Those of the holders that have no unanswered unload of it.
+            loaded: The usable engines that have loaded it.
+            confirmed: Those engines in `loaded` that have no unanswered unload of it.
             now: The time, in seconds.
         """
         loading = sum(order.model == model for order in self.loading)
-        usage = share_in_use(holders)
+        usage = share_in_use(loaded)
         scale_up = self.has_lasted(
             model,
             Action.LOAD,
@@ -218,13 +221,14 @@
         self,
         model: str,
         engines: Sequence[EngineView],
-        holders: Sequence[EngineView],
+        loaded: Sequence[EngineView],
         now: Seconds,
     ) -> EngineOrder | None:
         """Return the order to load a model, or None if no engine may load it now.
 
-        The engine is chosen by the fewest holders in its failure domain, then the
-        fewest models, then the lowest load per slot.
+        The chosen engine is the one whose failure domain has the fewest engines in
+        `loaded`; ties are broken by the fewest models, then by the lowest load per
+        slot.
         """
         if len(self.loading) >= self.policy.max_loading:
             return None
@@ -237,7 +241,7 @@
         ]
         if not candidates:
             return None
-        used_domains = [engine.domain for engine in holders]
+        used_domains = [engine.domain for engine in loaded]
         chosen = min(
             candidates,
             key=lambda item: (
@@ -252,16 +256,17 @@
         self.since.pop((model, Action.LOAD), None)
         return order
 
-    def unload(self, model: str, holders: Sequence[EngineView]) -> EngineOrder | None:
+    def unload(self, model: str, loaded: Sequence[EngineView]) -> EngineOrder | None:
         """Return the order to unload a model, or None if no engine may unload it.
 
-        The engine is chosen by the most holders in its failure domain, then the lowest
-        load.  An engine is never left without a model.
+        The chosen engine is the one whose failure domain has the most engines in
+        `loaded`; ties are broken by the lowest load.  An engine that has no other model
+        loaded is not chosen.
         """
-        candidates = [engine for engine in holders if len(engine.loaded) > 1]
+        candidates = [engine for engine in loaded if len(engine.loaded) > 1]
         if not candidates:
             return None
-        domains = [engine.domain for engine in holders]
+        domains = [engine.domain for engine in loaded]
         chosen = max(
             candidates, key=lambda item: (domains.count(item.domain), -item.load)
         )
@@ -273,8 +278,9 @@
     ) -> EngineOrder | None:
         """Return a load that makes an engine refuse an unanswered unload.
 
-        The caller sends it with its own, later fencing number.  None if no engine with
-        an unanswered unload checks these numbers.
+        The caller sends the load with its own fencing number, which is higher than that
+        of the unload.  The result is None if no engine with an unanswered unload checks
+        these numbers.
         """
         checking = {item.name for item in engines if item.checks_fencing}
         for row in unanswered:
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -125,7 +125,7 @@
 
 @grant_policy("static_split")
 class StaticSplit(AloneMixin):
-    """Draws an equal share of the prepaid tokens with the first request; keeps it."""
+    """Draws an equal share of the prepaid tokens at the first request, and keeps it."""
 
     def size(self, view: GrantView) -> GrantSize:
         """Return a draw of the part of the equal share that was not drawn yet."""
@@ -183,9 +183,11 @@
     """
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return the change to the wanted grant.
+        """Return the change that restores the wanted level of available tokens.
 
-        There is none from `refill_below` to `return_above` if no request waits.
+        If requests wait, their need is drawn in addition.  Otherwise nothing changes
+        while the level is between `refill_below` and `return_above` times the wanted
+        one.
         """
         wanted = self.wanted(view)
         if view.need:
@@ -227,9 +229,12 @@
     """
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Return what the peer lacks, as far as available, and more within the limits.
+        """Return how many tokens to give: `wanted`, as far as available, or more.
 
-        It is 0 while this router's own requests wait for tokens.
+        More are given up to `give_multiple` times `wanted`, but only within the share
+        `give_share` of the available tokens.
+
+        The result is 0 while this router's own requests wait for tokens.
         """
         if view.need:
             return 0
--- a/ebonyhold/coordination/_recoverable.py
+++ b/ebonyhold/coordination/_recoverable.py
@@ -51,7 +51,8 @@
         """Return whether a member may be recovered.
 
         A gone member may be recovered immediately if it was replaced or is not listed.
-        Otherwise it must be gone for `recovery_delay`, and this router be connected.
+        Otherwise it must have been gone for `recovery_delay`, and this router must be
+        connected (see `is_connected`).
         """
         if member.gone_at is None:
             return False
@@ -63,12 +64,12 @@
         """Return how long a listed router must be gone before it is recovered.
 
         When two regions lose their connection, the routers of each declare many routers
-        gone that are still serving.  Sealing these is safe but cuts their streams.
-        Real failures are isolated, or soon confirmed by the platform's list or a new
-        incarnation, so the delay is longer when many routers are gone at the same time.
-        Routers that are no longer listed are not counted.  After a fleet was scaled
-        down, they would make a single failure look like a partition, and its tokens
-        would be unavailable for minutes.
+        of the other gone, although these are still serving.  Sealing these is safe but
+        cuts their streams.  Real failures are isolated, or soon confirmed by the
+        platform's list or a new incarnation, so the delay is longer when many routers
+        are gone at the same time.  Routers that are no longer listed are not counted.
+        After a fleet was scaled down, they would make a single failure look like a
+        partition, and its tokens would be unavailable for minutes.
         """
         listed = self.view.listed or {}
         silent = sum(
--- a/ebonyhold/coordination/_rows.py
+++ b/ebonyhold/coordination/_rows.py
@@ -67,7 +67,7 @@
     """One workspace's prepaid budget, at ``budget/{workspace}``.
 
     In the table ``spent + outstanding`` never exceeds ``prepaid``.  This invariant
-    prevents overspending whatever routers fail.
+    prevents overspending, whichever routers fail.
 
     Attributes:
         prepaid: Tokens bought: the sum of all top-ups.
--- a/ebonyhold/coordination/_rumours.py
+++ b/ebonyhold/coordination/_rumours.py
@@ -24,8 +24,8 @@
 
     When all routers of a fleet start at the same time, there are as many updates about
     new members as routers.  Other updates are sent before these: a refutation that is
-    delayed by them would let a healthy router be declared gone.  New members are also
-    sent in pages.
+    delayed by them would let a healthy router be declared gone.  Updates about new
+    members can wait, because new members are also sent in pages.
     """
     update = rumour.update
     joins = update.status is MemberStatus.ALIVE and update.revision == 0
--- a/ebonyhold/coordination/_stops.py
+++ b/ebonyhold/coordination/_stops.py
@@ -9,7 +9,7 @@
 from ebonyhold.types import BackendName, RequestId, Seconds
 
 CLOCK_MARGIN: Seconds = 1.0
-"""A server gets no new requests from this long before a planned stop.
+"""How long before a planned stop a server already gets no new requests.
 
 The margin allows for differences between the clocks of the VMs.
 """
--- a/ebonyhold/coordination/_transfers.py
+++ b/ebonyhold/coordination/_transfers.py
@@ -91,7 +91,7 @@
 def announce_transfer(
     transfer: Seen[TransferRow], workspace: WorkspaceName, amount: Tokens
 ) -> Transaction | None:
-    """Plan to write a closing giver's transfer to the table as pending.
+    """Plan to write a pending row for a transfer, before its giver is closed.
 
     None if the table already has a row of it.
     """
--- a/ebonyhold/forwarding/_attempt.py
+++ b/ebonyhold/forwarding/_attempt.py
@@ -28,7 +28,7 @@
 MAX_WHOLE_ANSWER = 1_048_576
 """Size limit, in bytes, of an answer that is read whole before it is passed on.
 
-If such an answer breaks off or is larger, nothing of it was sent to the caller, so the
+If the answer breaks off or is larger, the caller has received no part of it, so the
 request can still be retried or refused with an error.
 """
 
--- a/ebonyhold/forwarding/_backends.py
+++ b/ebonyhold/forwarding/_backends.py
@@ -22,7 +22,8 @@
 """
 
 EJECTION = EjectionPolicy(errors=4, lost=1, first=0.5, most=4.0, most_lost=2.0)
-"""Shorter ejections than the defaults, with one failed connection sufficient.
+"""One failed connection is enough for an ejection, and ejections are shorter than by
+default.
 
 A server that has recovered is needed at once, and trying a server that is still
 unreachable costs only one failed connection.
@@ -150,8 +151,9 @@
     ) -> list[BackendEntry]:
         """Return the servers of a service that may get a request now.
 
-        These are the ready servers that are not in `tried`, moved, ejected or full. If
-        there are none, full servers are returned; if all are ejected, these are.
+        These are the ready servers that have not moved, are not in `tried`, and are
+        neither ejected nor full. If only full servers are left, they are returned, and
+        if only ejected ones are left, these.
         """
         excluded = set(tried)
         ready = [
--- a/ebonyhold/forwarding/_caller.py
+++ b/ebonyhold/forwarding/_caller.py
@@ -152,8 +152,8 @@
         limits: The limits that apply to the caller's requests.
         inbox: The bytes received from the caller.
         parser: The protocol state.
-        received_at: When the latest bytes that the parser has read arrived. Any time
-            for which a pipelined request is queued behind others comes after this.
+        received_at: When the latest bytes that the parser has read arrived. A pipelined
+            request is queued behind others from then on.
         last: Whether to close the connection after the next answer, unless another
             request has begun to arrive by then.
         final: Whether to close the connection after the next answer in any case.
--- a/ebonyhold/forwarding/_calls.py
+++ b/ebonyhold/forwarding/_calls.py
@@ -21,8 +21,9 @@
 MAX_ANSWER = 33_554_432
 """Size limit, in bytes, of the answer to a call.
 
-The changes of a table include every version of a large row: a few hundred routes in
-ten versions make some 2 MB. With a limit below that, reading them would always fail.
+The changes of a table include every version of a large row: a few hundred routes in ten
+versions make some 2 MB. With a limit below that, reading these changes would always
+fail.
 """
 
 
@@ -37,7 +38,7 @@
     """Makes HTTP calls and reads their answers whole.
 
     It is meant for frequent calls and takes less processor time than a general client
-    library; ``python -m ebonyhold.experiments.store_call`` compares them.
+    library; ``python -m ebonyhold.experiments.store_call`` compares the two.
 
     Attributes:
         address: The host and port to call.
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -46,9 +46,9 @@
 """
 
 LARGE_BODY = 32_768
-"""Size in bytes above which a request is still being sent while its answer is read.
+"""Size in bytes above which a request is sent while its answer is already read.
 
-A server may answer before it has read the body. If the request were sent first,
+A server may answer before it has read the body. If the whole request were sent first,
 both sides could block, each waiting for the other to read.
 """
 
--- a/ebonyhold/forwarding/_choice.py
+++ b/ebonyhold/forwarding/_choice.py
@@ -32,10 +32,10 @@
     """Return the server with the lowest cost of reading a prompt.
 
     The cost is the server's load in prompt tokens, plus the shared tokens of this
-    prompt unless the server probably has them in its cache. This is assumed of servers
-    that this router has sent them to within CACHED_FOR, and of the first server in
-    rendezvous hashing order. The order is the same at all routers, so that few servers
-    read a popular prompt.
+    prompt unless the server probably has them in its cache. A server is assumed to have
+    them if this router sent them to it within CACHED_FOR, or if it is the first server
+    in rendezvous hashing order. This order is the same at all routers, so that few
+    servers read a popular prompt.
     """
     key = sharing_key(request)
     shared = shared_tokens(request)
--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_departure.py
@@ -100,8 +100,8 @@
         """Return a duration that requests of this route rarely exceed.
 
         It is the longest recorded duration plus SLACK, at least DEFAULT_ESTIMATE if
-        fewer than MIN_SAMPLES are recorded, times the safety factor. The route's
-        timeout is its maximum.
+        fewer than MIN_SAMPLES are recorded, times the safety factor. It never exceeds
+        the route's timeout.
         """
         known = self.durations.get(route.name, ())
         longest: Seconds = max(known, default=0.0) + SLACK
@@ -259,8 +259,10 @@
     and when RETURNING, none that needs tokens of a grant.
 
     Otherwise the estimated duration must fit into the time left. If it fitted when the
-    request arrived, but the request was then queued behind others, it is enough that
-    the longest recorded duration fits: DEFAULT_ESTIMATE alone must not cause a refusal.
+    request arrived, but no longer does because the request was queued behind others,
+    the longest recorded duration plus SLACK must fit instead, so that DEFAULT_ESTIMATE
+    alone does not cause a refusal. For streams and for routes without records that
+    duration is infinite, so such requests are refused.
     """
     if stage is Stage.STOPPING:
         return True
--- a/ebonyhold/forwarding/_forwarder.py
+++ b/ebonyhold/forwarding/_forwarder.py
@@ -119,7 +119,8 @@
         """Forward or refuse one request, and report its end to `ended`.
 
         A request whose headers are malformed is refused without a report. The outcome
-        is "left" if the caller disconnects, which cancels this call, or on an error.
+        is "left" if the caller disconnects, which cancels this call, or if an
+        unexpected error ends it.
         """
         started = anyio.current_time()
         try:
@@ -310,7 +311,7 @@
     def verdict(self, exchange: Exchange, result: AttemptResult) -> Refusal | None:
         """Return None if another server may be tried, or else the refusal.
 
-        Unless the connection failed, another try is counted in the retry budget.
+        Another try uses the retry budget, unless no connection could be made.
         """
         if result.end is AttemptEnd.NOT_SENT:
             # Nothing was sent, so no retry budget is used.
--- a/ebonyhold/forwarding/_listener.py
+++ b/ebonyhold/forwarding/_listener.py
@@ -128,7 +128,7 @@
         await self.handle(stream)
 
     async def handle(self, stream: ByteStream) -> None:
-        """Serve one connection until it ends; an unexpected error ends no other one."""
+        """Serve one connection until it ends; its errors do not affect the others."""
         connection = CallerConnection(stream, self.limits())
         connection.last = self.draining or self.shedding
         self.connections.add(connection)
@@ -162,10 +162,11 @@
             log.debug("caller's connection broke")
 
     async def answer_fault(self, connection: CallerConnection) -> None:
-        """Answer a request that failed by an internal error with status 500.
+        """Send status 500 for a request during which an internal error occurred.
 
         The status leaves open whether the request ran. Nothing is sent if an answer has
-        begun: the close of the connection then shows that its rest is missing.
+        begun: the close of the connection then shows that the rest of the answer is
+        missing.
         """
         if connection.started or connection.parser.our_state is not h11.SEND_RESPONSE:
             return
--- a/ebonyhold/forwarding/_refusals.py
+++ b/ebonyhold/forwarding/_refusals.py
@@ -56,8 +56,8 @@
     # Other routers hold the tokens, and the next attempt reaches another router.
     Refusal.BUDGET_UNREACHABLE: 0.05,
     Refusal.SLOW_REQUEST: 0.1,
-    # The next attempt reaches another router. A wait of 0.8 s, after which other
-    # routers that are also stopping may be back, delays answers without other benefit.
+    # The next attempt reaches another router. Waiting 0.8 s, until other stopping
+    # routers may be back, would only delay the answer.
     Refusal.STOPPING: 0.05,
 }
 """The Retry-After of each refusal, in seconds; the others have none."""
--- a/ebonyhold/forwarding/_types.py
+++ b/ebonyhold/forwarding/_types.py
@@ -26,7 +26,8 @@
     Attributes:
         SAFE: All requests.
         UNSAFE: None.
-        STREAM: Those whose route is resumable; the answer is a stream of events.
+        STREAM: All if the route is resumable, else none; the answers are streams of
+            events.
     """
 
     SAFE = "safe"
@@ -170,8 +171,8 @@
         slots: How many requests it runs at once.
         state: Whether it accepts new requests.
         started_at: When it started, in milliseconds since the epoch; 0 if unknown.
-        cold_for: For how many seconds after the entry was written it is still slow,
-            because it has just started.
+        cold_for: For how many seconds after the entry was written the server is still
+            slow, because it has just started.
     """
 
     name: BackendName
--- a/ebonyhold/gateway/__main__.py
+++ b/ebonyhold/gateway/__main__.py
@@ -6,9 +6,9 @@
 import sys
 import time
 
-# The time is read before the imports, which take most of the startup.
-# The previous process on this VM had ended by then, so the time after it is not
-# counted as that process's running time.
+# The time is read before the imports, which take most of the startup. The previous
+# process on this VM has ended by now, so the time from here on is not counted as its
+# running time.
 BEGAN_AT = time.monotonic()
 
 import anyio  # noqa: E402
--- a/ebonyhold/gateway/_explain.py
+++ b/ebonyhold/gateway/_explain.py
@@ -37,7 +37,10 @@
 
 
 def is_context(line: LogLine, workspaces: set[str]) -> bool:
-    """Return whether a line is about a router's state and no other workspace."""
+    """Return whether a line is about a router's state.
+
+    A line that names a workspace counts only if this is one of `workspaces`.
+    """
     if line.message not in CONTEXT_MESSAGES:
         return False
     workspace = line.fields.get("workspace")
--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -171,7 +171,7 @@
         return supervisor.status
 
     def supervise(self, tasks: TaskGroup) -> Supervisor:
-        """Create the supervisor, which also runs each return of a grant at the stop."""
+        """Create the supervisor, and let it run each grant's return at the stop."""
 
         def stop() -> None:
             supervisor.start("stop", self.stop, tasks)
@@ -287,8 +287,8 @@
     async def reclaim(self) -> None:
         """Reclaim the grants of earlier incarnations, once the VM's row is taken over.
 
-        If some grants of an incarnation cannot be reclaimed, the row goes on naming it,
-        so that the next incarnation tries again.
+        An incarnation with grants that cannot be reclaimed stays named in the VM's row,
+        so that this router's successor tries again.
         """
         await self.renewals.started.wait()
         for predecessor in self.renewals.unreclaimed:
@@ -296,7 +296,7 @@
                 self.renewals.reclaimed(predecessor.router)
 
     async def expire_servers(self) -> None:
-        """Remove servers whose entries did not return after an outage, repeatedly."""
+        """Regularly remove servers whose entries did not return after an outage."""
         while True:
             await anyio.sleep(EXPIRY_INTERVAL)
             self.routing.backends.expire(anyio.current_time())
@@ -325,6 +325,6 @@
         tasks.cancel_scope.cancel()
 
     async def leave(self) -> None:
-        """Remove this router's presence row, and its limits row unless still needed."""
+        """Remove this router's rows; the limits row stays if a successor needs it."""
         await self.renewals.leave()
         await self.presence.leave()
--- a/ebonyhold/gateway/_holds.py
+++ b/ebonyhold/gateway/_holds.py
@@ -43,13 +43,14 @@
 BATCH_DELAY: Seconds = 0.1
 """Delay before queued settlements are sent, so that several share a message.
 
-It is short, since the holder keeps each request's maximum cost on hold until then.
+It is short, since the holder keeps a request's maximum cost on hold until it receives
+the settlement.
 """
 
 SETTLEMENT_EXPIRY: Seconds = 20.0
 """Time after which an unconfirmed settlement is dropped.
 
-A holder that was killed has lost its holds, and one that was only unreachable charges
+If the holder was killed, it has lost its holds. If it was only unreachable, it charges
 them in full when they expire.
 """
 
@@ -117,7 +118,7 @@
     async def request_hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
         """Request a hold; return UNAVAILABLE without a valid answer.
 
-        A holder that is being avoided is sent no request.
+        No request is sent to a holder that is being avoided.
         """
         if not self.peers.is_available(peer, anyio.current_time()):
             return HoldOutcome.UNAVAILABLE
--- a/ebonyhold/gateway/_listening.py
+++ b/ebonyhold/gateway/_listening.py
@@ -1,4 +1,4 @@
-"""Runs a listener at an address, again if an earlier run failed."""
+"""Runs a listener at an address; it can be run again after a failure."""
 
 from __future__ import annotations
 
--- a/ebonyhold/gateway/_losses.py
+++ b/ebonyhold/gateway/_losses.py
@@ -147,7 +147,7 @@
 
 @reads("grant reclaimed", "grant not reclaimed")
 def read_reclaim(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count tokens that an ended incarnation neither returned nor filed as stranded."""
+    """Add tokens that an ended incarnation neither returned nor filed to `stranded`."""
     del request
     fields = line.fields
     left = fields["granted"] - fields["returned"] - fields["filed"]
@@ -166,7 +166,7 @@
 
 @reads("refused")
 def read_refusal(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count a refused request by its stored lack of tokens, or else by its code."""
+    """Count a refused request by its stored token cause, or else by the line's code."""
     losses.count(line, losses.token_causes.pop(request, line.fields["code"]))
 
 
--- a/ebonyhold/gateway/_pace.py
+++ b/ebonyhold/gateway/_pace.py
@@ -1,8 +1,8 @@
 """Scales the intervals of periodic store calls with the number of routers.
 
 The store's limits apply to all routers together. At fixed intervals, the number of
-calls would grow with the number of routers, and the number of rows read with its square
-where each router reads a row of every other one.
+calls would grow with the number of routers. Where each router reads the rows of all
+others, the number of rows read would even grow with the square of that number.
 """
 
 from __future__ import annotations
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -1,4 +1,4 @@
-"""Stores this router's presence row, and counts the routers by theirs."""
+"""Stores this router's presence row, and counts all routers by their rows."""
 
 from __future__ import annotations
 
@@ -39,14 +39,15 @@
 SETTLED_COUNTS = 2
 """Number of successful counts after which tokens may be drawn before they are needed.
 
-Earlier, the number of routers, which decides this router's share, is not reliable.
+After fewer counts, the number of routers is not reliable, and it decides this router's
+share of each budget.
 """
 
 GONE_AFTER_READINGS = 4
-"""Number of readings with an unchanged row after which a router is no holder.
+"""A router whose row is unchanged in this many readings can no longer be a holder.
 
-It is a number of readings, not a time, so that an outage of the store, in which no row
-changes and none is read, removes no holder.
+This is a number of readings, not a time: during an outage of the store no row changes,
+but none is read either, so no holder is removed.
 """
 
 MAX_MISSED_COUNTS = 3.5
@@ -195,7 +196,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether enough counts succeeded to draw tokens before they are needed."""
+        """Whether tokens may be drawn before they are needed (see `SETTLED_COUNTS`)."""
         return self.counts >= SETTLED_COUNTS
 
     def observe(self, rows: list[Row]) -> None:
--- a/ebonyhold/gateway/_pressure.py
+++ b/ebonyhold/gateway/_pressure.py
@@ -29,9 +29,9 @@
 overload."""
 
 HIGH_DELAY: Seconds = 0.1
-"""The mean delay of the event loop above which callers are shed. It is a third of the
-usual target for the time to an answer's first event, and it delays each request several
-times."""
+"""The mean delay of the event loop above which callers are shed. This is a third of the
+usual target for the time to an answer's first event, and each request waits for the
+event loop several times."""
 
 LOW_DELAY: Seconds = 0.02
 """The mean delay below which callers are accepted again."""
@@ -47,7 +47,7 @@
 
 
 CONNECT_WINDOW: Seconds = 2.0
-"""Time for which a connection attempt to a server counts in the link's state."""
+"""Time for which a connection attempt counts when the link's state is determined."""
 
 MIN_CONNECTS = 8
 """Minimum number of attempts in `CONNECT_WINDOW` for the link to count as blocked."""
@@ -57,8 +57,8 @@
 fewer, the servers may be down."""
 
 MAX_FAILED_SHARE = 0.5
-"""The link counts as blocked, so as saturated or cut, if more than this share of the
-attempts failed. An attempt usually takes about 5 ms and fails after 0.25 s."""
+"""The link counts as blocked (saturated or cut) if more than this share of the attempts
+failed. An attempt usually takes about 5 ms and fails after 0.25 s."""
 
 
 @define
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -71,7 +71,8 @@
 MAX_MISSES = 2
 """Number of unanswered renewals in a row after which the store counts as unreachable.
 
-With a single one, only its answer may have been lost, which the next renewal detects.
+A single unanswered renewal may have been stored, with only its answer lost. The next
+renewal shows whether the store is reachable.
 """
 
 UNKNOWN_ELAPSED: Seconds = 1e6
@@ -90,8 +91,8 @@
     Attributes:
         router: The incarnation that wrote the row.
         address: The VM's address; another VM may get the same name later.
-        renewed_at: A reading of the store's clock that is not later than the sending
-            of the row; 0 if the router had none yet.
+        renewed_at: A reading of the store's clock that is not later than the sending of
+            the row; 0 if the router had no reading yet.
         number: The number of this renewal, within the incarnation.
         limits: The limits on the router's use of its grants, by workspace.
         unreclaimed: Earlier incarnations whose grants were not returned yet.
@@ -142,7 +143,8 @@
         incarnation: This router's incarnation.
         wanted: Returns the limits for the next renewal.
         began_at: When this process began, as early as it could be measured.
-        limits: The renewals that the store may contain, whose lowest limit applies.
+        limits: The renewals that the store may contain; the lowest of their limits
+            applies.
         previous_row: The row of the VM's previous incarnation; None if there was none.
         unreclaimed: Earlier incarnations whose grants are not returned yet.
         started: Set when this incarnation has written the VM's row.
@@ -230,8 +232,9 @@
     def note_missed(self, error: PlatformError) -> None:
         """Count a failed renewal, and log the first failure in a row.
 
-        After a renewal with a known outcome, such as a conflict, the store counts as
-        unreachable at once; after unknown outcomes, only with the `MAX_MISSES`th.
+        A renewal that certainly failed, for example by a conflict, makes the store
+        count as unreachable at once. Renewals of unknown outcome do so only after
+        `MAX_MISSES` in a row.
         """
         if not self.misses:
             fields = {"error": error.code, "detail": str(error)}
@@ -253,7 +256,7 @@
             await self.write(AtVersion(self.key, self.version))
 
     async def start(self) -> None:
-        """Take over the VM's row, so that it names its previous incarnation too."""
+        """Take over the VM's row, and keep the earlier incarnations named in it."""
         rows = await self.store.scan(self.key)
         found = next((row for row in rows if row.key == self.key), None)
         check: Check = Absent(self.key)
@@ -268,7 +271,8 @@
         """Record the earlier incarnations of a row that was found at this VM's key.
 
         A damaged row is logged and records none, so the grants that it named are not
-        reclaimed. It is still overwritten, or this router could never start.
+        reclaimed. The row is overwritten nevertheless, since this router could never
+        start otherwise.
         """
         try:
             self.take_over(read_row(row, LimitsRow))
@@ -299,8 +303,8 @@
         previous = self.previous_row
         if previous is None or not previous.renewed_at:
             return
-        # The previous process had ended when this one began, so the time from then to
-        # the store's answer, which may contain an outage, is subtracted.
+        # The previous process had ended when this one began. So the time from
+        # `began_at` to the store's answer is subtracted; it can include an outage.
         since = self.clock.reading - previous.renewed_at
         elapsed = since - (self.clock.at - self.began_at)
         fields = {"predecessor": previous.router, "elapsed": round(elapsed, 2)}
@@ -309,7 +313,7 @@
         self.unreclaimed = (*self.unreclaimed[:-1], predecessor)
 
     def reclaimed(self, router: RouterId) -> None:
-        """Drop a predecessor whose grants are returned; the next renewal omits it."""
+        """Drop a predecessor whose grants are returned; later renewals omit it."""
         self.unreclaimed = tuple(p for p in self.unreclaimed if p.router != router)
 
     async def write(self, check: Check) -> None:
@@ -364,7 +368,7 @@
     async def read_own_row(self) -> None:
         """Store the version of this router's row, and confirm the renewal in it.
 
-        A row that does not exist changes nothing.
+        If there is no row, nothing is stored.
 
         Raises:
             ConflictError: The row is damaged or belongs to another router.
--- a/ebonyhold/gateway/_routing_state.py
+++ b/ebonyhold/gateway/_routing_state.py
@@ -63,8 +63,9 @@
     def update_servers(self, rows: tuple[RawRow, ...], after_outage: bool) -> None:
         """Apply changes to the list of servers.
 
-        A malformed entry removes its server at once. Only deleted entries may have
-        lapsed in an outage, after which their servers are kept for a grace period.
+        A malformed entry removes its server at once. If an entry was deleted during an
+        outage, it may have lapsed only because it could not be renewed, so its server
+        is kept for a grace period.
         """
         now = anyio.current_time()
         for row in rows:
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -320,7 +320,7 @@
     async def answer(self, request: TransferRequest) -> TransferAnswer:
         """Give the requested tokens, as far as possible, and return them with an offer.
 
-        Both are 0 for a workspace without a grant here.
+        The answer contains 0 for both if this gateway has no grant of the workspace.
         """
         account = self.account(request.workspace)
         if account is None:
--- a/ebonyhold/gateway/_watcher.py
+++ b/ebonyhold/gateway/_watcher.py
@@ -32,8 +32,8 @@
 """Delay before the next attempt after a failed call."""
 
 OUTAGE_AFTER: Seconds = 1.5
-"""Time without an answer after which the next one counts as following an outage.
-Entries may then have lapsed only because they could not be renewed."""
+"""If the store did not answer for this long, its next answer counts as following an
+outage. Entries may then have lapsed only because they could not be renewed."""
 
 
 @define(eq=False)
--- a/tests/coordination/test_bills.py
+++ b/tests/coordination/test_bills.py
@@ -69,7 +69,7 @@
 def test_settlement_keeps_the_totals(
     old: RequestRow | None, held: int, charge: int, paid: int, spent: int
 ) -> None:
-    """The budget's outstanding and spent tokens follow the paid part of the bill.
+    """Filing a bill changes the budget's outstanding and spent tokens.
 
     Outstanding tokens fall by what the grant pays.  Spent tokens change by the
     difference between the new and the old charge in the request's row.
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -144,8 +144,8 @@
 def test_a_router_missing_in_the_list_is_declared_gone_sooner() -> None:
     """A router that crashes is no longer in the platform's list.
 
-    The list confirms the missing answers, so the router is declared gone sooner than a
-    listed one, and it may be recovered immediately.
+    Its absence from the list confirms the crash, so the router is declared gone sooner
+    than a listed one, and it may be recovered immediately.
     """
     times = []
     for unlisted in (False, True):
--- a/tests/coordination/test_request_decisions.py
+++ b/tests/coordination/test_request_decisions.py
@@ -191,7 +191,7 @@
 
 
 def test_own_requests_in_a_report_are_counted_once() -> None:
-    """Of the 10 reported requests 4 are this router's, which has 6 there now."""
+    """Of the 10 reported requests, 4 are of this router, which now has 6 there."""
     item = Candidate("e", 16, reported=10, own_at_report=4, own=6)
     assert item.load == 12
 
--- a/tests/coordination/test_unmet_routers.py
+++ b/tests/coordination/test_unmet_routers.py
@@ -48,7 +48,10 @@
 @pytest.mark.parametrize("readers", [1, SIZE], ids=["read by one", "read by all"])
 @pytest.mark.parametrize("listed", [True, False], ids=["listed", "not listed"])
 def test_router_that_crashed_before_any_contact(readers: int, listed: bool) -> None:
-    """Guards against a long delay of the bills of a router that contacted no other."""
+    """Guards against a late recovery of a router that crashed before any contact.
+
+    The router's bills are not settled until it is recovered.
+    """
     fleet = converged(listed)
     for node in fleet.running()[:readers]:
         node.membership.read_row(row(UNCONFIRMED), fleet.now)
@@ -109,9 +112,9 @@
 
 
 def test_isolated_new_router_recovers_no_rows() -> None:
-    """Guards against a router that seals the whole fleet when its network has failed.
+    """Guards against a router without a network that recovers all others as gone.
 
-    It is cut off since its start and reads the rows of the other routers.
+    The router has been cut off since its start, but reads the rows of the others.
     """
     fleet = start_fleet(SIZE, Network(), MembershipOptions(), 1)
     fleet.cut = lambda sender, receiver: "10.0.0.1:7300" in (sender, receiver)
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -210,9 +210,10 @@
 
 @pytest.mark.parametrize("at_once", [True, False], ids=["one piece", "two pieces"])
 async def test_waiting_for_a_turn_does_not_make_a_request_late(at_once: bool) -> None:
-    """Guards against measuring the queueing time of a pipelined request too short.
+    """Guards against a queueing time of a pipelined request that is measured too short.
 
-    It starts when the request arrives, not when the answer before it has ended.
+    The queueing time starts when the request arrives, not when the answer to the
+    previous request has ended.
     """
     waits: list[float] = []
 
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -191,7 +191,7 @@
 
 @define(eq=False)
 class UnreachablePool:
-    """A pool whose connections always fail; the server list may change before.
+    """A pool whose connections always fail, right after a call of `meanwhile`.
 
     Attributes:
         meanwhile: Called before a connection fails.
--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -220,8 +220,8 @@
         stop_signal: Set to send the gateway a SIGTERM.
         status: The gateway's exit status; None before its end.
         ended: Set when the gateway has ended.
-        overlapping: Request heads on server connections that carried data before the
-            previous request was answered.
+        overlapping: Heads of requests that were followed by more data on the same
+            server connection before their answers.
     """
 
     rng: random.Random
@@ -314,7 +314,7 @@
             self.open.discard(stream)
 
     async def answer(self, stream: Pipe, head: str) -> None:
-        """Answer one request; close the connection before 2 % of the answers."""
+        """Answer one request; for 2 % of them, close the connection instead."""
         name = value(head, "x-ebonyhold-request-id")
         self.runs[name] = self.runs.get(name, 0) + 1
         await anyio.sleep(self.rng.choice((0, 0.001, 0.02)))
--- a/tests/gateway/test_holds.py
+++ b/tests/gateway/test_holds.py
@@ -203,7 +203,7 @@
 
 
 async def test_concurrent_settlements_to_one_holder() -> None:
-    """Several tasks send the settlements of one holder, and the later ones find none.
+    """Several tasks send one holder's settlements, and later ones find none left.
 
     An error in such a task would make the gateway's stop fail.
     """
--- a/tests/gateway/test_interleavings.py
+++ b/tests/gateway/test_interleavings.py
@@ -68,7 +68,7 @@
 def test_weakened_gateway_is_detected(
     weaken: Callable[[pytest.MonkeyPatch], None], shown: str
 ) -> None:
-    """The simulation detects each of two injected faults with some seed.
+    """The simulation detects each of two injected faults with at least one seed.
 
     With the first, the sweep removes a connection that a request has taken while the
     sweep waited, and fails. With the second, a change of a grant whose answer was lost
--- a/tests/gateway/test_renewals.py
+++ b/tests/gateway/test_renewals.py
@@ -86,8 +86,8 @@
 async def test_renewal_in_doubt_lowers_no_limit() -> None:
     """The store does not answer, and each renewal may still take effect later.
 
-    The limits of a renewal in doubt apply too, since a successor may find it. If later
-    renewals restarted the growth of the limits, the router could use no further tokens
+    A successor may find any of these renewals, so their limits apply too. If each later
+    renewal restarted the growth of the limits, the router could use no further tokens
     during an outage.
     """
     store = MemoryRows()
