--- a/ebonyhold/backends/_engine.py
+++ b/ebonyhold/backends/_engine.py
@@ -29,16 +29,16 @@
 
 COMPLETIONS = "/v1/chat/completions"
 RENEW_BELOW = 0.9
-"""The stall deadline is extended once less than this part of the timeout is left.
+"""The stall deadline is extended only if less than this part of the timeout is left.
 
-Otherwise each token would set a new timer.
+Without this condition each token would set a new timer.
 """
 
 MAX_ANSWER_BYTES = 8_388_608
 """Maximum size of the body of an answer that is not streamed."""
 
 MAX_REFUSAL_BYTES = 16_384
-"""Maximum size of the body of a response with a status from 400 to 499 or 503."""
+"""Maximum size of the body of a refusal, which has a status from 400 to 499 or 503."""
 
 
 @define
@@ -177,7 +177,7 @@
     """Raise the error for a response with a status other than 200.
 
     Raises:
-        RefusedError: The status is from 400 to 499 or 503: the engine refused the
+        RefusedError: The status is 503 or from 400 to 499: the engine refused the
             attempt without running it.
         BackendError: The status is another one, or the body is too large; the attempt
             may have run.
--- a/ebonyhold/backends/_messages.py
+++ b/ebonyhold/backends/_messages.py
@@ -87,7 +87,7 @@
     Attributes:
         connect: For opening a connection.
         first: From the start of a request until all headers of its response arrive.
-        stall: From one output of a stream to the next; also for each read of a socket.
+        stall: Between two outputs of a stream; also for each read or write of a socket.
         close: For a request that closes an attempt.
     """
 
@@ -106,7 +106,7 @@
         body: The JSON body.
         stream: Whether the answer is streamed.
         priority: The engine serves requests with a larger number first.
-        resume: Number of tokens of the answer that the caller has already.
+        resume: Number of tokens of the answer that the caller already has.
         traceparent: The W3C trace context, or empty.
         boot: The engine's boot identifier in the stored intent, or empty.  An engine
             that has restarted since then refuses the attempt, because a restart loses
--- a/ebonyhold/backends/_placement.py
+++ b/ebonyhold/backends/_placement.py
@@ -56,7 +56,7 @@
 ORDER_TIMEOUT: Seconds = 2.0
 """The timeout of sending an order.
 
-A router whose process is suspended may exceed it.
+While a router's process is suspended, sending may take longer.
 """
 
 
@@ -71,8 +71,8 @@
         placement: Decides which order to send.
         clock: Returns the time in seconds since the epoch.
         held: The lease while this router holds it, otherwise None.
-        observation: The version of the lease row and when this router first read it, to
-            detect that the lease has expired.
+        observation: The version of the lease row, and when this router first read that
+            version; used to detect that the lease has expired.
     """
 
     router: Callable[[], RouterId]
@@ -96,8 +96,9 @@
     async def run_round(self) -> None:
         """Renew or acquire the lease; while it is held, send at most one order.
 
-        Earlier unload orders whose outcome is unknown come first: engines that check
-        fencing numbers get an order that makes them refuse the earlier one.
+        If an unload order of an earlier lease has an unknown outcome and its engine
+        checks fencing numbers, the order of this round is a load for that engine.  Its
+        larger fencing number makes the engine refuse the earlier unload order.
 
         Raises:
             PlatformError: Reading or writing the table failed.
@@ -138,8 +139,8 @@
             return None
         held = await self.commit_lease(plan)
         if held is not None:
-            # Loads ordered under an earlier lease of this router may be out of date;
-            # only the unload orders in the table still count.
+            # Loads that this router ordered under an earlier lease may be out of
+            # date.  Pending unload orders are read from the table.
             self.placement.loading.clear()
         return held
 
@@ -157,8 +158,8 @@
     async def commit_lease(self, plan: LeasePlan) -> HeldLease | None:
         """Commit a change of the lease; return the lease, or None after a conflict.
 
-        If the outcome of the commit is unknown, the row is read to find out, and the
-        result is None if it does not show the change.
+        After a commit with an unknown outcome the row is read; the result is None if
+        the row does not contain the change.
 
         Raises:
             PlatformError: Reading or writing the table failed.
@@ -175,8 +176,8 @@
     async def pending_unloads(self) -> list[OrderRow]:
         """Return the unload orders that an engine may still execute.
 
-        Rows older than `doubt_for` are deleted; rows that cannot be decoded are
-        logged and skipped.
+        Rows older than `doubt_for` seconds are deleted.  Rows that cannot be decoded
+        are logged and skipped.
 
         Raises:
             PlatformError: Reading or writing the table failed.
@@ -205,7 +206,7 @@
             await self.table.commit(Transaction((), deletes))
 
     def engines(self) -> list[BackendState]:
-        """Update the states to the current document and return those of its engines."""
+        """Update all states from the current document; return those of the engines."""
         self.backends.refresh()
         return [
             state
@@ -214,21 +215,22 @@
         ]
 
     async def issue(self, order: EngineOrder, held: HeldLease) -> int:
-        """Send one order if the lease is held for longer than the order's timeout.
+        """Send one order if the lease remains held for at least the order's timeout.
 
-        A router that is paused after this check sends its order late.  An engine that
-        checks fencing numbers refuses a late order.  For other engines each unload
-        order is first stored in the table, so that the next holder of the lease does
-        not count that engine and first loads the model on another one.  The row is
-        deleted after any response.
+        A router that is paused after this check may send its order after another
+        router has acquired the lease.  Engines that check fencing numbers refuse such
+        an order; others execute it.  So each unload order is stored in the table
+        before it is sent: until its row is deleted, the holder of the lease does not
+        count the engine as serving the model, and first loads the model on another
+        one.  The row is deleted after any response.
 
         Returns:
             The HTTP status of the engine's response; 0 if there was none or the order
             was not sent.
 
         Raises:
-            PlatformError: The unload order could not be stored, so it is not sent; or
-                its row could not be deleted after a response.
+            PlatformError: The unload order could not be stored and is not sent, or its
+                row could not be deleted after a response.
         """
         row = OrderRow(order, held.row.fencing, self.clock())
         key = order_key(order.backend, row.fencing)
@@ -256,7 +258,7 @@
         if order.action is Action.UNLOAD:
             await self.delete_unloads([row])
         if status == httpx.codes.CONFLICT:
-            # The engine has received an order of a later holder.
+            # The engine has received an order from a later holder of the lease.
             self.held = None
         return status
 
@@ -287,7 +289,8 @@
     """Send an order and return the HTTP status of the engine's response.
 
     Raises:
-        UnavailableError: There was no response; the engine may have executed it.
+        UnavailableError: There was no response; the engine may have executed the
+            order.
     """
     body = {
         "order": row.order.action.value,
--- a/ebonyhold/backends/_poll.py
+++ b/ebonyhold/backends/_poll.py
@@ -55,10 +55,10 @@
 ) -> None:
     """Request an engine's new cache events and apply them to its prefix index.
 
-    A failed request changes nothing.  After lost events the index has prefixes that the
-    engine evicted, or lacks prefixes that the engine stored.  Such errors affect only
-    which engine is chosen, never an answer; later events and the size limit of the
-    index correct them.
+    A failed request changes nothing.  If events are lost, the index contains prefixes
+    that the engine has evicted, or lacks prefixes that it has stored.  Such errors
+    affect only which engine is chosen, never an answer; later events and the size limit
+    of the index correct them.
     """
     after = state.prefixes.sequence
     url = f"{base_url(state.backend)}/v1/cache/events?after={after}"
--- a/ebonyhold/backends/_service.py
+++ b/ebonyhold/backends/_service.py
@@ -34,9 +34,9 @@
 OWN_REQUEST_HEADERS = frozenset(
     {"host", "content-length", "authorization", "accept-encoding", "expect"}
 )
-"""The caller's headers that are not forwarded.
+"""Headers of the caller's request that are not forwarded.
 
-The router sets its own values of some; the service must not receive the others.
+Some are set by the router itself; the service must not receive the others.
 """
 
 OWN_ANSWER_HEADERS = frozenset({"content-length", "content-encoding", "date", "server"})
--- a/ebonyhold/backends/_sse.py
+++ b/ebonyhold/backends/_sse.py
@@ -64,16 +64,17 @@
 class StreamCheck:
     """Checks one answer over all its attempts: no token is repeated or missing.
 
-    Only events without a token index are decoded as JSON, about three in an answer.
-    In the others only the ``id:`` line is parsed, which contains the index.
+    Only events without a token index are decoded as JSON; an answer has about three.
+    Of the others only the ``id:`` line is parsed, which contains the index.
 
     Attributes:
         usage_wanted: Whether the caller requested the usage event.
         expected: The index of the next token, which is the number of tokens passed on.
         finished: Whether the event with the finish reason was received.
         done: Whether ``[DONE]`` was received, so the answer is complete.
-        usage: The usage that the latest attempt reported, or None before that.
-        indexed: Whether the engine numbers its tokens, so that it can resume.
+        usage: The usage that the current attempt reported; None before it does.
+        indexed: Whether the engine numbers its tokens; otherwise no attempt can resume
+            the answer.
         opened: Whether any event except usage was passed on to the caller.
         first_answer_id: The ``"id"`` member of the answer's JSON in the first attempt.
         answer_id: The ``"id"`` member of the answer's JSON in this attempt.
@@ -92,7 +93,7 @@
     skipped: int = 0
 
     def begin(self) -> None:
-        """Reset the state that belongs to one attempt, before the next one."""
+        """Reset the attributes that apply to a single attempt, before each attempt."""
         self.answer_id = b""
         self.usage = None
 
@@ -102,7 +103,8 @@
         Comments and empty events are not passed on.
 
         Raises:
-            BrokenStreamError: A token is missing, or the event is invalid.
+            BrokenStreamError: A token is missing, the event is invalid, or it follows
+                the end of the answer.
         """
         if self.done:
             raise BrokenStreamError("an event follows the end of the stream")
@@ -174,8 +176,9 @@
         """Handle an event without a token index; return the bytes to pass on, if any.
 
         The event is the opening event, the one with the finish reason, the usage, or
-        text from an engine that does not number its tokens.  Repeated opening events
-        and finish reasons are dropped, and usage that the caller did not request.
+        text from an engine that does not number its tokens.  Dropped are repeated
+        opening events, repeated finish reasons, and usage that the caller did not
+        request.
 
         Raises:
             BrokenStreamError: The event is not a JSON object, or its usage is invalid.
--- a/ebonyhold/backends/_state.py
+++ b/ebonyhold/backends/_state.py
@@ -16,15 +16,15 @@
 """The initial window, as a fraction of an engine's slots; at least 1 request."""
 
 PROBING_GROWTH = 0.5
-"""Growth of a window per report, as a fraction of it, before any report of a queue."""
+"""Growth per load report, as a fraction of the window, until one reports a queue."""
 
 WINDOW_SHRINK = 0.7
-"""Factor by which a window is multiplied when a report contains a queue."""
+"""Factor by which a window is multiplied when a load report contains a queue."""
 
 WINDOW_GROWTH = 0.2
-"""Growth of a window per report without a queue, in requests.
+"""Growth of a window per load report without a queue, in requests.
 
-It applies once the server has reported a queue; before, `PROBING_GROWTH` does.
+It applies after the first report that contained a queue, `PROBING_GROWTH` before it.
 """
 
 
@@ -38,7 +38,7 @@
         report: The latest load report.
         reported_at: When `report` arrived, in seconds; -inf before the first report.
         own_at_report: Number of this router's requests at the server when `report`
-            arrived, at most the number of requests in the report.
+            arrived, limited to the number of requests in the report.
         running: This router's requests at the server, by attempt.
         reserved: Number of this router's requests that were assigned to the server
             and not sent yet.
@@ -85,7 +85,7 @@
         )
 
     def __attrs_post_init__(self) -> None:
-        """Set the initial window, which for a plain service has all its slots."""
+        """Set the initial window; for a plain service it is the number of its slots."""
         slots = float(self.backend.slots)
         engine = self.backend.kind is BackendKind.ENGINE
         self.window = max(1.0, slots * INITIAL_WINDOW) if engine else slots
@@ -128,7 +128,7 @@
             self.window = min(float(self.backend.slots), self.window + growth)
 
     def learn(self, events: Iterable[CacheEvent]) -> None:
-        """Apply cache events to the prefix index, except those applied before."""
+        """Apply cache events in order to the prefix index; skip any applied before."""
         for event in sorted(events, key=lambda item: item.sequence):
             if event.sequence <= self.prefixes.sequence:
                 continue
--- a/ebonyhold/backends/_table.py
+++ b/ebonyhold/backends/_table.py
@@ -33,31 +33,33 @@
 from ebonyhold.types import AttemptId, BackendName, Seconds
 
 POLL_INTERVAL: Seconds = 0.5
-"""The minimum mean time between two polls, and the timeout of each request."""
+"""Minimum mean time between polls of one engine, and the timeout of each request."""
 
 MAX_POLL_RATE = 8.0
 """Maximum mean number of load reports that a router requests per second.
 
-With many engines the polls of each become rarer, so that their cost stays bounded.
+The more engines a router polls, the less often it polls each, so that the total cost
+stays bounded.
 """
 
 WORKING_SET_SIZE = 24
-"""Maximum number of engines that a router polls and prefers, per set of models.
+"""Maximum number of engines of one group that a router polls and prefers.
 
-Engines that are configured with the same models form a set.
+A group is all engines that are configured with the same models.
 """
 
 CACHE_EVERY = 4
-"""Cache events are requested in one of this number of rounds of polls.
+"""Number of poll rounds per request for cache events.
 
-They need no frequent polls: they are out of date in any case, and a router records the
-prefixes of its own requests without them.
+Requesting them more often would gain little: cache events are out of date when they
+arrive, and a router records the prefixes of its own requests without them.
 """
 
 POLL_JITTER = 0.2
-"""Width of the random variation of the poll interval, as a fraction of the interval.
+"""Range of the random variation of the poll interval, as a fraction of the interval.
 
-The variation keeps the routers from polling at the same time.
+The interval varies by half of this in each direction, so that the routers do not all
+poll at the same time.
 """
 
 REMOTE_DELAY: Seconds = 0.0015
@@ -85,7 +87,7 @@
         rounds: Number of rounds of polls that were started.
         working: The engines that this router polls and prefers.
         self_id: A random id, so that routers choose different working sets.
-        changed: Called after each poll, because free slots may have changed.
+        changed: Called when free slots may have changed: after each poll and attempt.
     """
 
     fleet: FleetView
@@ -134,7 +136,7 @@
     async def poll(self, state: BackendState) -> None:
         """Request one engine's load report and, in some rounds, its cache events.
 
-        Without a valid report this counts as a failed connection to the engine.
+        A missing or invalid report counts as a failed connection to the engine.
         """
         report = await poll_load(self.client, state.backend, self.poll_every)
         name = state.backend.name
@@ -178,7 +180,7 @@
         self.working = self.choose_working_set()
 
     def choose_working_set(self) -> frozenset[BackendName]:
-        """Return at most `WORKING_SET_SIZE` engines for each set of models."""
+        """Return at most `WORKING_SET_SIZE` engines of each group with equal models."""
         groups: dict[tuple[str, ...], list[BackendName]] = {}
         for backend in self.fleet.backends(BackendKind.ENGINE):
             groups.setdefault(backend.models, []).append(backend.name)
@@ -198,8 +200,8 @@
         """Return the servers that may get new requests for a model or a service.
 
         Leaving and ejected servers are left out.  Engines outside the working set are
-        returned only if no engine in the working set, ejected or not, offers the model
-        and accepts requests.
+        returned only if the working set has no engine that offers the model and is not
+        leaving; an ejected engine there still counts as one.
 
         Args:
             kind: Engines or plain services.
@@ -252,7 +254,7 @@
     def choose_service(
         self, service: str, tried: Iterable[BackendName] = ()
     ) -> BackendState | None:
-        """Choose the server with the fewest requests of this router.
+        """Choose the server that has the fewest requests from this router.
 
         Ties are decided by the shorter delay, then at random.  The result is None if
         no server is usable.
@@ -291,7 +293,7 @@
             return UNKNOWN
 
     def holdings(self) -> tuple[Holding, ...]:
-        """Return each leaving server with the requests of this router that it runs."""
+        """Return the leaving servers, each with this router's requests that it runs."""
         leaving = [
             state.backend.name
             for state in self.states.values()
@@ -311,7 +313,8 @@
 def serves(state: BackendState, kind: BackendKind, name: str) -> bool:
     """Return whether a server offers a model or a service.
 
-    An engine offers its loaded models; until its first report, those configured.
+    An engine offers the models and adapters in its latest report; if the report has no
+    models, or there is none yet, the models that are configured for the engine.
     """
     backend = state.backend
     if backend.kind is not kind:
--- a/ebonyhold/backends/_transport.py
+++ b/ebonyhold/backends/_transport.py
@@ -65,5 +65,5 @@
 NO_CERTIFICATES = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 """A context without CA certificates, for pools of connections without TLS.
 
-It saves the time to load certificates that these pools do not use.
+Loading certificates takes time, and these pools do not use them.
 """
--- a/ebonyhold/callers/_app.py
+++ b/ebonyhold/callers/_app.py
@@ -66,7 +66,7 @@
         stopping: Whether new requests are refused because the router stops.
         metrics: Counts requests and attempts, and measures times.
         open_requests: Requests that passed `check_accepting` and have not ended,
-            also those that wait in the queue of a gate.
+            including those that wait in the queue of a gate.
         keys: The API keys of the workspaces.
         gates: The gate of each model and plain service that was requested.
         retries: The budget of attempts that may repeat work, shared by all requests.
@@ -121,9 +121,9 @@
             ended = "internal"
             logger.exception("request failed", extra={"request": response.request})
             if response.started:
-                # A second status cannot be sent.  The listener closes the
-                # connection of a response without an end, so that the caller does
-                # not take the response for complete.
+                # A second status cannot be sent.  Because the response has no end,
+                # the listener closes its connection, and the caller does not take
+                # the response for complete.
                 raise
             await refuse(Refusal(INTERNAL), request, response)
         finally:
@@ -183,10 +183,10 @@
     async def interrupt(self) -> None:
         """Interrupt all open requests; wait for them at most `INTERRUPT_WITHIN`.
 
-        A stop calls this before it files the last bills and returns the grants.  A
-        request that went on would be cut when the listener closes: its caller would
-        get a bare 500 or no answer and not learn whether the request ran, and its
-        bill would have to be recovered.
+        The stop of the router calls this before it files the last bills and returns
+        the grants.  A request that continued would be cut when the listener closes:
+        its caller would get a bare 500 or no answer, without the information whether
+        the request ran, and its bill would have to be recovered.
         """
         open_requests = tuple(self.open_requests)
         for open_request in open_requests:
--- a/ebonyhold/callers/_ask.py
+++ b/ebonyhold/callers/_ask.py
@@ -34,17 +34,20 @@
 
 LIVE_WAIT: Seconds = 5.0
 BATCH_WAIT: Seconds = 60.0
-"""How long a request without a deadline may wait to start."""
+"""How long a batch request without a deadline may wait to start.
+
+`LIVE_WAIT` is the same for a live request.
+"""
 
 MAX_WAIT: Seconds = 600.0
-"""Upper limit of the deadline that a caller may name."""
+"""The longest wait to start; a longer deadline of a caller is reduced to it."""
 
 LIVE_SHED_AFTER: Seconds = 0.25
 BATCH_SHED_AFTER: Seconds = 10.0
-"""How long a request without a deadline may wait while the queue is standing.
+"""How long a batch request without a deadline may wait while the queue is standing.
 
-The queue is standing once it has not been empty for longer than
-`AdmissionQueue.standing_after`.
+`LIVE_SHED_AFTER` is the same for a live request.  The queue is standing when its last
+empty moment is longer ago than `AdmissionQueue.standing_after`.
 """
 
 MESSAGE_OVERHEAD: Tokens = 16
@@ -60,7 +63,7 @@
 
     Attributes:
         request: The caller's idempotency key, or a random identifier.
-        keyed: Whether it is the caller's idempotency key.
+        keyed: Whether `request` is the caller's idempotency key.
     """
 
     request: RequestId
@@ -255,7 +258,7 @@
 
 
 def message_texts(messages: object) -> Iterator[str]:
-    """Yield the texts of all messages; a content that is no string or list is skipped.
+    """Yield the texts of all messages; skip content that is neither string nor list.
 
     Raises:
         Refusal: The messages are not a list of at least one object.
@@ -323,7 +326,8 @@
 def engine_body(value: dict[str, Any], max_tokens: Tokens, stream: bool) -> bytes:
     """Return the body for the engine.
 
-    It has the bound of the answer's tokens; a stream also requests the usage event.
+    It contains the bound of the answer's tokens, and for a stream also requests the
+    usage event.
     """
     changed = {key: item for key, item in value.items() if key not in REPLACED}
     changed["max_tokens"] = max_tokens
--- a/ebonyhold/callers/_chat.py
+++ b/ebonyhold/callers/_chat.py
@@ -29,7 +29,7 @@
 """Prefix of the content type of a stored answer whose body is not UTF-8."""
 
 SLOW_GRACE: Seconds = 5.0
-"""How long a caller that is too slow has to read the error event."""
+"""Time that a too slow caller has to read the error event before it is cut off."""
 
 
 @define
@@ -87,8 +87,8 @@
         with self.producing:
             await self.run.run(self.dispatch)
         if self.producing.cancelled_caught:
-            # The router's stop ended the attempt, not the caller, who got nothing:
-            # the caller doesn't pay for what the engine ran.
+            # The router's stop ended the attempt, and the caller got nothing.  So the
+            # caller doesn't pay for what the engine ran.
             self.run.aborted = False
 
     async def dispatch(self, state: BackendState, call: EngineCall) -> None:
@@ -107,8 +107,8 @@
         pipe: Buffers events from the engine until the caller takes them.
         tail: The last events.  They are sent after the request is settled, so that
             the unused tokens of its hold are available when the caller gets the end.
-        settled: Whether the request may have run, once it is settled; UNKNOWN while
-            it is being settled.
+        settled: Whether the request may have run; None before it is settled, UNKNOWN
+            while it is being settled.
         scope: Cancels both the attempts and the response.
         producing: Cancels the attempts.
     """
@@ -144,7 +144,10 @@
             await answer_failure(error, self.settled, self.run.request, send)
 
     def interrupt(self) -> None:
-        """Stop the attempts and end the stream with an explicit error event."""
+        """Stop the attempts, and end the stream with an error event.
+
+        If the response has not started, the request is refused instead.
+        """
         if not self.pipe.closed:
             self.pipe.close(Refusal(ANSWER_INCOMPLETE, "this router is stopping"))
             self.producing.cancel()
@@ -158,8 +161,8 @@
     async def produce(self) -> None:
         """Get the answer from an engine, or from several in turn.
 
-        Settles the request and closes the pipe at the end; on an error the pipe is
-        closed with that error.
+        Then this settles the request and closes the pipe.  After an error it only
+        closes the pipe, with the error; `respond` settles the request.
         """
         try:
             with self.producing:
@@ -261,7 +264,7 @@
 
 
 def to_kept_answer(answer: Answer) -> KeptAnswer:
-    """Return an answer as it is stored for a retry, in base64 if it isn't UTF-8."""
+    """Return an answer in its stored form; a body that isn't UTF-8 becomes base64."""
     try:
         text = answer.body.decode()
     except UnicodeDecodeError:
--- a/ebonyhold/callers/_endpoints.py
+++ b/ebonyhold/callers/_endpoints.py
@@ -42,7 +42,7 @@
 
 @define
 class Call:
-    """One authenticated request, as its handler gets it."""
+    """One authenticated request, as it is passed to its handler."""
 
     app: Serving
     request: Request
@@ -69,7 +69,7 @@
     reported: bool = False
 
     def server_chosen(self) -> None:
-        """Report to the gate, at the first call, that the request is not pending."""
+        """Report to the gate that a server is chosen; later calls do nothing."""
         if not self.reported:
             self.reported = True
             self.gate.arrived()
@@ -188,15 +188,15 @@
 
 
 async def read_body(request: Request, max_size: int) -> bytes:
-    """Read the body of a request, of at most so many bytes.
+    """Read the body of a request, which may have at most `max_size` bytes.
 
-    The time limit closes requests of callers that send very slowly, which would
-    otherwise keep a connection and its memory without end.
+    Without the time limit, a caller that sends very slowly could keep a connection
+    and its memory in use forever.
 
     Raises:
         Refusal: The body did not arrive within `BODY_READ_TIMEOUT`.
-        BodyTooLargeError: The body is larger than allowed.
-        CallerGoneError: The connection ended first.
+        BodyTooLargeError: The body is larger than `max_size`.
+        CallerGoneError: The connection ended before the body was complete.
     """
     try:
         with anyio.fail_after(BODY_READ_TIMEOUT):
--- a/ebonyhold/callers/_flight.py
+++ b/ebonyhold/callers/_flight.py
@@ -37,8 +37,8 @@
     """One accepted request, until the end of its response.
 
     Before `begin` nothing of the request has run, so it can be cancelled and refused
-    as not run.  After that it is ended by `work`, which closes its attempts, settles
-    its bill and returns the refusal.
+    as not run.  After `begin`, `work` ends the request: it closes the attempts, settles
+    the bill and raises the refusal.
 
     Attributes:
         answer: The response.
@@ -67,8 +67,8 @@
     def interrupt(self) -> None:
         """End the request with an answer, a refusal or an error event.
 
-        A response that has started without `work` is left to finish: cancelled, it
-        would have no valid end.
+        If the response has started without `work`, it is not cancelled, because it
+        would then have no valid end.
         """
         self.interrupted = True
         if self.work is not None:
@@ -78,7 +78,7 @@
 
 
 def stop_deadline() -> Seconds:
-    """Return when a request that is interrupted now and not streamed is cancelled."""
+    """Return when to cancel a request without a stream that is interrupted now."""
     return anyio.current_time() + LAST_PATIENCE
 
 
--- a/ebonyhold/callers/_gate.py
+++ b/ebonyhold/callers/_gate.py
@@ -43,8 +43,8 @@
         served: Returns whether any backend server accepts such requests.
         queue: Decides which requests start, wait or are refused.
         waiters: The waiting requests by their ticket's number.
-        pending: Number of admitted requests that have not chosen a server yet;
-            `free` doesn't count them as running yet.
+        pending: Number of admitted requests for which no server is chosen yet; the
+            result of `free` doesn't take them into account.
         last_number: The number of the last ticket.
     """
 
@@ -63,9 +63,11 @@
         wait_timeout: Seconds,
         shed_after: Seconds = math.inf,
     ) -> Waiter:
-        """Queue a request; it is admitted at once if the waiter's event is set.
+        """Queue a request, and admit it at once if possible.
 
-        For each admitted request call `arrived` once, and `left` at its end.
+        After an immediate admission the event of the returned waiter is already set.
+        For each admitted request `arrived` must be called once, when its server is
+        chosen, and `left` at its end.
 
         Args:
             workspace: The workspace that pays.
@@ -96,7 +98,7 @@
     async def wait(self, waiter: Waiter) -> None:
         """Wait until a queued request is admitted, at most until its deadline.
 
-        A wait that is cancelled withdraws the request.
+        If the wait is cancelled, the request is withdrawn.
 
         Raises:
             Refusal: The request cannot start in time; it did not run.
@@ -137,16 +139,17 @@
         self.pump()
 
     def pump(self) -> None:
-        """Refuse expired requests, and admit as many as the servers have room for.
+        """Refuse expired requests; admit as many others as the servers have room for.
 
-        If no server accepts such requests, refuse all that wait.
+        If no server accepts requests for the model or service, all that wait are
+        refused.
         """
         now = anyio.current_time()
         for refused in self.queue.expire(now):
             self.wake(refused.ticket, refusal(refused))
         if self.queue.waiting and not self.served():
-            # No server accepts such requests.  They are refused now instead of at
-            # their deadlines.
+            # No server accepts these requests: refuse them now instead of at their
+            # deadlines.
             for ticket in self.queue.clear():
                 self.wake(ticket, Refusal(NO_BACKEND, retry_after=SOON))
         room = self.free() - self.pending if self.queue.waiting else 0
@@ -155,7 +158,7 @@
             self.wake(ticket, None)
 
     def wake(self, ticket: Ticket, refusal: Refusal | None) -> None:
-        """End the wait of a request: refused, or admitted if `refusal` is None."""
+        """Refuse a waiting request, or admit it if `refusal` is None."""
         waiter = self.waiters.pop(ticket.number)
         waiter.refusal = refusal
         waiter.event.set()
--- a/ebonyhold/callers/_pipe.py
+++ b/ebonyhold/callers/_pipe.py
@@ -52,7 +52,7 @@
         self.ready.set()
 
     async def take(self) -> bytes:
-        """Wait for bytes and return all that are buffered; empty at the end."""
+        """Wait for bytes and return all that are buffered; none at the stream's end."""
         while not self.parts and not self.closed:
             self.ready = anyio.Event()
             await self.ready.wait()
--- a/ebonyhold/callers/_refusals.py
+++ b/ebonyhold/callers/_refusals.py
@@ -42,7 +42,7 @@
         reason: The refusal code with its status, type and default message.
         retry_after: After how many seconds to try again, or None.
         param: The invalid parameter, or empty.
-        ran: Whether the request ran; the value of the code by default.
+        ran: Whether the request ran; by default as in `reason`.
     """
 
     code = "refusal"
@@ -80,7 +80,7 @@
         return {"error": error}
 
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """Return Retry-After, rounded up to whole seconds, or no header without it."""
+        """Return the Retry-After header, if any, rounded up to whole seconds."""
         if self.retry_after is None:
             return []
         seconds = max(1, math.ceil(self.retry_after))
--- a/ebonyhold/callers/_run.py
+++ b/ebonyhold/callers/_run.py
@@ -45,7 +45,7 @@
 from ebonyhold.types import AttemptId, BackendName, RequestId, Tokens, WorkspaceName
 
 MAX_ATTEMPTS = 4
-"""Maximum number of attempts of one request, also of those that ran nothing."""
+"""Maximum number of attempts of one request, including those that ran nothing."""
 
 Dispatch = Callable[[BackendState, EngineCall], Awaitable[None]]
 
@@ -87,19 +87,19 @@
         priority: Requests with a larger priority start first.
         metrics: Counts attempts and measures times.
         on_chosen: Called for each attempt, when its engine is chosen.
-        backoff: Computes the delay before an attempt after one that may have run.
+        backoff: Computes the delay after a failed attempt that may have run.
         check: Checks the events of a streamed answer across attempts.
-        usage: Tokens of a whole answer, if it states them; not set for a stream.
+        usage: The usage stated in a whole answer; None without it and for streams.
         boot: The boot identifier of the engine of the last attempt.
         permit: The permit of the last attempt.
-        unclosed: Attempts whose engines must be asked to close them.
+        unclosed: Attempts that `settle` must close at their engines.
         tried: Engines that failed an attempt; the others are preferred.
-        excluded: Engines on which an attempt failed that certainly did not run; they
-            are not chosen again.
+        excluded: Engines whose failed attempt certainly did not run; they are not
+            chosen again.
         attempts: Number of attempts so far.
         complete: Whether the answer is complete.
         aborted: Whether this router ended an attempt because the caller closed the
-            connection or is too slow, or because its stop ended a stream.
+            connection or is too slow, or because the router stopped during a stream.
     """
 
     money: Money
@@ -161,8 +161,8 @@
             else:
                 self.count(state, "complete")
                 if self.usage is None and self.check.usage is None:
-                    # The answer states no usage, so that it has no price yet: the
-                    # engine is asked for the usage when the request is settled.
+                    # The answer states no usage, so its price is unknown.  `settle`
+                    # gets the usage from the engine by closing the attempt.
                     self.add_unclosed(state, permit)
                 self.backends.ejector.succeeded(state.backend.name)
                 self.complete = True
@@ -191,10 +191,10 @@
         raise self.refusal()
 
     def refusal(self) -> Refusal:
-        """Return the refusal when no further attempt is made.
+        """Return the refusal of a request that gets no further attempt.
 
-        It depends on whether a part of the answer was sent, else on whether an
-        attempt may have run.
+        Its code depends on whether a part of the answer was sent to the caller and, if
+        not, on whether an attempt may have run.
         """
         if self.check.opened:
             return Refusal(ANSWER_INCOMPLETE)
@@ -205,9 +205,9 @@
     async def reserve(self, state: BackendState, boot: str) -> Permit:
         """Write the intent of the next attempt durably and return its permit.
 
-        The call is shielded from cancellation: if the caller disconnected during
-        it, the hold would stay without a permit to release it, and its tokens
-        could not be used until this router stops.
+        The call is shielded from cancellation.  If a disconnect of the caller
+        cancelled it, the hold would remain without a permit by which to release it,
+        and its tokens could not be used until this router stops.
 
         Raises:
             ReplayedError: An earlier request with the same key has an answer.
@@ -270,10 +270,10 @@
     async def handle_failure(
         self, state: BackendState, permit: Permit, error: BackendError
     ) -> None:
-        """Record a failed attempt; return, after a backoff, if another may follow.
+        """Record a failed attempt; return only if another attempt may follow.
 
-        The backoff is left out if the attempt did not run or the caller already
-        has a part of the answer.
+        Before returning this waits for a backoff, unless the attempt did not run or
+        the caller already has a part of the answer.
 
         Raises:
             Refusal: No further attempt is allowed.
@@ -381,11 +381,11 @@
     def ran_tokens(self, statuses: list[AttemptTruth]) -> tuple[Tokens, Tokens]:
         """Return the tokens of the prompt and of the answer that count for the bill.
 
-        An answer with usage counts as its engine states, and at least the tokens
-        that were sent.  Without usage, a complete answer and one that this router
-        ended count what the engines report, and at least the tokens that were sent.
-        Any other counts the tokens that were sent, and the prompt if anything was:
-        the operator pays for tokens that ran twice after an engine failed.
+        With usage, the engine's numbers count.  Without usage, the numbers in the
+        attempt statuses count if the answer is complete or this router ended it.  In
+        both cases the answer counts at least the tokens that the caller was sent.
+        Otherwise only the tokens sent count, and the prompt if anything was sent: the
+        operator pays for tokens that ran twice after an engine failed.
         """
         usage = self.usage or self.check.usage
         if usage is not None:
@@ -407,8 +407,8 @@
 def trusted_status(status: AttemptTruth, boot: str) -> AttemptTruth:
     """Return the status, or UNKNOWN if a restarted server reports NEVER_RAN.
 
-    A restarted server has lost the record of what it ran.  Its boot identifier
-    differs from the one that the attempt was sent to.
+    A restarted server has lost the record of what it ran.  It is recognised by a boot
+    identifier other than `boot`, with which the attempt was sent.
     """
     if status.state is AttemptState.NEVER_RAN and status.boot != boot:
         return AttemptTruth(AttemptState.UNKNOWN, boot=status.boot)
--- a/ebonyhold/callers/_services.py
+++ b/ebonyhold/callers/_services.py
@@ -42,10 +42,10 @@
 from ebonyhold.types import AttemptId, BackendName, Seconds, Tokens, WorkspaceName
 
 MAX_ATTEMPTS = 3
-"""Maximum number of attempts of one call, also of those that were not sent."""
+"""Maximum number of attempts of one call, including those that were not sent."""
 
 DURABLE_TIMEOUT: Seconds = 2.0
-"""How long a response waits for a durable outcome; then it is sent anyway."""
+"""How long a response waits until its outcome is durable; then it is sent anyway."""
 
 CHARGED_BELOW = 400
 """Calls that are answered with a status below this are charged."""
@@ -100,8 +100,9 @@
     """Parse a call.
 
     Raises:
-        Refusal: The path has dot segments.  A service that resolves them could run a
-            path that may not be repeated, although the rules matched one that may.
+        Refusal: The path has dot segments.  If the service resolved them, it could run
+            another path than the rules were matched with, and that path may be one
+            that must not be repeated.
     """
     path = "/" + request.parameters["path"]
     if any(segment in (".", "..") for segment in path.split("/")):
@@ -129,7 +130,7 @@
 
 @define
 class ServiceRun:
-    """Runs a call, at most once if it may not be repeated.
+    """Runs a call; one that may not be repeated runs at most once.
 
     Attributes:
         money: Takes holds and claims, and files bills.
@@ -163,7 +164,7 @@
     running: anyio.CancelScope = field(factory=anyio.CancelScope)
 
     def interrupt(self) -> None:
-        """Cancel the call at `stop_deadline`, also one that may not be repeated."""
+        """Cancel the call at `stop_deadline`, even if it may not be repeated."""
         self.running.deadline = stop_deadline()
 
     async def respond(self, send: Send) -> None:
@@ -193,7 +194,11 @@
         )
 
     async def complete(self) -> Replay | None:
-        """Make attempts and settle the call; return a stored answer if there is one.
+        """Make attempts and settle the call.
+
+        Returns:
+            The stored answer of an earlier call with the same key, or None if
+            `answer` is set.
 
         Raises:
             Refusal: There is no answer.
@@ -210,7 +215,11 @@
         return replay
 
     async def run(self) -> Replay | None:
-        """Make attempts until there is an answer; return a stored one if there is one.
+        """Make attempts until one sets `answer`.
+
+        Returns:
+            The stored answer of an earlier call with the same key, or None if
+            `answer` is set.
 
         Raises:
             Refusal: There is no answer, and no further attempt is allowed.
@@ -252,9 +261,9 @@
         raise Refusal(NO_BACKEND, retry_after=SOON)
 
     async def reserve(self, state: BackendState) -> Replay | None:
-        """Write the intent of the next attempt durably, or return the stored answer.
+        """Write the intent of the next attempt durably, unless the call is free.
 
-        A free call needs no intent.
+        If an earlier call with the same key has a stored answer, return that instead.
         """
         if self.is_free:
             return None
@@ -295,7 +304,7 @@
         )
 
     async def attempt(self, state: BackendState) -> None:
-        """Make one attempt; return without an answer if another one may follow.
+        """Make one attempt; if it fails, return only if another one may follow.
 
         Raises:
             Refusal: The attempt failed, and no further one is allowed.
@@ -402,8 +411,8 @@
     def charge(self) -> Tokens:
         """Return the price of a call answered with a status below `CHARGED_BELOW`.
 
-        Any other call is charged 0 tokens; recovery or an operator settles one whose
-        outcome is unknown.
+        Any other call is charged 0 tokens.  If its outcome is unknown, recovery or an
+        operator settles it later.
         """
         if self.answer is None or self.answer.status >= CHARGED_BELOW:
             return 0
--- a/ebonyhold/routers/_envelope.py
+++ b/ebonyhold/routers/_envelope.py
@@ -33,12 +33,13 @@
 """The maximum size of an envelope, in bytes; a larger one is refused undecoded."""
 
 REPLAY_WINDOW = 256
-"""Sequence numbers this far behind the newest one of their session are refused."""
+"""A message this many or more numbers behind the newest of its session is refused."""
 
 MAX_SESSIONS = 4096
 """Maximum number of sessions with a replay window.
 
-It covers two weeks of 280 restarts a day; then the least recently used is dropped.
+This is enough for 280 router restarts a day over two weeks.  Above it the window of
+the least recently used session is dropped.
 """
 
 converter = cattrs.Converter(unstruct_strat=UnstructureStrategy.AS_TUPLE)
@@ -91,7 +92,7 @@
     """The sequence numbers that were received in one session.
 
     Attributes:
-        newest: The largest number received.
+        newest: The largest number received; -1 before the first one.
         received: Bitmap of the last `REPLAY_WINDOW` numbers; bit `n` is set if
             `newest` - `n` was received.
 
@@ -104,9 +105,10 @@
     received: int = 0
 
     def accept(self, sequence: int) -> bool:
-        """Record a number; return False if it was received before.
+        """Record a number and return True, or return False if it must be refused.
 
-        A number `REPLAY_WINDOW` or more behind the newest one is also refused.
+        It is refused if it was received before, or if it is `REPLAY_WINDOW` or more
+        behind the newest one.
         """
         if sequence > self.newest:
             shift = min(sequence - self.newest, REPLAY_WINDOW)
@@ -132,7 +134,7 @@
 
     Attributes:
         limit: The maximum number of ciphers.
-        cached: The ciphers by secret and session id, the last used one last.
+        cached: The ciphers by secret and session id, least recently used first.
     """
 
     limit: int = MAX_SESSIONS
@@ -161,7 +163,7 @@
         session: The random session id of this process.
         sequence: The number of the last message sent in this session.
         ciphers: The session ciphers in use.
-        rings: The names of the keys that each other incarnation last sent.
+        rings: By other incarnation: the key names in its last accepted envelope.
         windows: The replay windows, by session of the sender.
     """
 
@@ -201,12 +203,12 @@
         return len(clear).to_bytes(LENGTH_BYTES, "big") + clear + sealed
 
     def choose_key(self, to: RouterId) -> PeerKey:
-        """Return the newest key that the receiver is known to have too.
+        """Return the newest own key that the receiver is known to have.
 
         During a key rotation some routers lack the newest key and refuse messages
-        encrypted with it.  So each envelope names its sender's keys.  If the
-        receiver's keys are unknown, successive messages use each own key in turn;
-        without a common key the newest own key is used.
+        encrypted with it.  So each envelope lists its sender's key names.  As long as
+        the receiver's keys are unknown, successive messages use the own keys in turn.
+        If there is no common key, the newest own key is used.
         """
         ring = self.rings.get(to)
         if ring is None:
@@ -237,8 +239,8 @@
     ) -> bytes:
         """Decrypt the body, which also authenticates the header.
 
-        The cipher of a session without an authentic message yet is not cached, so
-        that forged envelopes cannot evict the ciphers in use.
+        The cipher of a session is cached only once a message of the session was
+        accepted, so that forged envelopes cannot evict the ciphers in use.
 
         Raises:
             RefusedMessageError: The envelope is not authentic.
@@ -253,15 +255,16 @@
             ) from None
 
     def check_receiver(self, header: Header) -> None:
-        """Refuse a message to another router or incarnation.
+        """Refuse a message that is not for this incarnation, or that it sent itself.
 
-        A message without an incarnation must name this router's address.  A message
-        to an earlier incarnation may arrive late at the next one on the same address.
-        A transfer accepted there would credit tokens that the giver never settles
-        with this incarnation.
+        A message that names no receiving incarnation must name this router's address.
+        A message to an earlier incarnation may arrive late, when this incarnation
+        already uses the address.  If it were a transfer and were accepted, it would
+        credit tokens that the giver never settles with this incarnation.
 
         Raises:
-            RefusedMessageError: The message is for another receiver.
+            RefusedMessageError: The message is for another receiver, or was sent by
+                this incarnation.
         """
         if header.sender == self.router:
             raise RefusedMessageError("reflected", "sent by this router itself")
@@ -288,7 +291,7 @@
             raise RefusedMessageError("replayed", text)
 
     def record_ring(self, header: Header) -> None:
-        """Record which keys the sender has, for at most `MAX_SESSIONS` senders."""
+        """Store the sender's key names, for the last `MAX_SESSIONS` senders."""
         self.rings[header.sender] = header.ring
         self.rings.move_to_end(header.sender)
         if len(self.rings) > MAX_SESSIONS:
--- a/ebonyhold/routers/_exchange.py
+++ b/ebonyhold/routers/_exchange.py
@@ -19,7 +19,7 @@
 logger = logging.getLogger(__name__)
 
 MAX_PENDING = 1024
-"""Maximum number of own requests that wait for an answer; further ones fail at once."""
+"""Maximum number of own requests without an answer yet; further ones fail at once."""
 
 
 class Purpose(Enum):
@@ -36,7 +36,7 @@
 
 @frozen
 class Frame:
-    """One message with the data that matches an answer to its request.
+    """One message, with the number by which an answer is assigned to its request.
 
     Attributes:
         purpose: Whether the frame is a notice, a request or an answer.
@@ -71,14 +71,15 @@
     """The handlers and the pending requests of one router.
 
     It has no sockets and no tasks.  The transport passes each frame to `deliver`, which
-    awaits the handler; an answer may go to `accept_answer` directly, which never waits.
+    awaits the handler.  Answers may be passed to `accept_answer` instead, which never
+    waits.
 
     Attributes:
         transmit: Sends one frame to another router; the frame may be lost.
         handlers: The handler of each kind of message.
         pending: The pending requests by correlation number.
-        unexpected: Number of messages without a handler, and of answers that are late,
-            repeated or from another router than the one requested.
+        unexpected: Number of messages without a handler, plus number of answers that
+            are late, duplicate or not from the receiver of the request.
         failed: Number of calls of handlers that raised an exception.
         correlations: Yields the correlation numbers, from 1.
     """
@@ -141,8 +142,8 @@
         """Complete the pending request that a frame answers.
 
         A late or duplicate answer, or one from another router, must not complete a
-        different request, which would then return a wrong result or amount.  So each
-        correlation number is used once and the sender is checked; an answer that
+        different request: that one would return a wrong result or amount.  So each
+        correlation number is used once, and the sender is checked.  An answer that
         matches no pending request is only counted.
         """
         request = self.pending.get(frame.correlation)
@@ -157,8 +158,8 @@
     ) -> PeerMessage | None:
         """Run the handler of a message and return its answer, if any.
 
-        A message without a handler is counted; an exception is logged and counted.
-        The result is then None.
+        A message without a handler is counted, and an exception of the handler is
+        logged and counted.  In both cases the result is None.
         """
         handler = self.handlers.get(type(message))
         if handler is None:
--- a/ebonyhold/routers/_fake.py
+++ b/ebonyhold/routers/_fake.py
@@ -34,13 +34,13 @@
     Attributes:
         tasks: The task group in which deliveries run.
         delay: One-way delay, in seconds.
-        jitter: Maximum random addition to the delay, evenly distributed, in
-            seconds; it also reorders frames.
+        jitter: Upper limit of a uniformly distributed time that is added to each
+            frame's delay, in seconds; it may change the order of frames.
         copies: How many times each frame is delivered; 2 duplicates all frames.
-        lose: Returns whether a message is lost; None if none is.
+        lose: Returns whether a message is lost; None if no message is.
         rng: The random number generator of the jitter.
         links: The links that joined, by router.
-        cuts: Pairs of sender and receiver; frames in this direction are not delivered.
+        cuts: Pairs of sender and receiver between which no frame is delivered.
     """
 
     def __init__(
@@ -91,9 +91,9 @@
     async def deliver(
         self, sender: RouterId, to: RouterId, frame: Frame, wait: Seconds
     ) -> None:
-        """Wait, then deliver one frame and run its handler.
+        """Deliver one frame after `wait` seconds and run its handler.
 
-        The frame is lost if by then the receiver has left or the connection is cut.
+        The frame is lost if the receiver has left or the connection is cut by then.
         """
         await anyio.sleep(wait)
         link = self.links.get(to)
--- a/ebonyhold/routers/_interface.py
+++ b/ebonyhold/routers/_interface.py
@@ -22,7 +22,8 @@
         workspace: The workspace.
         wanted: The number of tokens that the sender lacks.
         have: The ids of the latest transfers that the sender has received from the
-            receiver.  Other recent transfers count as lost and may be sent again.
+            receiver.  The receiver regards its other recent transfers to the sender
+            as lost, and may send them again.
     """
 
     workspace: WorkspaceName
@@ -56,7 +57,7 @@
 
     Attributes:
         version: The version.
-        digest: The digest of its content.
+        digest: The digest of the content of this version.
     """
 
     version: int
@@ -66,7 +67,7 @@
 @peer_message("configuration_request")
 @frozen
 class ConfigurationRequest(PeerMessage):
-    """Requests the receiver's configuration version, as a `ConfigurationReply`."""
+    """Requests the receiver's configuration; the answer is a `ConfigurationReply`."""
 
 
 @peer_message("configuration_reply")
@@ -76,7 +77,7 @@
 
     Attributes:
         version: The version.
-        digest: The digest of its content.
+        digest: The digest of the content of this version.
         confirmed_age: Seconds since the table last confirmed to the sender that this
             version is current; negative if never.
     """
--- a/ebonyhold/routers/_keys.py
+++ b/ebonyhold/routers/_keys.py
@@ -99,7 +99,7 @@
         return tuple(key.identifier for key in self.keys)
 
     def find(self, identifier: str) -> PeerKey | None:
-        """Return the key with that name, or None without one."""
+        """Return the key with that name, or None if there is none."""
         for key in self.keys:
             if key.identifier == identifier:
                 return key
@@ -108,7 +108,7 @@
     def fingerprint(self) -> tuple[int, int, int] | None:
         """Return the file's modification time (in ns), size and inode.
 
-        The result is None without a file, or if the file cannot be accessed.
+        The result is None if `path` is None or the file cannot be accessed.
         """
         if self.path is None:
             return None
@@ -121,9 +121,9 @@
     def refresh(self) -> bool:
         """Read the file again if it has changed; return whether the keys changed.
 
-        During a rotation the file may be incomplete or missing.  The router then
-        logs an error, or nothing for a missing file, and keeps its keys, so that it
-        can still communicate with its peers.
+        During a rotation the file may be incomplete or missing.  Then the old keys
+        stay in use, so that the router can still communicate with its peers.  An
+        invalid file is logged as an error; a missing one is not logged.
         """
         current = self.fingerprint()
         if current is None or current == self.last_fingerprint or self.path is None:
--- a/ebonyhold/routers/_links.py
+++ b/ebonyhold/routers/_links.py
@@ -15,21 +15,21 @@
 MAX_LINKS = 128
 """Maximum number of sockets to other routers; the least recently used is closed first.
 
-Other routers have on average as many connections to this one.  Both together use a
-quarter of the 1024 files that a process may usually open.
+On average the other routers have the same number of connections to this one.  Both
+together use a quarter of the 1024 files that a process may usually open.
 """
 
 QUEUE_SIZE = 32
-"""Size of a link's queue and of its socket's buffer, in messages.
+"""Size of a link's queue, and of the send buffer of its socket, in messages.
 
-Further messages are dropped.
+A message that finds either of them full is dropped.
 """
 
 IDLE_TIMEOUT: Seconds = 900.0
 """How long an idle socket stays open.
 
-It is longer than the time in which the membership protocol probes every member once,
-because opening a socket costs more than sending a message.
+This is longer than the membership protocol needs to probe every member once, so that
+sockets stay open between probes: opening one costs more than sending a message.
 """
 
 RECONNECT_MIN_MS = 100
@@ -43,8 +43,8 @@
     Attributes:
         sent: Number of messages passed to a socket.
         sent_bytes: The size of these messages, in bytes.
-        dropped: Number of messages dropped at a full queue or buffer, and of links that
-            failed.
+        dropped: Number of messages dropped because a queue or buffer was full, plus
+            number of links that failed.
     """
 
     sent: int = 0
@@ -67,10 +67,10 @@
         self.counters = LinkCounters()
 
     def put(self, address: str, data: bytes) -> None:
-        """Queue a message, opening a link if needed; drop it if the queue is full.
+        """Queue a message, opening a link if needed.
 
-        This never waits, so a peer that receives no messages does not delay those to
-        other peers.
+        The message is dropped if the queue is full or its link has ended.  This never
+        waits, so a peer that reads nothing does not delay messages to other peers.
         """
         queue = self.queues.get(address) or self.open(address)
         self.queues.move_to_end(address)
@@ -115,7 +115,7 @@
     async def send_queued(
         self, socket: pynng.Push0, receive: MemoryObjectReceiveStream[bytes]
     ) -> None:
-        """Send queued messages until none arrives in time or the queue is closed."""
+        """Send queued messages until the link is idle or its queue closed and empty."""
         while True:
             data = None
             with anyio.move_on_after(IDLE_TIMEOUT):
@@ -145,7 +145,7 @@
 
 
 def open_socket(address: str) -> pynng.Push0:
-    """Return a socket to an address that connects and reconnects in the background.
+    """Return a socket that connects, and reconnects, to an address in the background.
 
     Raises:
         pynng.NNGException: The address cannot be used.
--- a/ebonyhold/routers/_listing.py
+++ b/ebonyhold/routers/_listing.py
@@ -12,7 +12,7 @@
 
 
 class ListEntry(Protocol):
-    """One router of the platform's membership list, as its client returns it."""
+    """One entry of the membership list, as the platform's client returns it."""
 
     @property
     def name(self) -> str:
@@ -43,8 +43,9 @@
         address: The address for messages from peers, ``ip:port``.
         domain: The failure domain.
         status: The status in this router's membership view.
-        listed: Whether the platform's list has the router.
-        heard_ago: Seconds since this router last received a heartbeat from it, or None.
+        listed: Whether the platform's list contains the router.
+        heard_ago: Seconds since the last heartbeat received from the router; None
+            before the first.
     """
 
     router: RouterId
@@ -56,9 +57,9 @@
 
 
 def to_listed(entries: Iterable[ListEntry]) -> list[Listed]:
-    """Convert the list's routers for the membership protocol; skip other entries.
+    """Return the routers in the platform's list, for the membership protocol.
 
-    An entry without a `role` counts as a router.
+    Entries of other roles are skipped; an entry without a `role` counts as a router.
     """
     return [
         Listed(
--- a/ebonyhold/routers/_network.py
+++ b/ebonyhold/routers/_network.py
@@ -40,10 +40,11 @@
 """Mean time between two reads of the list; it varies at random by up to 20 %."""
 
 FIRST_LIST_RETRY: Seconds = 0.1
-"""Mean delay after a failed read of the list.
+"""Mean delay after the first failed read of the list.
 
-Each further failure doubles it, up to `LIST_INTERVAL`.  A router without seeds is
-usually unknown to the others until its first read.
+Each further failure doubles the delay, up to `LIST_INTERVAL`.  The delay is short
+because a router without seeds is usually unknown to the others until it has read the
+list.
 """
 
 KEYS_INTERVAL: Seconds = 1.0
@@ -53,10 +54,10 @@
 """Minimum time between two log lines about refused messages with the same reason."""
 
 STARTUP_CHECKS_PER_PERIOD = 20
-"""Number of checks by a starting router in one period of the membership protocol."""
+"""Number of checks of a starting router in each period of the membership protocol."""
 
 STARTUP_CHECKS = 30
-"""Number of checks after which a router assumes that many start at the same time."""
+"""After this many checks a router assumes that many routers are starting."""
 
 MS_PER_SECOND = 1000
 
@@ -64,7 +65,7 @@
 """Size of the socket's receive buffer, in messages."""
 
 RECEIVE_BATCH = 64
-"""Maximum number of waiting messages that are handled before other tasks may run."""
+"""Maximum number of messages that are read without waiting, before other tasks run."""
 
 MAX_HANDLERS = 128
 """Maximum number of handlers that run at once.
@@ -78,15 +79,15 @@
 
     Attributes:
         keys: The shared keys.
-        source: Returns the platform's membership list, or None without a list.
+        source: Reads the platform's membership list; None if there is no list.
         rng: The random number generator.
         membership: The state of the membership protocol.
         exchange: The handlers and the pending requests.
         envelopes: Encrypts and decrypts the messages.
-        links: The sockets to other routers, once `run` has started.
-        tasks: The task group of `run`, once it has started.
-        running_handlers: Number of handlers that run.
-        received: Number of messages that were decrypted and decoded; it includes those
+        links: The sockets to other routers; None before `run` has started.
+        tasks: The task group of `run`; None before `run` has started.
+        running_handlers: Number of handlers that are running now.
+        received: Number of messages that were decrypted and decoded, including those
             refused afterwards.
         received_bytes: The size of these messages in bytes, envelopes included.
         refused: Number of received messages that were refused, and of own ones that
@@ -154,19 +155,19 @@
     # Interface for the daemon and for operators.
 
     def gone(self) -> tuple[RouterId, ...]:
-        """Return the incarnations that appear to have ended and may be recovered.
+        """Return incarnations that seem to have ended; their requests may be recovered.
 
         The result is not certain: some of them may still run.
         """
         return self.membership.gone(anyio.current_time())
 
     def may_recover(self, router: RouterId, unknown_for: Seconds) -> bool:
-        """Return whether an incarnation with an open row may be recovered.
+        """Return whether an incarnation's requests may be recovered.
 
         The result is not certain: the incarnation may still run.
 
         Args:
-            router: The incarnation.
+            router: The incarnation, which has an open row in the table.
             unknown_for: How long its row has been observed while the incarnation was
                 not alive in this router's view, in seconds.
         """
@@ -207,10 +208,10 @@
         )
 
     def log_change(self, member: Member, before: MemberStatus | None) -> None:
-        """Log a change of another router's status with the data that it is based on.
+        """Log a change of another router's status, with the data that led to it.
 
-        Operators find in these lines why the requests of a router were, or were not,
-        recovered.
+        Operators use these lines to find out why the requests of a router were, or
+        were not, recovered.
         """
         now = anyio.current_time()
         received_at, suspected_at = member.heard_at, member.silent_at
@@ -240,10 +241,10 @@
     async def wait_for_start(self, policy: StartupPolicy | None = None) -> None:
         """Delay this router's first reads from the platform if many routers start.
 
-        This checks up to `STARTUP_CHECKS` times which routers are alive, and returns
-        once these are the policy's share of the listed routers, as few others can be
-        starting then.  Otherwise a random delay follows, so that the routers do not all
-        read at the same time.
+        This checks up to `STARTUP_CHECKS` times how many routers are alive.  Once they
+        are at least the policy's share of the listed routers, few others can be
+        starting, and this returns.  If that never happens, it waits for a random delay,
+        so that the routers do not all read at the same time.
         """
         policy = policy or StartupPolicy()
         for _ in range(STARTUP_CHECKS):
@@ -255,7 +256,9 @@
         await anyio.sleep(self.startup_delay(policy, self.rng.random()))
 
     def startup_delay(self, policy: StartupPolicy, chance: float) -> Seconds:
-        """Return the policy's startup delay with the routers that are alive now.
+        """Return the policy's startup delay.
+
+        It depends on the number of listed routers and on the number alive now.
 
         Args:
             policy: The policy.
@@ -268,8 +271,7 @@
     def become(self, router: RouterId) -> None:
         """Continue as a new incarnation after the current one was sealed.
 
-        Its start time is later than that of the current one, even if the clock was set
-        back.
+        The new start time is later than the old one, even if the clock was set back.
         """
         started = max(now_ms(), self.membership.me.started + 1)
         self.membership.become(router, started)
@@ -304,8 +306,9 @@
                 await self.receive(socket)
 
     async def receive(self, socket: pynng.Pull0) -> None:
-        """Receive messages: wait for one, then read up to `RECEIVE_BATCH` more.
+        """Receive messages until cancelled.
 
+        This waits for a message, then reads up to `RECEIVE_BATCH` more without waiting.
         `recv_msg` is used because pynng's `recv` fails for an empty message, so that
         anyone could end this task by sending an empty message.
         """
@@ -332,8 +335,8 @@
         """Pass a frame to the membership protocol, a pending request or a handler.
 
         Raises:
-            RefusedMessageError: The message must name the receiving incarnation and
-                does not, or too many handlers run.
+            RefusedMessageError: The message names no receiving incarnation although
+                it must, or too many handlers run.
         """
         sender = opened.header.sender
         addressed = bool(opened.header.receiver)
@@ -361,7 +364,7 @@
         )
 
     def start_handler(self, sender: RouterId, frame: Frame) -> None:
-        """Run the handler in its own task, so that it does not delay other messages.
+        """Run a frame's handler in its own task, so that it delays no other messages.
 
         Raises:
             RefusedMessageError: `MAX_HANDLERS` handlers run already, or `run` has not
@@ -426,7 +429,7 @@
             self.queue_frame(out.to, out.address, frame)
 
     def queue_frame(self, to: RouterId, address: str, frame: Frame) -> None:
-        """Encode, encrypt and queue a frame; drop it before `run` has started.
+        """Encode, encrypt and queue a frame; drop it if `run` has not started yet.
 
         A frame that is too long is dropped and counted as refused.
         """
@@ -440,7 +443,7 @@
         self.links.put(address, self.envelopes.seal(body, to, address))
 
     def count_refusal(self, error: RefusedMessageError) -> None:
-        """Count a refused message, and log at most one per reason and `LOG_INTERVAL`.
+        """Count a refused message; log at most one per reason in each `LOG_INTERVAL`.
 
         Anyone who can reach the port can cause refusals, so they must not fill the
         log.
--- a/ebonyhold/routers/_readable.py
+++ b/ebonyhold/routers/_readable.py
@@ -1,4 +1,4 @@
-"""Checks that a kind of message can be decoded, when the kind is registered."""
+"""Checks, when a kind of message is registered, that receivers can decode it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 def resolve_fields(kind: type, done: frozenset[type] = frozenset()) -> None:
     """Resolve the annotations of a message's fields, including those of nested classes.
 
-    Annotations are strings.  Without this check, an annotation that cannot be resolved
-    or decoded would raise an error only when a message is sent or received.
+    Annotations are strings.  Without this check, an unresolvable annotation or a type
+    that cannot be decoded would cause an error only when a message is sent or received.
 
     Args:
         kind: The class of messages.
--- a/ebonyhold/routers/_registry.py
+++ b/ebonyhold/routers/_registry.py
@@ -22,7 +22,7 @@
 
 
 def peer_message(name: str) -> Callable[[Kind], Kind]:
-    """Return a decorator that registers a class under its name on the wire.
+    """Return a decorator that registers a class of messages under a name on the wire.
 
     Fields are sent by position.  A later release may only append fields with
     defaults, so that routers of both releases can communicate during an upgrade.
--- a/ebonyhold/routers/_wire.py
+++ b/ebonyhold/routers/_wire.py
@@ -41,11 +41,11 @@
 
 
 def decode(body: bytes) -> Frame:
-    """Return the frame that bytes encode.
+    """Return the frame that is encoded in a message body.
 
     A faulty peer, or one of another release, may send bytes on which the codecs raise
-    any exception.  All become `RefusedMessageError`, because any other exception would
-    end the receiving task, so that the router would receive no further messages.
+    any exception.  Each becomes a `RefusedMessageError`; any other exception would end
+    the receiving task, and the router would receive no further messages.
 
     Raises:
         RefusedMessageError: The bytes are not a frame of a known kind.
--- a/tests/backends/kit.py
+++ b/tests/backends/kit.py
@@ -82,9 +82,9 @@
         closed: Number of streamed responses that the client closed.
         closes: The attempts that the client requested to close.
         boot: The boot identifier.
-        truth: The status returned for closed attempts; None for an HTTP status 500.
+        truth: The status returned for closed attempts; None for HTTP status 500.
         load: Members that replace those of the load report.
-        tells: Whether the status of closed attempts is derived from `ran`, not `truth`.
+        tells: Whether the status of a closed attempt depends on `ran`, not on `truth`.
         ran: The attempts that count as run; tests fill it.
         models: The models that are loaded.
         orders: The orders executed.
@@ -109,7 +109,7 @@
     order_delay: anyio.Event | None = None
 
     async def handle(self, request: httpx.Request) -> httpx.Response:
-        """Answer one request: a load report, an order, a close or an attempt."""
+        """Answer one request: for a load report, an order, a close or an attempt."""
         path = request.url.path
         if path == "/v1/load":
             models = sorted(self.models)
--- a/tests/backends/test_sockets.py
+++ b/tests/backends/test_sockets.py
@@ -48,7 +48,7 @@
     Attributes:
         script: Answers one request, or fails to.
         connections: Number of connections accepted.
-        requests: The number of the connection, from 1, and the attempt of each request.
+        requests: For each request its connection's number, from 1, and its attempt.
     """
 
     script: Script
@@ -207,8 +207,8 @@
 async def test_an_unread_answer_is_never_read_by_the_next(left: str) -> None:
     """An attempt ends before its answer was read completely.
 
-    The next attempt must use a new connection, because it could read the remainder of
-    the first answer as its own.
+    The next attempt must use a new connection; on the old one it could read the
+    remainder of the first answer as its own.
     """
 
     async def script(server: Server, stream: SocketStream, attempt: str) -> None:
--- a/tests/callers/kit.py
+++ b/tests/callers/kit.py
@@ -160,8 +160,8 @@
             path: Path and query.
             body: The request's body.
             key: The API key; empty for none.
-            gone: The caller disconnects when it is set.
-            never: Whether the body never arrives.
+            gone: The caller disconnects when this event is set.
+            never: Whether the body of the request never arrives.
             headers: Further headers, with underscores instead of hyphens.
         """
         response = CallerResponse()
@@ -265,7 +265,7 @@
 
 
 def make_bench(document: Document | None = None) -> Bench:
-    """Return an application with a scripted server for each one of the document."""
+    """Return an application, with a scripted server for each server of the document."""
     document = document or make_document()
     servers = {backend.name: Engine() for backend in document.backends}
     transport = Fleet(
--- a/tests/callers/test_chat.py
+++ b/tests/callers/test_chat.py
@@ -189,7 +189,7 @@
 
 
 async def test_answer_without_usage_is_billed() -> None:
-    """An engine sends no usage; the bill takes it from the closing of the attempt."""
+    """An engine sends no usage; the bill uses the status of the closed attempt."""
     bench = make_bench(make_document(engines=1))
     engine = bench.servers["e0"]
     tokens = [token(index) for index in range(TOKENS)]
--- a/tests/callers/test_faults.py
+++ b/tests/callers/test_faults.py
@@ -228,7 +228,7 @@
 
 
 async def test_retries_are_limited() -> None:
-    """Every attempt may run but gives no answer, as in an outage.
+    """No attempt gives an answer, although each may have run, as in an outage.
 
     The retry budget limits the attempts, so that retries don't add to the overload.
     """
--- a/tests/callers/test_services.py
+++ b/tests/callers/test_services.py
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("path", ["/stock", "/bookings"])
 async def test_unsent_call_goes_to_next_server(path: str) -> None:
-    """A call refused at connecting did not run; any call may go to another server."""
+    """If the connection fails, the call did not run and may go to another server."""
     bench = make_bench()
     bench.servers["s0"].scripts = [fails(httpx.ConnectError("refused"))]
     bench.servers["s1"].scripts = [BOOKED]
@@ -277,10 +277,10 @@
 
 
 async def test_reachable_server_is_used_again() -> None:
-    """One server of a service is unreachable for a while; services aren't polled.
+    """One of two servers of a service is unreachable for a while.
 
-    After 10 seconds the first server is reachable again and the other one is not:
-    callers are served by the first.
+    After 10 seconds it is reachable again and the other one is not.  Services aren't
+    polled, but calls must be sent to the first server again.
     """
     bench = make_bench()
     gone = fails(httpx.ConnectError("refused"))
--- a/tests/callers/test_stops.py
+++ b/tests/callers/test_stops.py
@@ -74,9 +74,10 @@
 
 
 async def test_stop_is_cancelled_or_ends() -> None:
-    """A new version of the document cancels a stop; later another stop ends.
+    """A server gets requests again at once when its announced stop is over.
 
-    In both cases the server gets requests again at once.
+    First a new version of the document cancels the stop; later the end of another stop
+    is reached.
     """
     stop = Stop("s", START, END, backend="e0")
     bench = with_services(make_bench(make_document(stops=(stop,))))
@@ -120,7 +121,7 @@
 
 
 async def test_engine_refuses_while_leaving() -> None:
-    """An engine is leaving, and this router doesn't know; the engine refuses requests.
+    """An engine is leaving and refuses requests; the router doesn't know it is leaving.
 
     The refused attempts did not run, so the other engine answers the requests.
     """
--- a/tests/routers/kit.py
+++ b/tests/routers/kit.py
@@ -40,9 +40,9 @@
 
 
 def pair(ring: KeyRing | None = None) -> tuple[PeerNetwork, PeerNetwork]:
-    """Return two routers with the same key, or the second one with its own keys.
+    """Return two routers; the second has the keys in `ring`, by default the same key.
 
-    The second has the first's address as a seed.
+    The address of the first router is a seed of the second.
     """
     one = network("a.1")
     return one, network("b.1", (one.membership.me.address,), ring)
--- a/tests/routers/test_fake.py
+++ b/tests/routers/test_fake.py
@@ -47,7 +47,7 @@
 
 
 def add_fault(network: FakeNetwork, sender: FakeLink, change: str) -> None:
-    """Add the fault `change` to the network; another value adds none."""
+    """Add the fault `change` to the network; do nothing for any other value."""
     if change == "cut":
         network.cut("a.1", "b.1")
     if change == "doubled":
--- a/tests/routers/test_links.py
+++ b/tests/routers/test_links.py
@@ -12,7 +12,10 @@
 MESSAGE = b"x" * 100
 BURST = 4 * QUEUE_SIZE
 WAIT = 0.5
-"""Time for the link to send, in seconds; a blocking send would wait for 0.1 to 2."""
+"""Time for the link to send, in seconds.
+
+A blocking send would wait for 0.1 to 2 seconds.
+"""
 
 
 @pytest.mark.parametrize("backend", ["asyncio", "trio"])
@@ -20,9 +23,9 @@
     """A router is killed, and another one keeps sending to it.
 
     Heartbeats to the killed router fill the socket's buffer.  If the next send waited
-    and timed out, pynng's bare CancelledError would end every task of the sender: of
-    three routers, the other two would exit half a minute after one is killed, without
-    a signal or an error message.
+    and timed out, pynng's bare CancelledError would end every task of the sender: half
+    a minute after one of three routers is killed, the other two would exit, without a
+    signal or an error message.
     """
     survived = False
 
--- a/tests/routers/test_listing.py
+++ b/tests/routers/test_listing.py
@@ -16,9 +16,11 @@
 
 
 def test_routers_find_each_other_by_the_list() -> None:
-    """Two routers without seeds must find each other by the list, ignoring its engine.
+    """Two routers without seeds must find each other by the list.
 
-    When one leaves, the other must report its status as leaving.
+    The list also has an engine, which they must ignore.
+
+    When one router leaves, the other must report the status of the first as leaving.
     """
 
     def entry(name: str, address: str, role: str) -> types.SimpleNamespace:
@@ -80,7 +82,8 @@
 def test_status_changes_are_logged(caplog: pytest.LogCaptureFixture) -> None:
     """Each change of a router's status is logged once, and a repeated update is not.
 
-    Operators need these lines to find why a router was, or was not, recovered.
+    Operators need these lines to find out why the requests of a router were, or were
+    not, recovered.
     """
     one = network("a.1")
 
--- a/tests/routers/test_network.py
+++ b/tests/routers/test_network.py
@@ -81,11 +81,12 @@
 def test_startup_delay(
     listed: int | None, alive: int, min_delay: float, max_delay: float
 ) -> None:
-    """All routers start at the same time after a power failure, or only this one.
+    """One router starts alone, or all start at the same time after a power failure.
 
-    If at least half of the listed routers are alive, it starts at once.  Otherwise it
-    checks for 1.5 seconds, and then waits for up to 1/30 of a second per listed router,
-    at random, so that the routers do not all read from the platform at once.
+    If at least half of the listed routers are alive, the router starts at once.
+    Otherwise it checks for 1.5 seconds, and then waits for a random time of up to 1/30
+    of a second per listed router, so that the routers do not all read from the platform
+    at the same time.
     """
 
     async def run() -> None:
