--- a/ebonyhold/backends/_http.py
+++ b/ebonyhold/backends/_http.py
@@ -21,7 +21,7 @@
 EXPECT_BOOT_HEADER = "X-Expect-Boot-Id"
 
 RETRYABLE_STATUSES = (404, 409, 429, 503)
-"""Statuses after which the attempt has not run and another engine may run it.
+"""Statuses that mean that the attempt did not run, but may run at another engine.
 
 404: the model is not loaded; 409: the attempt was closed before it arrived; 429: the
 queue is full; 503: the server is leaving.
--- a/ebonyhold/callers/_ask.py
+++ b/ebonyhold/callers/_ask.py
@@ -30,7 +30,7 @@
 DEADLINE_HEADER = "x-deadline-ms"
 
 BATCH_PRIORITY_OFFSET = 100
-"""How much lower the priority of a batch request is than of a live one."""
+"""How much lower the priority of a batch request is than that of a live one."""
 
 LIVE_WAIT: Seconds = 5.0
 BATCH_WAIT: Seconds = 60.0
--- a/ebonyhold/callers/_chat.py
+++ b/ebonyhold/callers/_chat.py
@@ -232,8 +232,8 @@
 
     Args:
         failure: The error that ended the request.
-        ran: Whether the request may have run; the refusal never says "not run" if
-            this is UNKNOWN.
+        ran: Whether the request may have run; if UNKNOWN, it is never refused as "not
+            run".
         request: The request's identifier.
         send: The ASGI send callable.
 
--- a/ebonyhold/callers/_flight.py
+++ b/ebonyhold/callers/_flight.py
@@ -25,7 +25,7 @@
 
 
 class Interruptible(Protocol):
-    """Work on a request that can end early and still report whether it ran."""
+    """Work on a request; it can end early and then reports whether the request ran."""
 
     def interrupt(self) -> None:
         """End with an answer, a refusal or an error event, within `LAST_PATIENCE`."""
--- a/tests/callers/test_faults.py
+++ b/tests/callers/test_faults.py
@@ -147,8 +147,8 @@
 ) -> None:
     """All engines fail before the first token.
 
-    The caller is refused.  The refusal says "not run" only if no attempt can have
-    run, or if the engines report that none ran.
+    The caller is refused, as "not run" only if no attempt can have run or if the
+    engines report that none ran.
     """
     bench = make_bench()
     for name in ("e0", "e1"):
