--- a/ebonyhold/callers/_app.py
+++ b/ebonyhold/callers/_app.py
@@ -50,7 +50,7 @@
 logger = logging.getLogger(__name__)
 
 INTERRUPT_WITHIN: Seconds = LAST_PATIENCE + 3.0
-"""How long `CallersApp.interrupt` waits: 3 s longer than interrupted requests may run."""
+"""How long `CallersApp.interrupt` waits: 3 s more than `LAST_PATIENCE`."""
 
 
 @define
