--- a/tests/callers/test_faults.py
+++ b/tests/callers/test_faults.py
@@ -147,8 +147,8 @@
 ) -> None:
     """All engines fail before the first token.
 
-    The caller is refused.  The refusal says "not run" only if no attempt can have
-    run, or if the engines report that none ran.
+    The caller is refused, as "not run" only if no attempt can have run or if the
+    engines report that none ran.
     """
     bench = make_bench()
     for name in ("e0", "e1"):
@@ -228,7 +228,7 @@
 
 
 async def test_retries_are_limited() -> None:
-    """Every attempt may run but gives no answer, as in an outage.
+    """No attempt gives an answer, although each may have run, as in an outage.
 
     The retry budget limits the attempts, so that retries don't add to the overload.
     """
