--- a/ebonyhold/configuration/_keeper.py
+++ b/ebonyhold/configuration/_keeper.py
@@ -33,15 +33,18 @@
 from ebonyhold.types import Seconds
 
 NEVER = -math.inf
-"""The time of the last confirmation if there was none."""
+"""The value of `ConfigurationKeeper.confirmed_at` before the first confirmation."""
 
 DEFAULT_POLL = 4.0
-"""Mean seconds between reads of the head row: 330 routers read 83 rows a second."""
+"""Mean seconds between a router's reads of the head row.
+
+330 routers together read 83 rows a second.
+"""
 
 MAX_COPY_DELAY = 5.0
-"""Maximum random delay in seconds before a router checks that a head has a copy.
+"""Maximum delay in seconds before a router checks whether a head copy is missing.
 
-The delays differ, so that routers don't all list the object store at once.
+The delay is random, so that routers don't all list the object store at once.
 """
 
 logger = logging.getLogger(__name__)
@@ -54,8 +57,8 @@
     Attributes:
         version: The version in force at that router.
         digest: The digest of that version.
-        confirmed_age: Seconds since the last confirmation at that router, as in
-            `ConfigurationKeeper.confirmed_at`; negative if there was none.
+        confirmed_age: Seconds since that router's `ConfigurationKeeper.confirmed_at`;
+            negative if its version was never confirmed.
     """
 
     version: int
@@ -77,7 +80,7 @@
 
     Attributes:
         table: The platform's table.
-        store: Where versions are kept.
+        store: Reads and writes versions in the object store.
         random: Draws delays, so that routers don't act at the same time.
         poll: Mean seconds between two reads of the head row.
         clock: The wall clock, in seconds since the epoch.
@@ -86,15 +89,17 @@
         version: The version in force; 0 before the first.
         head: The head row of the version in force; None before the first.
         state: The parts of the version in force.
-        confirmed_at: When a read of the table, by this router or a peer, last
-            showed that the version then in force here was the newest; on the
-            clock of `anyio.current_time`.
+        confirmed_at: The time of the last read of the table, by this router or a
+            peer, that showed that the version then in force here was the newest;
+            on the clock of `anyio.current_time`.
         regressed: Whether the last read of the table showed an older head than
             the version in force.
-        lock: Held while a version is read and put into force.
-        changed: Set, and replaced, when a version is put into force.
-        notice_received: Set when a peer has sent a notice of a newer version.
-        noticed_version: The newest version in a notice.
+        lock: Held while a version is read, published or put into force.
+        changed: Set, and replaced by a new event, when a version is put into force.
+        notice_received: Set by a notice of a newer version; replaced by a new event
+            when the wait for the next poll ends.
+        noticed_version: The newest version in a notice or in evidence; 0 before the
+            first that was newer than the version in force.
     """
 
     table: Table
@@ -119,7 +124,8 @@
     ) -> None:
         """Adopt new versions and write missing head copies, until cancelled.
 
-        Reports itself as started after the first attempt, even if that failed.
+        Reports its start after the first attempt to adopt a version, whether or not
+        that attempt succeeded.
         """
         await self.follow()
         task_status.started()
@@ -130,7 +136,10 @@
                 await self.follow()
 
     async def wait_for_poll(self) -> None:
-        """Wait until the next poll is due or a notice of a newer version arrives."""
+        """Wait until a notice of a newer version arrives, or the next poll is due.
+
+        The time until the next poll is random: half to one and a half times `poll`.
+        """
         with anyio.move_on_after(self.poll * self.random.uniform(0.5, 1.5)):
             await self.notice_received.wait()
         self.notice_received = anyio.Event()
@@ -138,7 +147,7 @@
     async def follow(self) -> None:
         """Adopt the newest version that can be reached; failures are logged.
 
-        Without the table, uses head copies and the evidence of other routers.
+        If the refresh fails, uses head copies and the evidence of other routers.
         """
         try:
             await self.refresh()
@@ -158,7 +167,7 @@
             await self.refresh_locked()
 
     async def refresh_locked(self) -> Row | None:
-        """Refresh and return the head row as read; the caller holds the lock."""
+        """Do what `refresh` does and return the head row; the caller holds the lock."""
         requested_at = anyio.current_time()
         row = (await self.table.read((CONFIG_HEAD,)))[0]
         head = read_head(row)
@@ -243,9 +252,10 @@
     async def request_evidence(self) -> None:
         """Request evidence that confirms the version in force, or shows a newer one.
 
-        This keeps the configuration from going stale in a router that alone has
-        lost the table.  Ages count back from the time before the request, so that
-        a delayed answer doesn't make the confirmation look more recent.
+        It keeps the configuration from going stale in a router that cannot reach the
+        table while other routers can.  The `confirmed_age` in an answer is subtracted
+        from the time just before the request, so that a delayed answer doesn't make
+        the confirmation look more recent than it is.
         """
         if self.evidence is None:
             return
@@ -284,7 +294,8 @@
     def may_serve(self) -> bool:
         """Return whether this router may serve requests.
 
-        False without a document, or if it is stale and the policy refuses that.
+        False without a document, or if the configuration is stale and the policy is
+        to refuse requests then.
         """
         if self.document is None:
             return False
@@ -296,9 +307,9 @@
 
         The publisher writes the copy after its version was accepted.  If its
         process exits in between, routers that start while the table is down would
-        miss that version.  So each router, after adopting a version and a random
-        delay, writes a copy if the newest copy is older than its version.  After
-        a failure it tries again.
+        miss that version.  So each router waits for a random delay after it has
+        adopted a version, and writes the copy if the newest copy is older than that
+        version.  Failures are logged, and the check is repeated.
         """
         copied = 0
         while True:
@@ -330,12 +341,12 @@
         return await self.store.read_state(head)
 
     async def history(self, limit: int) -> tuple[HeadRow, ...]:
-        """Return the heads of at most `limit` versions, newest first.
+        """Adopt the newest version, and return at most `limit` heads, newest first.
 
         Raises:
-            ConfigurationError: A head cannot be read, or the newest one is older
-                than the version in force.
-            UnavailableError: The table cannot be reached.
+            ConfigurationError: A head or an object cannot be read, or the table's
+                head is older than the version in force.
+            UnavailableError: The table or the object store cannot be reached.
         """
         async with self.lock:
             await self.refresh_locked()
@@ -348,7 +359,7 @@
         """Publish a checked document and put it into force here.
 
         Returns:
-            The version in force; no new one is made if nothing differs.
+            The new version, or the one in force if the document is equal to it.
 
         Raises:
             LostRaceError: Another version was accepted since `based_on`.
@@ -366,7 +377,7 @@
 
 
 def read_head(row: Row | None) -> HeadRow | None:
-    """Decode a head row or a history row.
+    """Decode a head row or a history row; None stays None.
 
     Raises:
         ConfigurationError: This release cannot read the row.
--- a/ebonyhold/configuration/_parts.py
+++ b/ebonyhold/configuration/_parts.py
@@ -1,8 +1,8 @@
 """Splits a document into parts, so that a version stores only the changed ones.
 
 Each workspace, route, backend server and stop is a separate part.  A document
-state holds all parts of one version.  Its digest covers every part, and updating
-it for one changed part takes the same time however many parts there are.
+state holds all parts of one version.  The digest of a state covers every part; after
+a change of one part it is updated without reading the others.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 @frozen
 class FleetPart:
-    """The fleet name and failure domains: attributes of the document, not lists."""
+    """The fleet name and the failure domains, which together form one part."""
 
     fleet: str
     domains: tuple[str, ...]
@@ -88,7 +88,7 @@
 
 
 def part_digest(key: str, body: bytes) -> int:
-    """Return the integer that a part adds to the digest of its document state."""
+    """Return the SHA-256 of a part as an integer, to be added to a state's digest."""
     return int.from_bytes(hashlib.sha256(key.encode() + b"\0" + body).digest())
 
 
@@ -111,7 +111,7 @@
 
     @property
     def digest(self) -> str:
-        """The hexadecimal digest of all parts.
+        """The digest of all parts, `total`, as 64 hexadecimal digits.
 
         A sum of hashes detects missing, duplicated and altered parts.  It does
         not resist forgery, which is not needed: a client that can write the head
@@ -149,11 +149,16 @@
         return self.objects.get(section, {}).get(name)
 
     def add_to_digest(self, amount: int) -> None:
-        """Add an amount, which may be negative, to the digest sum."""
+        """Add an amount, which may be negative, to `total`."""
         self.total = (self.total + amount) % DIGEST_MODULUS
 
     def apply(self, change: Change) -> None:
-        """Apply the deletes and upserts of one version, in place."""
+        """Apply the deletes and upserts of one version to this state.
+
+        Raises:
+            ConfigurationError: This release cannot read a part; the changes before
+                that part stay applied.
+        """
         for key in change.deletes:
             self.remove(key)
         for key, value in change.upserts.items():
@@ -187,7 +192,7 @@
 
     During a rolling upgrade, a document may contain values that the older release
     cannot read.  All such failures raise ConfigurationError, which the keeper
-    handles by keeping its current version; any other error would end the router.
+    handles by keeping its current version; any other error would stop the router.
 
     Raises:
         ConfigurationError: The value cannot be converted.
--- a/ebonyhold/configuration/_publisher.py
+++ b/ebonyhold/configuration/_publisher.py
@@ -49,29 +49,46 @@
 from ebonyhold.types import Seconds, Tokens
 
 MAX_ATTEMPTS = 8
-"""Maximum number of attempts of a commit, a write of objects or a top-up."""
+"""Maximum number of attempts of a commit or of another step of a publication.
+
+Each attempt at a batch of top-ups commits up to this many times, while other writers
+cause conflicts.
+"""
 
 KEPT_VERSIONS = 20_000
-"""Versions that can be read and rolled back to: 4 days at 4,800 versions a day."""
+"""Number of newest versions that are kept, to be read and rolled back to.
+
+They cover 4 days at 4,800 versions a day.
+"""
 
 MAX_OLD_VERSIONS = 4
-"""History rows that one publication reads for deletion; it deletes all but the last."""
+"""Maximum number of the oldest history rows that one publication reads.
+
+It deletes those of them that are no longer kept, but never the last one read.
+"""
 
 MAX_TOPUPS = 40
 """Maximum number of first top-ups in one transaction.
 
-The transaction that accepts a version includes its first ones.
+The transaction that accepts a version makes the first top-ups of at most this many of
+its new workspaces; later transactions make the rest.
 """
 
 WRITE_PAUSE: Seconds = 0.5
-"""Pause after a transaction of first top-ups: at most 160 row writes a second, so
-that a large import doesn't use up the table's write rate, which bills need."""
+"""Pause after a transaction of first top-ups.
+
+It limits them to 160 row writes a second, so that a large import doesn't use up the
+table's write rate, which bills need.
+"""
 
 READ_PAUSE: Seconds = 0.1
-"""Pause after a read that found no first top-up missing: at most 800 rows a second."""
+"""Pause after a read that found no first top-up missing.
+
+It limits these reads to 800 rows a second.
+"""
 
 RETRY_DELAY = 0.25
-"""Delay in seconds before the first retry; it doubles with each further one."""
+"""Delay in seconds before the first retry; it doubles for each further retry."""
 
 MAX_DELAY = 4.0
 """Maximum delay in seconds between two retries."""
@@ -120,10 +137,10 @@
     Attributes:
         keeper: Holds the state that the document is compared with.
         document: The document, already checked.
-        based_on: The version that the operator had seen.
-        author: The operator.
+        based_on: The version from which the operator made the document.
+        author: The name of the operator.
         publication: The unique identifier of this publication.
-        in_doubt: Whether the outcome of a commit is unknown.
+        in_doubt: Whether the outcome of any commit attempt was unknown.
         without_topup: Workspaces whose first top-up may still be missing.
         deleted: Old versions whose objects were deleted; the commit deletes
             their history rows.
@@ -149,7 +166,7 @@
 
         A document that is already in force is not published again, whatever it
         was based on, so that an operator whose command got no answer can repeat
-        it.  The repetition also makes the first top-ups that are missing.
+        the command.  `make_topups` then makes the first top-ups that are missing.
         """
         row = await self.keeper.refresh_locked()
         change = find_change(self.keeper.state, self.document, self.based_on + 1)
@@ -167,11 +184,11 @@
         return head.version
 
     async def check_base(self, row: Row | None) -> None:
-        """Check that the accepted version is the one this publication is based on.
+        """Check that the head row has the version that this publication is based on.
 
         Raises:
-            LostRaceError: Another version was accepted since, or `based_on` was
-                never the newest version.
+            LostRaceError: The head row has another version, because one was accepted
+                since, or because `based_on` was never accepted.
         """
         head = head_of(row)
         version = head.version if head else 0
@@ -185,7 +202,8 @@
     async def changed_since_base(self) -> tuple[str, ...]:
         """Return the paths that differ between `based_on` and the version in force.
 
-        Empty if the version `based_on` cannot be read.
+        If `based_on` is 0, every part counts as added.  If that version cannot be
+        read, the result is empty.
         """
         if not self.based_on:
             return find_changed_paths(DocumentState(), self.keeper.state)
@@ -220,7 +238,7 @@
         )
 
     async def delete_oldest(self, newest: int) -> tuple[int, ...]:
-        """Delete the objects of a few old versions.
+        """Delete the objects of the oldest versions, fewer than `MAX_OLD_VERSIONS`.
 
         The commit deletes their history rows afterwards.  If this process exits
         or the object store fails before that, the next publication finds the rows
@@ -250,15 +268,17 @@
         return tuple(deleted)
 
     async def retry(self, step: Callable[[], Awaitable[Answer]]) -> Answer:
-        """Run an idempotent step, retrying failures and unknown outcomes.
+        """Run an idempotent step, and repeat it after a failure or unknown outcome.
 
-        The error of the last attempt is raised.
+        After `MAX_ATTEMPTS` attempts the last error is raised.
         """
         for attempt in range(MAX_ATTEMPTS - 1):
             try:
                 return await step()
             except (UnavailableError, UnknownOutcomeError) as error:
-                logger.warning("retrying publication", extra={"reason": str(error)})
+                logger.warning(
+                    "retrying a step of a publication", extra={"reason": str(error)}
+                )
                 await anyio.sleep(retry_delay(attempt))
         return await step()
 
@@ -274,13 +294,13 @@
     async def commit(self, head: HeadRow, added: tuple[str, ...]) -> tuple[str, ...]:
         """Commit the head and first top-ups.
 
-        A lost answer is reported as UnknownOutcomeError.  The next attempt reads
-        from the history row whether the commit took effect, and sends it again if
-        not.  Both commits require the same version of the head row, so only one
-        can take effect, even if the first one arrives late.
+        If the answer to a commit is lost, the next attempt reads from the history
+        row whether that commit took effect, and sends it again if not.  Both commits
+        require the same version of the head row, so only one can take effect, even
+        if the first one arrives late.
 
         Returns:
-            The added workspaces whose first top-ups did not fit in.
+            The added workspaces whose first top-ups did not fit into the transaction.
 
         Raises:
             LostRaceError: Another version was accepted instead.
@@ -304,7 +324,9 @@
             except UnknownOutcomeError:
                 self.in_doubt = True
             except UnavailableError as error:
-                logger.warning("retrying publication", extra={"reason": str(error)})
+                logger.warning(
+                    "retrying the commit of a publication", extra={"reason": str(error)}
+                )
             await anyio.sleep(retry_delay(attempt))
         if self.in_doubt:
             message = f"version {head.version} may have been accepted"
@@ -312,10 +334,16 @@
         raise UnavailableError("the table did not take the new version")
 
     async def is_accepted(self, row: Row | None, version: int) -> bool:
-        """Return whether this publication was accepted; False if no version was yet.
+        """Return whether this publication was accepted as `version`.
+
+        Args:
+            row: The head row; if it has an older version or is None, the result is
+                False.
+            version: The version of this publication.
+
 
         Raises:
-            LostRaceError: Another publication was accepted instead.
+            LostRaceError: Another publication was accepted as this version.
         """
         head = head_of(row)
         if head is None or head.version < version:
@@ -329,7 +357,7 @@
         return False
 
     async def missing_topups(self, workspaces: tuple[str, ...]) -> tuple[TopUp, ...]:
-        """Return the first top-ups that are missing, each with its budget row."""
+        """Return the first top-ups that are not made yet, each with its budget row."""
         made_keys = tuple(topup_key(each, INITIAL_TOPUP) for each in workspaces)
         keys = (*made_keys, *map(budget_key, workspaces))
         rows = await self.keeper.table.read(keys) if keys else ()
@@ -353,7 +381,7 @@
         The keeper's lock is not held, since this can take minutes.
 
         Raises:
-            UnknownOutcomeError: Some could not be made; publish again.
+            UnknownOutcomeError: Some may be missing; publish the document again.
         """
         pause = 0.0
         for first in range(0, len(self.without_topup), MAX_TOPUPS):
@@ -372,7 +400,7 @@
         This is idempotent: the row of a top-up shows that it was made.
 
         Returns:
-            Whether any was missing.
+            Whether any first top-up was missing, and is now made.
 
         Raises:
             UnavailableError: The table cannot be reached, or each attempt
--- a/ebonyhold/configuration/_store.py
+++ b/ebonyhold/configuration/_store.py
@@ -25,17 +25,22 @@
 OBJECT_PREFIX = "config/object/"
 HEAD_PREFIX = "config/heads/"
 HEAD_NUMBER_BASE = 10**10
-"""Keys of head copies contain this minus the version: the newest is listed first."""
+"""The key of a head copy contains this number minus the version.
+
+The newest copy is thus listed first.
+"""
 
 MAX_INLINE = 16_384
-"""Largest size of a manifest in bytes; a larger one gets a new base."""
+"""Maximum size of a manifest in bytes; if it would be larger, a new base is made."""
 
 KEPT_INLINE = MAX_INLINE // 2
-"""Bytes of changes that a manifest keeps when it gets a new base, so that a router
-that is a few versions behind need not read the base."""
+"""Maximum size in bytes of the changes that a manifest keeps when it gets a new base.
+
+A router that is a few versions behind then need not read the base.
+"""
 
 PACK_BYTES = 131_072
-"""Largest mean size in bytes of the packs of a base."""
+"""Maximum mean size in bytes of the packs of a base."""
 
 Form = TypeVar("Form")
 
@@ -93,9 +98,10 @@
     """Parts whose key hashes are equal modulo the number of packs.
 
     Attributes:
-        since: The version of the first base that used the pack.  It makes the
-            object unique: once a base no longer uses the pack, no later base
-            does, so the pack can be deleted together with the previous base.
+        since: The version of the first base that used the pack.  It distinguishes
+            the pack from an earlier one with equal parts.  So once a base does not
+            use a pack of the previous base, no later base does, and the pack can be
+            deleted together with the previous base.
         parts: JSON values of the parts, by key.
     """
 
@@ -114,7 +120,7 @@
     objects: Objects
 
     async def put(self, body: bytes) -> str:
-        """Write an object under its SHA-256 and return that; idempotent."""
+        """Write an object under its SHA-256, unless it exists; return the SHA-256."""
         digest = hashlib.sha256(body).hexdigest()
         try:
             await self.objects.put(OBJECT_PREFIX + digest, body, if_absent=True)
@@ -213,7 +219,8 @@
     ) -> str:
         """Write the manifest of a version, and a new base if it needs one.
 
-        The first version and one whose manifest would be too large get a base.
+        A base is written for the first version, and if the manifest would otherwise be
+        larger than `MAX_INLINE`.
 
         Args:
             state: All parts, with the change applied.
@@ -259,12 +266,12 @@
         return await self.put(to_bytes(BaseIndex(version, tuple(packs))))
 
     async def delete_version(self, old: HeadRow, following: HeadRow) -> None:
-        """Delete the objects of the oldest version that the next one doesn't use.
+        """Delete those objects of the oldest version that the next one doesn't use.
 
         Versions refer to bases in order: a base that the next version doesn't use
         is not used by any later one.  The manifest is deleted last, so that a call
-        that failed part-way can be repeated.  Does nothing if the manifest is
-        missing or unreadable.
+        that failed part-way can be repeated.  If the manifest of the oldest version is
+        missing or unreadable, nothing is deleted.
         """
         try:
             manifest = await self.read_manifest(old)
@@ -306,8 +313,8 @@
     async def read_head_copy(self, version: int = 0) -> HeadRow | None:
         """Return the copy of the head of a version, or None if there is none.
 
-        Version 0 stands for the newest copy.  A newer version than that may have
-        been accepted, since its copy may not have been written yet.
+        Version 0 stands for the newest copy.  A newer version may have been accepted
+        whose copy is not written yet.
         """
         key = head_copy_key(version)
         if not version:
@@ -332,7 +339,7 @@
 
 
 def newest_changes(changes: tuple[Change, ...], max_bytes: int) -> tuple[Change, ...]:
-    """Return the newest changes whose encoded sizes add up to at most `max_bytes`."""
+    """Return as many of the newest changes as take at most `max_bytes` when encoded."""
     size = 0
     for index in range(len(changes) - 1, -1, -1):
         size += len(to_bytes(changes[index]))
--- a/tests/configuration/test_keeper.py
+++ b/tests/configuration/test_keeper.py
@@ -113,8 +113,8 @@
     """Guards against routers that cannot start, or serve wrongly, without the table.
 
     If the policy allows a stale configuration, a new router adopts the newest head
-    copy; otherwise it doesn't serve.  Once the table answers, it has the newest
-    version, whose head copy is missing here.
+    copy; otherwise it doesn't serve.  Once the table answers, the router adopts the
+    newest version, whose head copy is missing here.
     """
     for document, serves in ((DOCUMENT, True), (REFUSING, False)):
         table, objects = MemoryTable(), MemoryObjects()
@@ -148,7 +148,7 @@
     """Guards against a router that fails on a version of a newer release.
 
     In a rolling upgrade, an older router may be unable to read a new part or the
-    head row.  It must keep its version, not count as confirmed, and not raise.
+    head row.  It must keep its version, leave `confirmed_at` unchanged, and not raise.
     """
     table, objects = MemoryTable(), MemoryObjects()
     newer, older = keeper_on(table, objects), keeper_on(table, objects)
@@ -223,7 +223,7 @@
 async def test_staleness_in_a_long_outage(
     document: Document, answers: tuple[tuple[str, float], ...], serves: bool
 ) -> None:
-    """Guards against serving against the policy, or refusing without need.
+    """Guards against serving although the policy forbids it, or refusing without need.
 
     The table cannot be reached for longer than `stale_after`.  Recent evidence of a
     peer with the same version and digest keeps the configuration from being stale.
@@ -250,7 +250,8 @@
 async def test_evidence_counts_from_before_the_request() -> None:
     """Guards against a late answer that makes a confirmation look more recent.
 
-    A peer's answer takes 60 s; its age must count from before the request.
+    A peer's answer takes 60 s; the age in it must be subtracted from the time before
+    the request.
     """
     table, objects = MemoryTable(), MemoryObjects()
     keeper = keeper_on(table, objects)
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -115,8 +115,8 @@
 async def test_an_unanswered_publication_has_an_unknown_outcome() -> None:
     """Guards against reporting an unanswered commit as refused.
 
-    No commit is answered until the publisher gives up; they may still take effect.
-    Only if the table certainly did nothing is the publication unavailable.
+    No commit is answered until the publisher gives up, and each may still take
+    effect.  UnavailableError is raised only if the table certainly did nothing.
     """
     table, objects = MemoryTable(Faults(lose_requests=100)), MemoryObjects()
     with pytest.raises(UnknownOutcomeError):
