--- a/ebonyhold/daemon/_daemon.py
+++ b/ebonyhold/daemon/_daemon.py
@@ -77,7 +77,7 @@
     """The components of one router process.
 
     Attributes:
-        settings: The daemon's own settings.
+        settings: The content of the settings file.
         metrics: The metrics that the process exports.
         table_client: Client of the platform's table service.
         objects_client: Client of the platform's object store.
@@ -193,7 +193,10 @@
         return self.fleet.document.policy
 
     def make_grant_manager(self, router: RouterId) -> Treasury:
-        """Return an incarnation's grant manager, and run the peer network as it."""
+        """Return the grant manager of an incarnation.
+
+        The peer network uses the id of that incarnation from then on.
+        """
         if self.network.membership.me.router != router:
             self.network.become(router)
         return Treasury(
@@ -260,9 +263,9 @@
         operators = self.operators_app()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.lifecycle.follow_signals)
-            # The listeners have their own task group. When the bills are filed, their
-            # connections may still have unsent bytes of answers, which would be lost
-            # if the process exited at that point.
+            # The listeners have their own task group, which ends when they have closed.
+            # When the last bills are filed, connections may still have unsent bytes of
+            # answers, which would be lost if the process exited at that point.
             async with anyio.create_task_group() as listeners:
                 starting = anyio.CancelScope()
                 listeners.start_soon(self.start, operators, tasks, listeners, starting)
@@ -344,7 +347,7 @@
             await self.keeper.run()
 
     async def follow_versions(self) -> None:
-        """Put each adopted version in force, and recheck the queued requests."""
+        """Put each adopted version in force, and admit or refuse waiting requests."""
         version = 0
         while True:
             version = await self.keeper.wait_changed(version)
@@ -396,7 +399,7 @@
 
 @define
 class IncarnationNames:
-    """Generates incarnation ids, of which the first is given.
+    """Generates the ids of incarnations, after a given first one.
 
     Attributes:
         vm: The name of the router's VM.
--- a/ebonyhold/daemon/_door.py
+++ b/ebonyhold/daemon/_door.py
@@ -29,14 +29,15 @@
 LATE_READ_TIME: Seconds = 0.1
 """How long connections are still read after the listening socket has closed.
 
-A request that arrives in this time, on a kept or a just accepted connection, is passed
-to the application like any other.
+A request that arrives in this time on an open connection is passed to the application
+like any other.
 """
 
 CLOSE_TIMEOUT: Seconds = 1.0
 """Maximum time for connections to close, including the TLS shutdown.
 
-Requests that arrive late during a close have as long to be answered.
+After the listening sockets have closed, requests get the same maximum time to be
+answered, unless others are still in progress after the grace period.
 """
 
 AsgiApp = Callable[[Any, Any, Any], Awaitable[None]]
@@ -81,8 +82,8 @@
     Attributes:
         app: The application.
         config: hypercorn's configuration of the listener.
-        requests: The requests on all listeners of the process.
-        context: Signals hypercorn's connections to end.
+        requests: Counts the requests on all listeners of the process.
+        context: Contains the event that makes hypercorn end its connections.
         servers: The listening sockets.
         writers: The writers of open connections, by the task that serves each.
     """
@@ -140,12 +141,11 @@
     async def close(self, grace: Seconds) -> None:
         """Wait for answers, close the listening sockets, and close all connections.
 
-        The sockets accept connections while answers are finished. Connections that
-        aren't closed in time are aborted.
+        The sockets accept new connections until the answers in progress have ended or
+        `grace` has passed. Connections that aren't closed in time are aborted.
 
         Args:
-            grace: Maximum time for which answers in progress are waited for, in
-                seconds.
+            grace: Maximum time for the answers in progress, in seconds.
         """
         await self.requests.wait_idle(grace)
         # Answers that haven't ended after the grace period get no more time. If all
@@ -175,7 +175,7 @@
             await asyncio.wait(list(self.writers), timeout=seconds)
 
     async def abort(self) -> None:
-        """Abort all connections, and wait for their tasks to end."""
+        """Abort all connections, and wait up to `CLOSE_TIMEOUT` for their tasks."""
         for task, writer in list(self.writers.items()):
             writer.transport.abort()
             task.cancel()
--- a/ebonyhold/daemon/_lifecycle.py
+++ b/ebonyhold/daemon/_lifecycle.py
@@ -40,7 +40,7 @@
     A stop takes at most `UNREADY_GRACE` + the document's ``drain`` + 8 seconds for the
     requests that it interrupts + `FILING_TIMEOUT` seconds. After that the listeners
     may need their own grace period to send the last bytes. A router that isn't
-    registered yet holds nothing and stops at once.
+    registered yet holds no tokens and stops at once.
 
     Attributes:
         callers: The callers' application, which has the requests in flight.
@@ -121,8 +121,8 @@
     async def settle(self) -> None:
         """File the bills and return the grants, within `FILING_TIMEOUT`.
 
-        Errors are logged, and another router recovers the rest from the journal. A
-        second signal doesn't skip this step, since recovery begins only after a delay.
+        Errors are logged, and another router recovers the rest from the journal.
+        Recovery begins only after a delay, so a second signal doesn't skip this step.
         """
         with anyio.move_on_after(FILING_TIMEOUT) as scope:
             try:
--- a/ebonyhold/daemon/_members.py
+++ b/ebonyhold/daemon/_members.py
@@ -21,12 +21,12 @@
 
 @define
 class MemberFeed:
-    """Keeps the last list, and passes the leaving backend servers to the fleet view.
+    """Keeps the last membership list, and sets the leaving servers of the fleet view.
 
     Attributes:
         client: Reads the list; None if the settings name no list.
         fleet: Receives the names of leaving backend servers.
-        rng: Varies the time between reads, so that routers don't read in step.
+        rng: Varies the time between reads, so that routers don't read all at once.
         members: The last list that was read; None before the first read.
     """
 
--- a/ebonyhold/daemon/_messages.py
+++ b/ebonyhold/daemon/_messages.py
@@ -40,17 +40,17 @@
 @peer_message("status_reply")
 @frozen
 class StatusReply(PeerMessage):
-    """The status of one router, as that router reports it.
+    """The status that a router reports of itself.
 
     Attributes:
-        router: Its incarnation.
-        domain: Its failure domain.
-        version: The configuration version in force there; 0 for none.
-        stopping: Whether its stop has begun.
-        in_flight: Number of requests that it is answering.
-        confirmed_age: Seconds since its version was last confirmed; negative for never.
-        grants: Its largest grants, largest first.
-        uses: Its requests in flight by backend server, without those that have none.
+        router: The incarnation of the router.
+        domain: The failure domain of the router.
+        version: The configuration version in force at the router; 0 for none.
+        stopping: Whether the stop of the router has begun.
+        in_flight: Number of requests that the router is answering.
+        confirmed_age: Seconds since `version` was last confirmed; negative for never.
+        grants: The largest grants of the router, largest first.
+        uses: Number of requests in flight at each backend server that has any.
     """
 
     router: RouterId
--- a/ebonyhold/daemon/_recoveries.py
+++ b/ebonyhold/daemon/_recoveries.py
@@ -56,12 +56,12 @@
             many seconds scans have found it unsettled and not alive.
         add_row: Receives each unsettled row of an incarnation that isn't alive, to add
             it to the members if it is unknown.
-        rng: Varies the intervals, so that routers don't work in step.
-        unknown_since: When a scan first found each incarnation that the last scan
-            found unsettled and not alive.
+        rng: Varies the intervals, so that routers don't act at the same time.
+        unknown_since: For each incarnation that the last scan found unsettled and not
+            alive: the time of the first of the consecutive scans that found it so.
         closed: Incarnations that are completely settled and aren't recovered again.
         stranded: Tokens that the last recovery could not return, by incarnation.
-        next_scan: When all rows are scanned again.
+        next_scan: The earliest time of the next scan of all rows.
     """
 
     table: Table
@@ -142,10 +142,10 @@
         heartbeats are expected from then on. A router that failed before another
         router knew it is found only in this way.
 
-        That an incarnation isn't alive in the view of this router doesn't suffice. A
-        leaving router may still be finishing its streams, and a router without
-        network sees no other router alive. Sealing on that condition would cut
-        streams, in the second case those of the whole fleet and repeatedly.
+        Not every incarnation that isn't alive in this router's view may be recovered,
+        as recovery seals the incarnation and thereby cuts its streams. A leaving router
+        may still be finishing streams. A router without network believes that no other
+        router is alive, and would repeatedly cut the streams of the whole fleet.
 
         Raises:
             UnavailableError: The table cannot be reached.
--- a/ebonyhold/daemon/_servers.py
+++ b/ebonyhold/daemon/_servers.py
@@ -22,13 +22,13 @@
 """Time between a listener's checks for changed certificate files."""
 
 KEEP_ALIVE: Seconds = 75.0
-"""How long a connection may stay open without a complete request.
+"""Maximum time for which a connection waits for the complete headers of a request.
 
-This includes connections whose headers arrive byte by byte.
+It also limits headers that arrive byte by byte, but not bodies that arrive slowly.
 """
 
 GRACE: Seconds = 5.0
-"""Maximum time for answers in progress after the stop.
+"""Maximum time for answers in progress once the listener is stopped.
 
 The listening sockets stay open during this time.
 """
@@ -59,7 +59,7 @@
     def use_newest_context(
         self, connection: ssl.SSLObject, name: str | None, first: ssl.SSLContext
     ) -> None:
-        """Continue a handshake with the newest context, with any server name or none.
+        """Continue a handshake with the newest context, whatever the server name.
 
         Args:
             connection: The connection of the handshake.
@@ -118,7 +118,7 @@
         config: The configuration that reloads its context.
         tls: The names of the files.
         mtimes: The modification times of the loaded files, in nanoseconds; empty
-            before the first check.
+            if they are unknown.
     """
 
     config: ReloadingConfig
--- a/ebonyhold/daemon/_settlements.py
+++ b/ebonyhold/daemon/_settlements.py
@@ -1,4 +1,4 @@
-"""Runs that recovery could not settle, for operators to list and settle."""
+"""Lists and settles, for operators, request runs that recovery could not settle."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 @frozen
 class Settlements:
-    """Lists and settles the open runs of all sealed routers.
+    """Lists and settles the open request runs of all sealed incarnations.
 
-    It keeps no state, and it doesn't matter which router has sealed them.
+    It keeps no state, and any router may have sealed the incarnations.
 
     Attributes:
         table: The table with the rows of routers.
@@ -36,9 +36,10 @@
     make_recovery: Callable[[], Recovery]
 
     async def open_runs(self) -> tuple[OpenRun, ...]:
-        """Repeat the recovery of all sealed routers, and return the runs still open.
+        """Repeat the recovery of sealed incarnations, and return the runs still open.
 
-        This is safe at any time, also while another router recovers one of them.
+        This is safe at any time, also while another router recovers one of the
+        incarnations.
 
         Raises:
             UnavailableError: The platform cannot be reached.
@@ -79,10 +80,10 @@
         Args:
             router: The sealed incarnation.
             attempt: An attempt of the run.
-            charge: The tokens to bill for the run; None if it did not run.
+            charge: The tokens to bill for the run; None if the request did not run.
 
         Raises:
-            BudgetError: The router is not sealed, or has no such open run.
+            BudgetError: The incarnation is not sealed, or has no such open run.
             UnavailableError: The platform cannot be reached.
         """
         state = RequestState.NOT_RUN if charge is None else RequestState.INTERRUPTED
--- a/ebonyhold/daemon/_status.py
+++ b/ebonyhold/daemon/_status.py
@@ -41,7 +41,7 @@
     """The reply of another router.
 
     Attributes:
-        router: The router that was asked.
+        router: The router to which the request was sent.
         reply: Its reply; None if none arrived in time.
     """
 
@@ -146,7 +146,10 @@
         return sorted(answers, key=lambda one: one.router)
 
     def peer_status(self, answer: PeerReply) -> RouterStatus:
-        """Return another router's status: from its reply, else from its membership."""
+        """Return another router's status, from its reply or else its membership.
+
+        A router that is no longer a member is shown as gone.
+        """
         peer = next(
             (one for one in self.network.status() if one.router == answer.router), None
         )
--- a/ebonyhold/daemon/_versions.py
+++ b/ebonyhold/daemon/_versions.py
@@ -28,8 +28,9 @@
 NOTICE_FANOUT = 8
 """Number of routers that each router notifies when it adopts a new version.
 
-Notices spread like rumours: with 8 notices from each router, a version reaches 330
-routers in three steps. A router that gets no notice finds the version at its next poll.
+The targets are chosen at random and overlap. Three steps with 8 targets each send at
+most 8^3 = 512 notices in the last step, enough for most of 330 routers. A router that
+gets no notice finds the version at its next poll.
 """
 
 
@@ -72,10 +73,10 @@
     async def receive_notice(
         self, peer: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
-        """Have the keeper read the newest version if the notice names a newer one.
+        """Pass the version in a notice to the keeper, which polls at once if needed.
 
-        A version is adopted only from the table or its copy in the object store, so a
-        wrong notice costs no more than a read.
+        A version is adopted only from the table, or from a head copy in the object
+        store, so a wrong notice causes only an extra poll.
         """
         assert isinstance(message, VersionNotice)
         self.keeper.notice(message.version)
--- a/tests/daemon/stopkit.py
+++ b/tests/daemon/stopkit.py
@@ -1,7 +1,7 @@
 """A router on a socket, with the real listener, application and lifecycle.
 
-The money and the backend servers are fakes that hold each step of a stop for as long
-as a test needs.
+The backend servers, and the component that holds grants and files bills, are fakes.
+They delay each step of a stop for as long as a test needs.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 @define
 class SlowMoney(FakeMoney):
-    """Fake money whose last steps a test can delay.
+    """A fake component that holds grants and files bills, whose calls a test can delay.
 
     Attributes:
         settles: If given, `finish` waits for it before it records an outcome.
@@ -210,7 +210,7 @@
     Attributes:
         port: Where callers connect.
         bench: The application and its fake backend servers.
-        money: The fake money.
+        money: The fake of the component that holds grants and files bills.
         lifecycle: Runs the stop.
         gone: Set when the listener has ended, at which point a process would exit.
     """
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -56,7 +56,7 @@
         self.record("refuse")
 
     def leave(self) -> None:
-        self.record("tell")
+        self.record("announce")
 
     async def interrupt(self) -> None:
         self.record("interrupt")
@@ -93,7 +93,7 @@
         assert lifecycle.leaving
         assert not stage.stopping
     assert list(stage.steps) == [
-        "tell",
+        "announce",
         "refuse",
         "interrupt",
         "drain",
--- a/tests/daemon/test_live.py
+++ b/tests/daemon/test_live.py
@@ -248,9 +248,10 @@
 ) -> None:
     """Guards against a resumed router that goes on with an incarnation that was sealed.
 
-    A VM is paused, the platform removes it from the list, and another router recovers
-    it. When it resumes, it still has the state of its grants. It must find that it was
-    sealed, start a new incarnation, and bill each request once.
+    A router's process is paused, the platform removes the router from the list, and
+    another router recovers its incarnation. The resumed process still has the state of
+    its grants. It must find that the incarnation was sealed, start a new one, and bill
+    each request once.
     """
     paused, other = fleet.routers[:2]
     await call(client, paused, job("before-the-pause", SHORT_TOKENS, Wanted.WHOLE))
@@ -295,7 +296,7 @@
 ) -> None:
     """Guards against a router that must be killed while its start waits for the table.
 
-    It answers operators but can't register. A signal must end the process.
+    The router answers operators but can't register. A signal must end the process.
     """
     control = f"{fleet.platform['table'].url}/control"
     await set_down(client, control, down=True)
--- a/tests/daemon/test_recoveries.py
+++ b/tests/daemon/test_recoveries.py
@@ -194,7 +194,7 @@
 
 
 async def test_open_rows_are_added_at_the_first_check() -> None:
-    """Guards against finding an unknown failed router only after half a minute."""
+    """Guards against unknown failed routers that are found only by the second scan."""
     fleet = Fleet(alive=(THIRD,))
     await fleet.register(OWN, RouterState.OPEN)
     await fleet.register(OTHER, RouterState.OPEN)
--- a/tests/daemon/test_servers.py
+++ b/tests/daemon/test_servers.py
@@ -299,7 +299,7 @@
 def test_unusable_certificate_names_the_setting(tmp_path: Path, missing: str) -> None:
     """Guards against a start that fails with a traceback that names no setting.
 
-    The certificate file may be missing or unusable when the VM starts.
+    The certificate or key file may be missing or unusable when the VM starts.
     """
     files = {"certificate": tmp_path / "c.pem", "key": tmp_path / "k.pem"}
     for name, path in files.items():
--- a/tests/daemon/test_status.py
+++ b/tests/daemon/test_status.py
@@ -32,7 +32,7 @@
 
 @define
 class MoneyStatus:
-    """The status of the money with the grants that a test sets."""
+    """The status of a grant manager, with grants that a test sets."""
 
     grants: tuple[GrantStatus, ...]
 
@@ -94,7 +94,7 @@
 
 @define
 class Network:
-    """A fake network; separate because its `status` differs from that of the money."""
+    """A fake network; separate because its `status` is that of the members."""
 
     fake: FakeRouter
 
--- a/tests/daemon/test_stop_live.py
+++ b/tests/daemon/test_stop_live.py
@@ -73,7 +73,7 @@
 
 
 def spawn_failing(fleet: LocalFleet, name: str, address: str, *rest: str) -> Child:
-    """Start the daemon that fails at SIGUSR1 instead of the real one."""
+    """Start a daemon whose upkeep task fails at SIGUSR1, in place of the real one."""
     return spawn(fleet, name, address, "tests.daemon.failing_daemon", *rest[1:])
 
 
@@ -83,8 +83,9 @@
 
     Attributes:
         counts: Number of answers by HTTP status, on new and kept connections.
-        wrong: Bodies of answers other than 200 or a refusal as not run.
-        unanswered: Time and error of each request without a connection or answer.
+        wrong: Bodies of answers that are neither 200 nor a refusal as not run with a
+            retry-after header.
+        unanswered: Time and error of each request that got no connection or no answer.
     """
 
     counts: dict[int, int] = field(factory=dict)
--- a/tests/daemon/test_stop_sockets.py
+++ b/tests/daemon/test_stop_sockets.py
@@ -248,8 +248,8 @@
 ) -> None:
     """Guards against refused connections while a slow caller reads its last bytes.
 
-    After the bills are filed the process runs for as long as the slow caller reads,
-    5 seconds or more. Until shortly before the exit new callers must get a refusal
+    After the bills are filed, the process runs on while the slow caller reads, for up
+    to `GRACE` (5 seconds). Until shortly before the exit new callers must get a refusal
     as not run instead of no connection. A connection that arrives as the listener
     closes must not hang or cut the slow caller's answer.
     """
@@ -346,9 +346,8 @@
 ) -> None:
     """Guards against a reset while a caller sends a large body during the close.
 
-    The head arrives just before connections are read for the last time, and the rest
-    of the body some tenths of a second later. The connection must stay open until the
-    caller has read the refusal.
+    The head arrives within `LATE_READ_TIME`, and the body in the next 0.4 seconds. The
+    connection must stay open until the caller has read the refusal.
     """
     monkeypatch.setattr(_door, "LATE_READ_TIME", SHORT)
     async with running_router(SHORT) as router, router.caller() as caller:
