--- a/ebonyhold/stores/_classified.py
+++ b/ebonyhold/stores/_classified.py
@@ -18,7 +18,10 @@
     "config": Priority.CONFIGURATION,
     "parts": Priority.CONFIGURATION,
 }
-"""The class of a key by the text before its first slash; others are housekeeping."""
+"""The class of a key, by the text before its first slash.
+
+Keys with any other text are housekeeping.
+"""
 
 
 def class_of(key: str) -> Priority:
@@ -33,10 +36,11 @@
 def class_of_transaction(transaction: Transaction) -> Priority:
     """Return the class of a transaction.
 
-    A transaction that writes both intents and budgets files bills: it has dozens of
-    rows, and no caller waits for it.  A request row alone is a claim, which a caller
-    waits for.  If both had one class, claims would queue behind filings: at 7
-    requests a second, that delays permits by 1.6 s on average and causes refusals.
+    A transaction with keys of both intents and budgets is a filing of bills.  It has
+    dozens of rows, and no caller waits for it.  A transaction with only a request row
+    is a claim, for which a caller waits.  If both had one class, claims would queue
+    behind filings: at 7 requests a second, that delays permits by 1.6 s on average
+    and causes refusals.
 
     Any other transaction has the class of its first write; one without writes is
     housekeeping.
@@ -53,8 +57,9 @@
 class ClassifiedTable:
     """A `Table` that queues each call with the calls of the same class.
 
-    A read has the class of its first key.  Scans are housekeeping, so that they
-    cannot delay reads for intents and bills beyond their own share of the rate.
+    A read has the class of its first key; one without keys is housekeeping.  Scans
+    are housekeeping, the class with the smallest share of the rate, so that they
+    delay reads for intents and bills as little as possible.
     """
 
     guarded: GuardedTable
@@ -63,7 +68,7 @@
         """Return the rows of keys, in the order given; None for a missing row.
 
         Raises:
-            UnavailableError: The table cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         priority = class_of(keys[0]) if keys else Priority.HOUSEKEEPING
         return await self.guarded.for_class(priority).read(keys)
@@ -72,7 +77,7 @@
         """Return at most `limit` rows with a key prefix, in key order after `after`.
 
         Raises:
-            UnavailableError: The table cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         view = self.guarded.for_class(Priority.HOUSEKEEPING)
         return await view.scan(prefix, after, limit)
@@ -102,7 +107,7 @@
         """Return the body of an object, or None if there is no such object.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         return await self.guarded.for_class(class_of(key)).get(key)
 
@@ -121,7 +126,7 @@
         """Delete an object; do nothing if there is none.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call had no effect.
             UnknownOutcomeError: The object may have been deleted; a retry is safe.
         """
         await self.guarded.for_class(Priority.HOUSEKEEPING).delete(key)
@@ -130,7 +135,7 @@
         """Return at most `limit` keys with a prefix, in order after `after`.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         view = self.guarded.for_class(Priority.HOUSEKEEPING)
         return await view.keys(prefix, after, limit)
--- a/ebonyhold/stores/_guard.py
+++ b/ebonyhold/stores/_guard.py
@@ -34,7 +34,10 @@
 T = TypeVar("T")
 
 BURST = 0.5
-"""Capacity of a token bucket, in seconds at the maximum rate; at least one row."""
+"""Capacity of a token bucket, in seconds at the maximum rate.
+
+The capacity is at least one row.
+"""
 
 
 @frozen
@@ -115,7 +118,7 @@
         return cls(AdaptiveRate(rate, rate), turnstile)
 
     def set_rate(self, rate: float) -> None:
-        """Set the maximum rate, in rows a second; earlier throttling is discarded."""
+        """Set the maximum rate, in rows a second, and undo reductions by throttling."""
         self.rate = AdaptiveRate(rate, rate)
         self.turnstile.bucket.burst = max(1.0, rate * BURST)
 
@@ -183,7 +186,8 @@
         Raises:
             ConflictError: A check failed; nothing was written.
             RefusedHereError: The call was refused in this process.
-            UnavailableError: The call had no effect, and the retries are used up.
+            UnavailableError: The call had no effect or is a read, and no further retry
+                is allowed.
             UnknownOutcomeError: The call may have taken effect.
         """
         counters = self.counters[priority]
--- a/ebonyhold/stores/_guarded.py
+++ b/ebonyhold/stores/_guarded.py
@@ -45,7 +45,7 @@
         """Return the rows of keys, in the order given; None for a missing row.
 
         Raises:
-            UnavailableError: The table cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         operation = partial(self.table.read, keys)
         limiter = self.guard.reads
@@ -55,12 +55,13 @@
         """Return at most `limit` rows with a key prefix, in key order after `after`.
 
         Raises:
-            UnavailableError: The table cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         operation = partial(self.table.scan, prefix, after, limit)
         limiter = self.guard.reads
         rows = await self.guard.call(limiter, self.priority, 1, operation)
-        # Charges the other rows now: their number is unknown before the scan.
+        # Takes the rows after the first one from the bucket, as their number was
+        # unknown before the scan.
         limiter.turnstile.bucket.spend(max(0, len(rows) - 1), anyio.current_time())
         return rows
 
@@ -110,7 +111,7 @@
         """Return the body of an object, or None if there is no such object.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         operation = partial(self.objects.get, key)
         return await self.guard.call(self.guard.reads, self.priority, 1, operation)
@@ -130,7 +131,7 @@
         """Delete an object; do nothing if there is none.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call had no effect.
             UnknownOutcomeError: The object may have been deleted; a retry is safe.
         """
         operation = partial(self.objects.delete, key)
@@ -140,7 +141,7 @@
         """Return at most `limit` keys with a prefix, in order after `after`.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call failed or was refused in this process.
         """
         operation = partial(self.objects.keys, prefix, after, limit)
         return await self.guard.call(self.guard.reads, self.priority, 1, operation)
--- a/ebonyhold/stores/_http.py
+++ b/ebonyhold/stores/_http.py
@@ -24,23 +24,26 @@
 """Timeout of a whole call, in seconds."""
 
 CONNECT_SHARE = 0.5
-"""The fraction of the timeout that is available for getting a connection.
+"""The fraction of the timeout that a call may wait for a place in the pool.
 
-It must be less than 1: a connect timeout proves that nothing was sent, whereas
-after a timeout of the whole call a write may have taken effect.
+Connecting may take the same time again, in all attempts together, and so may the TLS
+handshakes.  The fraction must be less than 1: a pool or connect timeout proves that
+nothing was sent, whereas after a timeout of the whole call a write may have taken
+effect.
 """
 
 CONNECT_TRIES = 2
-"""Connection attempts, which share this fraction of the timeout equally.
+"""Maximum number of attempts to open a connection; each has an equal time limit.
 
 An attempt can time out because a packet is lost or this process is paused.  The
 next one usually succeeds, and is safe since no request was sent.
 """
 
 KEEP_ALIVE = 4.0
-"""Seconds that an idle connection is kept.
+"""Seconds for which an idle connection is kept.
 
-Servers must keep it longer, so that they don't close it during a request.
+Servers must keep idle connections longer, so that they don't close one just as a
+request is sent.
 """
 
 CONNECTIONS = 32
@@ -86,8 +89,8 @@
     Attributes:
         method: The HTTP method.
         path: The URL path, with its keys quoted.
-        is_write: Whether the call can take effect.  A write without an answer has
-            an unknown outcome; a read without an answer has just failed.
+        is_write: Whether the call can change data.  If there is no answer, the
+            outcome of a write is unknown, whereas a read can simply be repeated.
         body: The request body, or None.
         params: The query parameters.
         headers: Request headers, besides those of tracing.
--- a/ebonyhold/stores/_objects.py
+++ b/ebonyhold/stores/_objects.py
@@ -28,7 +28,8 @@
         """Return the body of an object, or None if there is no such object.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The store cannot be reached, refuses the call, or sends an
+                invalid reply.
         """
         expected = (STATUS_OK, NOT_FOUND)
         call = Call("GET", path_of(key), is_write=False, expected=expected)
@@ -62,7 +63,7 @@
         """Delete an object; do nothing if there is none.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The call had no effect.
             UnknownOutcomeError: The object may have been deleted; a retry is safe.
         """
         expected = (STATUS_OK, NOT_FOUND)
@@ -73,7 +74,8 @@
         """Return at most `limit` keys with a prefix, in order after `after`.
 
         Raises:
-            UnavailableError: The store cannot be reached.
+            UnavailableError: The store cannot be reached, refuses the call, or sends an
+                invalid reply.
         """
         params = {"prefix": prefix, "after": after, "limit": str(limit)}
         call = Call("GET", "/list", is_write=False, params=params)
--- a/ebonyhold/stores/_table.py
+++ b/ebonyhold/stores/_table.py
@@ -84,7 +84,8 @@
         """Return the rows of keys, in the order given; None for a missing row.
 
         Raises:
-            UnavailableError: The table cannot be reached.
+            UnavailableError: The table cannot be reached, refuses the call, or sends an
+                invalid reply.
         """
         call = Call("POST", "/read", is_write=False, body=dump({"keys": list(keys)}))
         rows = decode_rows(await self.connection().call(call))
@@ -95,7 +96,8 @@
         """Return at most `limit` rows with a key prefix, in key order after `after`.
 
         Raises:
-            UnavailableError: The table cannot be reached.
+            UnavailableError: The table cannot be reached, refuses the call, or sends an
+                invalid reply.
         """
         body = dump({"prefix": prefix, "after": after, "limit": limit})
         call = Call("POST", "/scan", is_write=False, body=body)
@@ -145,7 +147,7 @@
     """Check that the reply to a write is a JSON object, as the service sends it.
 
     Raises:
-        UnknownOutcomeError: The reply is not, so the write may have failed.
+        UnknownOutcomeError: It is not, so the write may or may not have taken effect.
     """
     try:
         is_acknowledged = isinstance(answer.json(), dict)
--- a/ebonyhold/stores/_turnstile.py
+++ b/ebonyhold/stores/_turnstile.py
@@ -35,8 +35,8 @@
 }
 """Weights by which the classes that have queued calls share the rate.
 
-With strict priorities instead, many intents would keep bills and grants from the
-table, although further intents depend on those.
+With strict priorities instead, many queued intents would block the calls for bills and
+budgets, on which further intents depend.
 """
 
 
@@ -130,7 +130,7 @@
         self.turns.charge(priority, amount)
 
     def leave(self) -> None:
-        """Record that an admitted call has ended."""
+        """Record that an admitted call has ended, and wake `run`."""
         self.in_flight -= 1
         self.changed.set()
 
--- a/tests/stores/test_classified.py
+++ b/tests/stores/test_classified.py
@@ -31,7 +31,7 @@
 def test_class(writes: tuple[Write, ...], priority: Priority) -> None:
     """Guards against claims that queue behind filings of bills.
 
-    A filing has as many rows as forty claims.  In one class with them, claims take
-    seconds although the table's rate limit is far from reached.
+    A filing has as many rows as forty claims.  If claims and filings had one class,
+    claims would take seconds although the table's rate limit is far from reached.
     """
     assert class_of_transaction(Transaction((), writes)) is priority
--- a/tests/stores/test_contracts.py
+++ b/tests/stores/test_contracts.py
@@ -103,10 +103,11 @@
 def test_table_while_the_process_is_paused(
     case: Case, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against errors other than those of the fault after a short pause.
+    """Guards against calls that fail because this process is paused for a moment.
 
-    This process is paused during its connection attempt, for less than the timeout
-    but longer than one attempt may take; the second attempt must succeed.
+    The pause is during a connection attempt, longer than one attempt may take and
+    shorter than the timeout of the call.  The second attempt must succeed, so that the
+    result is the same as without a pause.
     """
     pauses = [TIMEOUT * 2 / 3]
     connect = anyio.connect_tcp
--- a/tests/stores/test_guard.py
+++ b/tests/stores/test_guard.py
@@ -215,7 +215,7 @@
 
 
 def test_routers_share_a_rate_without_coordination() -> None:
-    """Guards against a poorly used table, and against starved routers.
+    """Guards against using little of the table's rate, and sharing it unevenly.
 
     Nine routers, each limited to 200 writes a second, share a table that accepts
     400.  Each lowers its rate when it is throttled.
