--- a/ebonyhold/configuration/_keeper.py
+++ b/ebonyhold/configuration/_keeper.py
@@ -305,11 +305,11 @@
     async def keep_copies(self) -> None:
         """Write missing head copies, until cancelled.
 
-        The publisher writes the copy after its version was accepted.  If its
-        process exits in between, routers that start while the table is down would
-        miss that version.  So each router waits for a random delay after it has
-        adopted a version, and writes the copy if the newest copy is older than that
-        version.  Failures are logged, and the check is repeated.
+        The publisher writes the head copy of a version after the table has accepted
+        the version.  If the publisher's process exits in between, routers that start
+        while the table is down would miss that version.  So each router waits for a
+        random delay after it has adopted a version, and writes the copy if the newest
+        copy is older than that version.  A failure is logged, and the check repeated.
         """
         copied = 0
         while True:
--- a/ebonyhold/configuration/_publisher.py
+++ b/ebonyhold/configuration/_publisher.py
@@ -270,7 +270,8 @@
     async def retry(self, step: Callable[[], Awaitable[Answer]]) -> Answer:
         """Run an idempotent step, and repeat it after a failure or unknown outcome.
 
-        After `MAX_ATTEMPTS` attempts the last error is raised.
+        After `MAX_ATTEMPTS` attempts the last error is raised; errors of other classes
+        are raised at once.
         """
         for attempt in range(MAX_ATTEMPTS - 1):
             try:
--- a/ebonyhold/daemon/_door.py
+++ b/ebonyhold/daemon/_door.py
@@ -47,8 +47,9 @@
 class RequestCounter:
     """Counts the requests that are being answered on all listeners of a process.
 
-    The listeners share it, so that they close at the same time. A listener that closed
-    earlier would refuse connections while the process waits for another listener.
+    The listeners share one counter, so that they close at the same time. A listener
+    that closed earlier would refuse connections while the process waits for another
+    listener.
 
     Attributes:
         active: Number of requests that are being answered.
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -93,7 +93,7 @@
 async def test_a_change_costs_a_follower_one_small_object() -> None:
     """Guards against followers that read a whole base for a few changes.
 
-    The follower reads every third version, some of them with a new base.  Each time
+    The follower reads every third version, some of which have a new base.  Each time
     it must read one object of at most `MAX_INLINE` bytes.
     """
     random = Random(5)
--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -177,7 +177,7 @@
 async def test_stop_before_the_router_is_registered() -> None:
     """Guards against a router that can't be stopped while it waits to register.
 
-    It holds nothing yet, so no step of the stop runs.
+    The router holds no tokens yet, so no step of the stop runs.
     """
     stage = Stage()
     lifecycle = lifecycle_of(stage, registered=False)
--- a/tests/daemon/test_live.py
+++ b/tests/daemon/test_live.py
@@ -294,7 +294,7 @@
 async def test_stop_while_the_start_waits_for_the_table(
     fleet: LocalFleet, client: httpx.AsyncClient
 ) -> None:
-    """Guards against a router that must be killed while its start waits for the table.
+    """Guards against a router that ignores signals while its start waits for the table.
 
     The router answers operators but can't register. A signal must end the process.
     """
--- a/tests/daemon/test_status.py
+++ b/tests/daemon/test_status.py
@@ -94,7 +94,7 @@
 
 @define
 class Network:
-    """A fake network; separate because its `status` is that of the members."""
+    """A fake network; apart from `FakeRouter`, whose `status` is that of the grants."""
 
     fake: FakeRouter
 
