--- a/tests/daemon/test_lifecycle.py
+++ b/tests/daemon/test_lifecycle.py
@@ -56,7 +56,7 @@
         self.record("refuse")
 
     def leave(self) -> None:
-        self.record("tell")
+        self.record("announce")
 
     async def interrupt(self) -> None:
         self.record("interrupt")
@@ -93,7 +93,7 @@
         assert lifecycle.leaving
         assert not stage.stopping
     assert list(stage.steps) == [
-        "tell",
+        "announce",
         "refuse",
         "interrupt",
         "drain",
@@ -177,7 +177,7 @@
 async def test_stop_before_the_router_is_registered() -> None:
     """Guards against a router that can't be stopped while it waits to register.
 
-    It holds nothing yet, so no step of the stop runs.
+    The router holds no tokens yet, so no step of the stop runs.
     """
     stage = Stage()
     lifecycle = lifecycle_of(stage, registered=False)
