--- a/ebonyhold/document/__init__.py
+++ b/ebonyhold/document/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet document: its model, its check, its schema."""
+"""The fleet document: its classes, check, output formats and JSON Schema."""
 
 from ebonyhold.document._capacity import is_stopped
 from ebonyhold.document._check import (
--- a/ebonyhold/document/_capacity.py
+++ b/ebonyhold/document/_capacity.py
@@ -1,4 +1,4 @@
-"""How much capacity planned stops leave, also where they overlap."""
+"""Finds models and services for which planned stops leave too little capacity."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from ebonyhold.document._model import Backend, Document, Stop
 
-ENOUGH = 0.5
-"""The part of a route's slots below which what is left is a finding."""
+MIN_CAPACITY_SHARE = 0.5
+"""A stop that leaves less than this fraction of a route's slots is a finding."""
 
 
 @frozen
 class Shortage:
-    """A stop that leaves too little for a model or a service.
+    """A planned stop that leaves too few slots for a model or a service.
 
     Attributes:
-        stop: The index of the stop that begins when the capacity falls.
-        route: The model or the service.
-        at: When it begins.
-        left: Slots that stay.
-        total: Slots there are without any stop.
+        stop: Index of the stop in the document.
+        route: The model or service, such as ``model small``.
+        at: Start of the stop, or the time of the check if the stop began earlier.
+        left: Slots left by all stops that are active at this time.
+        total: Slots without any stop.
     """
 
     stop: int
@@ -33,10 +33,12 @@
 
 
 def find_shortages(document: Document, now: datetime | None = None) -> list[Shortage]:
-    """Return what the planned stops leave too little of.
+    """Return a shortage for each stop and each route that it leaves too few slots.
 
-    Capacity falls only where a stop begins, so it is enough to look at those
-    moments; a stop that already began counts from now.
+    Capacity falls only when a stop begins, so each stop is checked at its start,
+    or at `now` if it began earlier, together with the other stops active then.
+    Stops that have ended by `now`, if it is given, are ignored, and so are stops
+    that do not end after their start.
     """
     stops = [
         (index, stop)
@@ -52,7 +54,7 @@
 
 
 def is_stopped(backend: Backend, stop: Stop) -> bool:
-    """Tell whether a stop is about this backend server."""
+    """Return whether a stop names this backend server or its failure domain."""
     if stop.backend:
         return stop.backend == backend.name
     return bool(stop.domain) and stop.domain == backend.domain
@@ -70,7 +72,7 @@
             for backend in backends
             if not any(is_stopped(backend, other) for other in active)
         )
-        if left < total * ENOUGH:
+        if left < total * MIN_CAPACITY_SHARE:
             yield Shortage(index, route, at, left, total)
 
 
--- a/ebonyhold/document/_check.py
+++ b/ebonyhold/document/_check.py
@@ -1,4 +1,4 @@
-"""Checking a whole document: every finding in one pass, never a traceback."""
+"""Checks a document or a part of one and collects all findings in one pass."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from ebonyhold.document._model import Document
 from ebonyhold.document._nodes import MapNode, Scalar, read_nodes
 from ebonyhold.document._read import NO_RULE, ModelReader
-from ebonyhold.document._rules import Draft, apply_rules
+from ebonyhold.document._rules import CheckContext, apply_rules
 from ebonyhold.exceptions import DocumentError
 
 Part = TypeVar("Part")
 
-SHOWN_FINDINGS = 20
-"""Findings named in the message of a `DocumentError`."""
+MAX_SHOWN_FINDINGS = 20
+"""Maximum number of findings that `render_findings` lists."""
 
 
 class FindingsError(DocumentError):
     """A document, or a part of one, has findings that forbid its use.
 
     Attributes:
-        findings: All of them.
+        findings: All findings, warnings included.
     """
 
     def __init__(self, findings: tuple[Finding, ...], source: str = "document") -> None:
@@ -39,11 +39,12 @@
 
 
 def check_text(text: str, now: datetime | None = None) -> CheckResult:
-    """Check a document.
+    """Check the text of a document.
 
     Args:
-        text: The document as YAML, of which JSON is a part.
-        now: If given, planned stops that ended before it do not count.
+        text: The document as YAML; JSON is accepted, too.
+        now: If given, the check of the capacity ignores planned stops that have
+            ended by then.
     """
     report = Report()
     root = read_nodes(text, report)
@@ -54,32 +55,33 @@
         return CheckResult(None, report.ordered())
     reader = ModelReader(report)
     document: Document = reader.read(root, Document, NO_RULE, ())
-    apply_rules(Draft(document, reader.places, report, now))
-    return conclude(document, report)
+    apply_rules(CheckContext(document, reader.places, report, now))
+    return make_result(document, report)
 
 
 def check_document(document: Document, now: datetime | None = None) -> CheckResult:
-    """Check what ties the values of a document together.
+    """Check a document that was built from checked parts.
 
-    For a document that was put together from checked parts: their own form is
-    not looked at again, and findings have a path but no line.
+    The rules that types, bounds and patterns cannot express are applied; types,
+    bounds and patterns are not checked again. As there is no text, each finding
+    has line 1 and column 1; its path is set as usual.
     """
     report = Report()
-    apply_rules(Draft(document, {}, report, now))
-    return conclude(document, report)
+    apply_rules(CheckContext(document, {}, report, now))
+    return make_result(document, report)
 
 
 def check_part(text: str, kind: type[Part], key: str, name: str) -> Part:
     """Read one part of a document, such as a planned stop.
 
     Args:
-        text: The part as YAML; it need not say its own name.
+        text: The part as YAML; the key with its name may be left out.
         kind: The class of the part.
-        key: The attribute that holds its name.
-        name: The name that it must have.
+        key: The attribute of the class that holds the name.
+        name: The name that the part must have.
 
     Raises:
-        FindingsError: It has findings, or has another name.
+        FindingsError: The part is empty, has findings, or has another name.
     """
     report = Report()
     root = read_nodes(text, report)
@@ -88,7 +90,7 @@
         root.items.setdefault(key, Scalar(root.place, name, "str"))
     if root is not None:
         part = ModelReader(report).read(root, kind, NO_RULE, ())
-        if getattr(part, key) != name and (key,) not in report.broken:
+        if getattr(part, key) != name and (key,) not in report.placeholders:
             message = f"this part is called {name!r}"
             report.add(FindingCode.BAD_VALUE, root.place, (key,), message)
     if part is None or report.findings:
@@ -96,15 +98,15 @@
     return part
 
 
-def conclude(document: Document, report: Report) -> CheckResult:
-    """Return the outcome of a check."""
+def make_result(document: Document, report: Report) -> CheckResult:
+    """Return a result with all findings, and with the document if none is an error."""
     findings = report.ordered()
     failed = any(each.severity is Severity.ERROR for each in findings)
     return CheckResult(None if failed else document, findings)
 
 
 def check_bytes(body: bytes, now: datetime | None = None) -> CheckResult:
-    """Check a document as it came over the wire or from a file."""
+    """Check a document given as bytes, which must be UTF-8; see `check_text`."""
     try:
         text = body.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -122,8 +124,8 @@
     """Read a document from a file.
 
     Raises:
-        DocumentError: It cannot be read.
-        FindingsError: It has findings that forbid its use.
+        DocumentError: The file cannot be read.
+        FindingsError: The document has findings that forbid its use.
     """
     try:
         body = path.read_bytes()
@@ -136,11 +138,11 @@
 
 
 def render_findings(findings: tuple[Finding, ...]) -> str:
-    """Write findings in one line, the first of them in full."""
+    """Return a line with up to `MAX_SHOWN_FINDINGS` findings and the number omitted."""
     shown = [
         f"{each.line}:{each.column} {each.path}: {each.message} [{each.code}]"
-        for each in findings[:SHOWN_FINDINGS]
+        for each in findings[:MAX_SHOWN_FINDINGS]
     ]
-    if len(findings) > SHOWN_FINDINGS:
-        shown.append(f"and {len(findings) - SHOWN_FINDINGS} more")
+    if len(findings) > MAX_SHOWN_FINDINGS:
+        shown.append(f"and {len(findings) - MAX_SHOWN_FINDINGS} more")
     return "; ".join(shown)
--- a/ebonyhold/document/_fields.py
+++ b/ebonyhold/document/_fields.py
@@ -1,4 +1,4 @@
-"""What a field of the model may hold beyond its Python type."""
+"""Rules for fields of the document, and conversion of durations and times."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from attrs import frozen
 
-RULE = "ebonyhold"
+RULE_KEY = "ebonyhold"
 """The key of a field's `FieldRule` in its attrs metadata."""
 
 UNITS = {
@@ -19,7 +19,7 @@
     "s": Fraction(1),
     "ms": Fraction(1, 1000),
 }
-"""Units of durations in seconds, the largest first."""
+"""Seconds per unit; the largest is first because `render_duration` tries it first."""
 
 DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s|m|h|d)")
 DURATION_PATTERN = r"^\d{1,9}(\.\d{1,6})?(ms|s|m|h|d)$"
@@ -27,12 +27,12 @@
 MODEL_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._:/-]{0,126}$"
 SHA256_PATTERN = r"^[0-9a-f]{64}$"
 
-MOST_TOKENS = 2**53 - 1
-"""The largest amount that every JSON reader keeps exact."""
+MAX_TOKENS = 2**53 - 1
+"""Maximum amount of tokens; doubles in JSON readers hold integers up to it exactly."""
 
 
-class Kind(Enum):
-    """How a field is written in the document."""
+class Notation(Enum):
+    """How a value is written in the document: as plain YAML or as a duration."""
 
     PLAIN = "plain"
     DURATION = "duration"
@@ -40,66 +40,69 @@
 
 @frozen
 class FieldRule:
-    """Bounds of one field.
+    """Rule for the value of a field, or for each item if the field is a list.
 
     Attributes:
-        kind: How it is written.
-        least: The smallest number, or None.
-        most: The largest number, or None.
-        pattern: What a text must match, or None.
-        hint: What to write instead, for the finding.
+        notation: How the value is written.
+        minimum: Smallest number allowed; None for no minimum.
+        maximum: Largest number allowed; None for no maximum.
+        pattern: Regular expression that a whole text must match; None for any text.
+        hint: Description of the pattern for the message of a finding.
     """
 
-    kind: Kind = Kind.PLAIN
-    least: float | None = None
-    most: float | None = None
+    notation: Notation = Notation.PLAIN
+    minimum: float | None = None
+    maximum: float | None = None
     pattern: str | None = None
     hint: str = ""
 
 
-def bounded(least: float, most: float) -> dict[str, FieldRule]:
-    """Return the metadata of a bounded number."""
-    return {RULE: FieldRule(least=least, most=most)}
+def bounded(minimum: float, maximum: float) -> dict[str, FieldRule]:
+    """Return attrs metadata for a number from `minimum` to `maximum`, inclusive."""
+    return {RULE_KEY: FieldRule(minimum=minimum, maximum=maximum)}
 
 
-def duration(least: float, most: float) -> dict[str, FieldRule]:
-    """Return the metadata of a duration; bounds are in seconds."""
-    return {RULE: FieldRule(Kind.DURATION, least, most)}
+def duration(minimum: float, maximum: float) -> dict[str, FieldRule]:
+    """Return attrs metadata for a duration; bounds are inclusive and in seconds."""
+    return {RULE_KEY: FieldRule(Notation.DURATION, minimum, maximum)}
 
 
-def text_form(pattern: str, hint: str) -> dict[str, FieldRule]:
-    """Return the metadata of a text of a given form."""
-    return {RULE: FieldRule(pattern=pattern, hint=hint)}
+def text_pattern(pattern: str, hint: str) -> dict[str, FieldRule]:
+    """Return attrs metadata for a text that must match a regular expression."""
+    return {RULE_KEY: FieldRule(pattern=pattern, hint=hint)}
 
 
-NAME = text_form(
+NAME = text_pattern(
     NAME_PATTERN, "letters, digits, dots, dashes and underscores, at most 63"
 )
-"""A name that may stand in a table key or a URL."""
+"""Metadata of a name that can be part of a table key and of a URL."""
 
-MODEL_NAME = text_form(MODEL_PATTERN, "letters, digits and . _ : / -, at most 127")
-"""A model's name, which may contain slashes."""
+MODEL_NAME = text_pattern(MODEL_PATTERN, "letters, digits and . _ : / -, at most 127")
+"""Metadata of a model name, which may contain slashes and colons."""
 
-TOKENS = bounded(0, MOST_TOKENS)
-"""An amount of tokens."""
+TOKENS = bounded(0, MAX_TOKENS)
+"""Metadata of an amount of tokens."""
 
 
-def parse_duration(written: str) -> float | None:
-    """Return a duration in seconds, or None when it is not one.
+def parse_duration(text: str) -> float | None:
+    """Return a duration in seconds, or None if the text is not a duration.
 
     >>> parse_duration("90d")
     7776000.0
     >>> parse_duration("30") is None
     True
     """
-    match = DURATION.fullmatch(written)
+    match = DURATION.fullmatch(text)
     if match is None:
         return None
     return float(Fraction(match.group(1)) * UNITS[match.group(2)])
 
 
 def render_duration(seconds: float) -> str:
-    """Write a duration with the largest unit that keeps it whole.
+    """Return a duration as text, in the largest unit that gives a whole number.
+
+    A duration that is not a whole number of milliseconds is written in seconds with
+    up to six decimals.
 
     >>> render_duration(7200.0), render_duration(0.25)
     ('2h', '250ms')
@@ -112,17 +115,17 @@
     return f"{seconds:.6f}".rstrip("0") + "s"
 
 
-def parse_moment(written: str) -> datetime | None:
-    """Return a point in time, or None when it is not ISO 8601.
+def parse_time(text: str) -> datetime | None:
+    """Return a time, or None if the text is not ISO 8601.
 
-    The result lacks a time zone where the text does.
+    The result has no time zone if the text has none.
     """
     try:
-        return datetime.fromisoformat(written)
+        return datetime.fromisoformat(text)
     except ValueError:
         return None
 
 
-def render_moment(moment: datetime) -> str:
-    """Write a point in time as ISO 8601 in UTC."""
-    return moment.astimezone(UTC).isoformat().replace("+00:00", "Z")
+def render_time(time: datetime) -> str:
+    """Return a time as ISO 8601 text in UTC."""
+    return time.astimezone(UTC).isoformat().replace("+00:00", "Z")
--- a/ebonyhold/document/_findings.py
+++ b/ebonyhold/document/_findings.py
@@ -1,4 +1,4 @@
-"""What the check of a document finds, each with its place."""
+"""Findings of the check of a document, with their line, column and path."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
     from ebonyhold.document._model import Document
 
 Path: TypeAlias = tuple["str | int", ...]
-"""The way from the document's root to a value."""
+"""Keys and list indexes that lead from the document's root to a value."""
 
 
 class Severity(Enum):
-    """Whether a finding forbids the document's use."""
+    """Severity of a finding; an error forbids the use of the document."""
 
     ERROR = "error"
     WARNING = "warning"
 
 
 class FindingCode(Enum):
-    """The stable words for findings."""
+    """Stable codes by which programs identify findings."""
 
     ALIAS_CYCLE = "alias_cycle"
     ALIAS_EXPLOSION = "alias_explosion"
@@ -48,7 +48,7 @@
 
 @frozen
 class Place:
-    """A place in the document's text; both numbers count from 1."""
+    """A position in the text of a document; line and column count from 1."""
 
     line: int = 1
     column: int = 1
@@ -56,15 +56,15 @@
 
 @frozen
 class Finding:
-    """One thing that is wrong, or doubtful, in a document.
+    """An error in a document, or something that is probably a mistake.
 
     Attributes:
-        code: A stable word for programs, one of `FindingCode`.
-        line: The line it is in, from 1.
-        column: The column it begins at, from 1.
-        path: The way to the value, such as ``backends[2].domain``.
-        message: What is wrong and what would be right.
-        severity: Whether it forbids the document's use.
+        code: The value of a `FindingCode`.
+        line: Line of the value, from 1.
+        column: Column at which the value begins, from 1.
+        path: Path of the value, such as ``backends[2].domain``.
+        message: Description for operators.
+        severity: Whether the finding forbids the use of the document.
     """
 
     code: str
@@ -80,8 +80,8 @@
     """The outcome of a check.
 
     Attributes:
-        document: The document, or None when a finding forbids its use.
-        findings: All findings, in the order of their places.
+        document: The document, or None if a finding is an error.
+        findings: All findings, ordered by line and column.
     """
 
     document: Document | None
@@ -90,15 +90,16 @@
 
 @define
 class Report:
-    """Collects findings while a document is read.
+    """Collects findings while a document is read and checked.
 
     Attributes:
-        findings: All so far.
-        broken: The paths whose value was replaced by a placeholder.
+        findings: All findings so far.
+        placeholders: Paths of the values that are missing or wrong and were
+            replaced by placeholders.
     """
 
     findings: list[Finding] = field(factory=list)
-    broken: set[Path] = field(factory=set)
+    placeholders: set[Path] = field(factory=set)
 
     def add(
         self,
@@ -108,19 +109,19 @@
         message: str,
         severity: Severity = Severity.ERROR,
     ) -> None:
-        """Record one finding."""
+        """Add a finding."""
         finding = Finding(
             code.value, place.line, place.column, render_path(path), message, severity
         )
         self.findings.append(finding)
 
     def ordered(self) -> tuple[Finding, ...]:
-        """Return the findings in the order of their places."""
+        """Return the findings, ordered by line and column."""
         return tuple(sorted(self.findings, key=lambda each: (each.line, each.column)))
 
 
 def render_path(path: Path) -> str:
-    """Write a path as people do.
+    """Return a path as text.
 
     >>> render_path(("backends", 2, "domain"))
     'backends[2].domain'
--- a/ebonyhold/document/_model.py
+++ b/ebonyhold/document/_model.py
@@ -1,4 +1,4 @@
-"""The fleet document: what operators declare, as typed values."""
+"""Classes of the fleet document, in which operators declare the fleet."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     TOKENS,
     bounded,
     duration,
-    text_form,
+    text_pattern,
 )
 from ebonyhold.types import BackendName, Seconds, Tokens, WorkspaceName
 
-MOST_BODY = 1 << 30
-"""The largest bound on a body that a document may set, in bytes."""
+MAX_BODY = 1 << 30
+"""Largest value, in bytes, of ``most_body`` and ``stream_buffer``."""
 
 ADDRESS_PATTERN = r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:.]+\]):\d{1,5}$"
 
@@ -51,7 +51,7 @@
 
     id: str = field(metadata=NAME)
     sha256: str = field(
-        metadata=text_form(SHA256_PATTERN, "64 hexadecimal digits in lower case")
+        metadata=text_pattern(SHA256_PATTERN, "64 hexadecimal digits in lower case")
     )
 
 
@@ -60,12 +60,14 @@
     """A customer of the fleet with a prepaid budget.
 
     Attributes:
-        name: Unique in the document.
-        keys: The API keys its callers carry.
-        prepaid: The first top-up, in tokens, made once when the workspace is new.
-        concurrency: Requests that one router runs at once for it.
-        queue: Requests that one router lets wait for it.
-        weight: Its share when several workspaces want the same engines.
+        name: Unique among the workspaces of the document.
+        keys: API keys that its callers send.
+        prepaid: Initial top-up in tokens, made once when the workspace is new.
+        concurrency: Maximum number of its requests that a router runs at once.
+        queue: Maximum number of its requests that wait at a router.
+        weight: Its weight in a router's fair queue. Among requests of the same
+            priority, the router starts those of the waiting workspaces in
+            proportion to their weights.
     """
 
     name: WorkspaceName = field(metadata=NAME)
@@ -81,20 +83,20 @@
     """One backend server.
 
     Attributes:
-        name: Unique in the document.
+        name: Unique among the backend servers of the document.
         kind: Model engine or plain service.
-        address: ``ip:port``.
+        address: ``ip:port``, unique in the document; IPv6 in square brackets.
         domain: Its failure domain.
-        models: For an engine, the models it may be ordered to load.
-        service: For a plain service, which one it serves.
-        slots: Requests it runs at once before it queues them.
-        checks_fencing: Whether it refuses orders with an old fencing number.
-        tls: Whether it is reached over TLS.
+        models: Models that an engine may be ordered to load; empty for a service.
+        service: Service that a plain service provides; empty for an engine.
+        slots: Number of requests that the server runs at once; it queues further ones.
+        checks_fencing: Whether it refuses orders with an outdated fencing number.
+        tls: Whether routers connect to it over TLS.
     """
 
     name: BackendName = field(metadata=NAME)
     kind: BackendKind
-    address: str = field(metadata=text_form(ADDRESS_PATTERN, "ip:port"))
+    address: str = field(metadata=text_pattern(ADDRESS_PATTERN, "ip:port"))
     domain: str = field(metadata=NAME)
     models: tuple[str, ...] = ()
     service: str = ""
@@ -108,10 +110,10 @@
     """A model that callers may ask for.
 
     Attributes:
-        model: The name callers use.
-        default_tokens: The answer's bound when the caller names none.
-        most_tokens: The largest bound a caller may name.
-        priority: Larger is served first when engines are full.
+        model: Name of the model in requests.
+        default_tokens: Maximum tokens of an answer if the request sets no maximum.
+        most_tokens: Largest maximum that a request may set.
+        priority: Requests with a larger value start first when engines are full.
     """
 
     model: str = field(metadata=MODEL_NAME)
@@ -125,17 +127,18 @@
     """Which calls of a plain service may be repeated; the first match counts.
 
     Attributes:
-        method: An HTTP method, or ``*``.
-        path: The start of the path behind ``/services/{service}``.
-        repeatable: Whether such a call may run twice without harm.
+        method: HTTP method, or ``*`` for every method.
+        path: Prefix of the part of the path that follows ``/services/{service}``.
+        repeatable: Whether a call that matches may be retried although it may
+            already have run.
         price: Tokens billed for a call that ran.
     """
 
     method: str = field(
-        metadata=text_form(r"^([A-Z]{1,20}|\*)$", "an HTTP method in capitals, or *")
+        metadata=text_pattern(r"^([A-Z]{1,20}|\*)$", "an HTTP method in capitals, or *")
     )
     path: str = field(
-        metadata=text_form(r"^/[^?#\s]*$", "a path that starts with a slash")
+        metadata=text_pattern(r"^/[^?#\s]*$", "a path that starts with a slash")
     )
     repeatable: bool
     price: Tokens = field(default=0, metadata=TOKENS)
@@ -146,18 +149,20 @@
     """A plain service that callers may call.
 
     Attributes:
-        service: The name in the path.
-        rules: What may be repeated; a call that none matches may not.
-        honours_idempotency_key: Whether the service itself runs a key once.
-        timeout: The longest wait for its answer, in seconds.
-        most_body: The largest body either way, in bytes.
+        service: Name of the service in the path of a request.
+        rules: Tried in order; a call that matches none must not be repeated.
+        honours_idempotency_key: Whether the service itself runs calls with the
+            same idempotency key only once.
+        timeout: Maximum time to wait for the service's answer, in seconds.
+        most_body: Maximum size of a request body, and also of an answer body, in
+            bytes.
     """
 
     service: str = field(metadata=NAME)
     rules: tuple[ServiceRule, ...] = ()
     honours_idempotency_key: bool = False
     timeout: Seconds = field(default=10.0, metadata=duration(0.01, 3600))
-    most_body: int = field(default=1_048_576, metadata=bounded(1, MOST_BODY))
+    most_body: int = field(default=1_048_576, metadata=bounded(1, MAX_BODY))
 
 
 @frozen
@@ -165,11 +170,11 @@
     """A planned stop of a backend server or of a failure domain.
 
     Attributes:
-        name: Unique in the document.
-        starts: When no new work may reach it any more, with a time zone.
-        ends: When it may get work again.
-        backend: The backend server, or empty.
-        domain: The failure domain, or empty.
+        name: Unique among the stops of the document.
+        starts: Time, with a time zone, by which routers stop sending new requests.
+        ends: Time, with a time zone, from which routers send new requests again.
+        backend: Name of the backend server; empty if `domain` is set.
+        domain: Name of the failure domain; empty if `backend` is set.
     """
 
     name: str = field(metadata=NAME)
@@ -184,16 +189,20 @@
     """The knobs that the two deployments set differently.
 
     Attributes:
-        grants: The registered policy that sizes grants.
-        choice: The registered policy that chooses a backend server.
-        grant_horizon: How much expected demand a grant covers, in seconds.
-        reserve_share: The largest part of an even share of what remains that a
-            grant keeps ahead of need.
-        unknown_outcome: What recovery does when nobody can tell what ran.
-        stale_configuration: What a router does that cannot confirm its version.
-        stale_after: After how long without confirmation that applies, in seconds.
-        retry_ratio: Retries allowed for each request, on average.
-        keep_bills: How long bills and claims stay, in seconds.
+        grants: Name of the registered policy that sizes grants.
+        choice: Name of the registered policy that chooses a backend server.
+        grant_horizon: Time, in seconds, for which a grant covers expected demand.
+        reserve_share: Maximum tokens that a grant keeps ahead of need, as a
+            fraction of an even share. An even share is the remaining budget and
+            the grant's free tokens, divided by the number of routers.
+        unknown_outcome: What recovery does with a request if the backend server
+            cannot report whether the request ran.
+        stale_configuration: What a router does while its version of the
+            configuration is stale.
+        stale_after: Time, in seconds, that a version may go without confirmation
+            that it is the latest before it is stale.
+        retry_ratio: Maximum number of retries per request, on average.
+        keep_bills: How long bills and claims are kept, in seconds.
     """
 
     grants: str = field(default="adaptive_transfer", metadata=NAME)
@@ -214,19 +223,22 @@
     """Bounds of one router.
 
     Attributes:
-        most_body: The largest request body, in bytes.
-        table_writes: Rows a second this router may write to the table; it takes
-            less by itself while the table refuses calls as too many.
-        table_reads: Rows a second this router may read from the table.
-        drain: The longest a router waits for its streams when it stops, seconds.
-        stream_buffer: Bytes held for one slow caller before its stream is ended.
+        most_body: Maximum size of a request body for a model, in bytes.
+        table_writes: Maximum rows per second that the router writes to the table;
+            it uses a lower rate while the table rejects calls as too many.
+        table_reads: Maximum rows per second that the router reads from the table;
+            lowered in the same way.
+        drain: Maximum time that a stopping router waits for the requests in
+            flight to end, in seconds.
+        stream_buffer: Maximum bytes of a stream buffered for a slow caller; beyond
+            that the stream is ended with an error.
     """
 
-    most_body: int = field(default=1_048_576, metadata=bounded(1, MOST_BODY))
+    most_body: int = field(default=1_048_576, metadata=bounded(1, MAX_BODY))
     table_writes: float = field(default=100.0, metadata=bounded(0.1, 100_000))
     table_reads: float = field(default=400.0, metadata=bounded(0.1, 100_000))
     drain: Seconds = field(default=30.0, metadata=duration(0, 86_400))
-    stream_buffer: int = field(default=262_144, metadata=bounded(1024, MOST_BODY))
+    stream_buffer: int = field(default=262_144, metadata=bounded(1024, MAX_BODY))
 
 
 @frozen
--- a/ebonyhold/document/_nodes.py
+++ b/ebonyhold/document/_nodes.py
@@ -1,7 +1,7 @@
-"""Reading YAML into nodes that know their place.
+"""Reads YAML text into nodes that have their line and column.
 
-The nodes are built from the parser's events without recursion, within bounds,
-because a library's own composer recurses into whatever it is given.
+The nodes are built from the parser's events without recursion and within limits
+on size and depth, because PyYAML's own composer recurses without a limit.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from ebonyhold.document._findings import FindingCode, Path, Place, Report
 
-MOST_TEXT = 64 * 1024 * 1024
-"""The largest document in characters: 130,000 workspaces take about half."""
+MAX_TEXT = 64 * 1024 * 1024
+"""Maximum characters in a document; 130,000 workspaces need about half of them."""
 
-MOST_DEPTH = 32
-"""The model itself nests five deep."""
+MAX_DEPTH = 32
+"""Maximum nesting of lists and mappings; the document's model has five levels."""
 
-MOST_NODES = 8_000_000
-"""Nodes after aliases are expanded; 130,000 workspaces take about half."""
+MAX_NODES = 8_000_000
+"""Maximum nodes, with aliases expanded; 130,000 workspaces need about half of them."""
 
 TAG_PREFIX = "tag:yaml.org,2002:"
 PLAIN_TAGS = frozenset(
@@ -37,10 +37,11 @@
     """A single value.
 
     Attributes:
-        place: Where it begins.
-        text: The value as written, without quotes.
-        kind: What YAML takes it for: ``str``, ``int``, ``float``, ``bool``,
-            ``null`` or ``timestamp``.
+        place: Where the value begins.
+        text: The value as written, without quotes and with escapes resolved.
+        kind: Its YAML type: ``str``, ``int``, ``float``, ``bool``, ``null`` or
+            ``timestamp``; for any other tag, the tag without `TAG_PREFIX`.
+        size: Number of nodes.
     """
 
     place: Place
@@ -51,7 +52,13 @@
 
 @define
 class ListNode:
-    """A list of nodes."""
+    """A list of nodes.
+
+    Attributes:
+        place: Where the list begins.
+        items: The nodes in the list.
+        size: Number of nodes with aliases expanded, this one included.
+    """
 
     place: Place
     items: list[Node] = field(factory=list)
@@ -63,9 +70,11 @@
     """A mapping of keys to nodes.
 
     Attributes:
-        place: Where it begins.
-        items: The values by key; of equal keys, the first.
+        place: Where the mapping begins.
+        items: The values by key; the first value if a key is repeated.
         keys: The place of each key.
+        size: Number of nodes with aliases expanded, this one included; keys are
+            not counted.
     """
 
     place: Place
@@ -78,12 +87,19 @@
 
 
 class _StopReadingError(Exception):
-    """A finding was recorded after which the text cannot be read on."""
+    """Raised, after a finding was added, to end the reading of the text."""
 
 
 @define
-class _Open:
-    """A list or mapping whose end has not been read yet."""
+class _OpenCollection:
+    """A list or mapping whose end has not been read yet.
+
+    Attributes:
+        node: The list or mapping.
+        anchor: Its YAML anchor, if any.
+        key: In a mapping, the last key if its value has not been read yet.
+        skip_value: Whether to discard the next value, as its key is invalid.
+    """
 
     node: ListNode | MapNode
     anchor: str | None
@@ -93,79 +109,87 @@
 
 @define
 class _Composer:
-    """Builds nodes from parser events."""
+    """Builds nodes from parser events.
+
+    Attributes:
+        report: Receives the findings.
+        stack: The lists and mappings that are being read, the outermost first.
+        anchors: The finished nodes that have an anchor.
+        open_anchors: Anchors of nodes that are still being read.
+        root: The root node once it is finished.
+    """
 
     report: Report
-    stack: list[_Open] = field(factory=list)
+    stack: list[_OpenCollection] = field(factory=list)
     anchors: dict[str, Node] = field(factory=dict)
     open_anchors: set[str] = field(factory=set)
     nodes: int = 0
     root: Node | None = None
 
-    def take(self, event: Any) -> None:
-        """Take one event."""
+    def handle_event(self, event: Any) -> None:
+        """Process the next event of the parser."""
         place = _place(event.start_mark)
         if isinstance(event, yaml.ScalarEvent):
             self.check_tag(event, place)
-            self.close(_scalar(event, place), event.anchor)
+            self.add_node(_scalar(event, place), event.anchor)
         elif isinstance(event, yaml.SequenceStartEvent | yaml.MappingStartEvent):
             self.check_tag(event, place)
-            self.open(event, place)
+            self.start_collection(event, place)
         elif isinstance(event, yaml.SequenceEndEvent | yaml.MappingEndEvent):
             ended = self.stack.pop()
-            self.close(ended.node, ended.anchor)
+            self.add_node(ended.node, ended.anchor)
         elif isinstance(event, yaml.AliasEvent):
-            self.close(self.resolve(str(event.anchor), place), None)
+            self.add_node(self.resolve_alias(str(event.anchor), place), None)
         elif isinstance(event, yaml.DocumentStartEvent) and self.root is not None:
-            self.stop(FindingCode.SYNTAX, place, "there is a second YAML document")
+            self.abort(FindingCode.SYNTAX, place, "there is a second YAML document")
 
-    def open(self, event: Any, place: Place) -> None:
-        """Begin a list or mapping."""
-        if len(self.stack) >= MOST_DEPTH:
-            message = f"nested deeper than {MOST_DEPTH} levels"
-            self.stop(FindingCode.TOO_DEEP, place, message)
+    def start_collection(self, event: Any, place: Place) -> None:
+        """Push a new list or mapping on the stack."""
+        if len(self.stack) >= MAX_DEPTH:
+            message = f"nested deeper than {MAX_DEPTH} levels"
+            self.abort(FindingCode.TOO_DEEP, place, message)
         is_list = isinstance(event, yaml.SequenceStartEvent)
         node = ListNode(place) if is_list else MapNode(place)
         if event.anchor:
             self.open_anchors.add(event.anchor)
-        self.stack.append(_Open(node, event.anchor))
+        self.stack.append(_OpenCollection(node, event.anchor))
 
-    def close(self, node: Node, anchor: str | None) -> None:
-        """Put a finished node into the one around it."""
+    def add_node(self, node: Node, anchor: str | None) -> None:
+        """Add a finished node to the innermost open one, or make it the root."""
         if anchor:
             self.anchors[anchor] = node
             self.open_anchors.discard(anchor)
         if not self.stack:
             self.root = node
             return
-        around = self.stack[-1]
-        around.node.size += node.size
-        if around.node.size > MOST_NODES:
-            message = f"more than {MOST_NODES} values once aliases are expanded"
-            self.stop(FindingCode.ALIAS_EXPLOSION, node.place, message)
-        if isinstance(around.node, ListNode):
-            around.node.items.append(node)
-        elif around.key is None:
-            self.take_key(around, node)
+        parent = self.stack[-1]
+        parent.node.size += node.size
+        if parent.node.size > MAX_NODES:
+            message = f"more than {MAX_NODES} values once aliases are expanded"
+            self.abort(FindingCode.ALIAS_EXPLOSION, node.place, message)
+        if isinstance(parent.node, ListNode):
+            parent.node.items.append(node)
+        elif parent.key is None:
+            self.set_key(parent, node)
         else:
-            self.take_value(around, around.node, node)
+            self.set_value(parent, parent.node, node)
 
-    def take_key(self, around: _Open, node: Node) -> None:
-        """Take a mapping's next key."""
+    def set_key(self, parent: _OpenCollection, node: Node) -> None:
+        """Store the next key of a mapping; a key must be a scalar."""
         if isinstance(node, Scalar):
-            around.key = node
+            parent.key = node
             return
         message = "a key must be a single word"
         self.report.add(FindingCode.WRONG_TYPE, node.place, self.path(), message)
-        around.key = Scalar(node.place, "?", "str")
-        around.skip_value = True
-
-    def take_value(self, around: _Open, mapping: MapNode, node: Node) -> None:
-        """Take the value of a mapping's last key."""
-        key = around.key
-        around.key = None
-        if around.skip_value or key is None:
-            around.skip_value = False
+        parent.key = Scalar(node.place, "?", "str")
+        parent.skip_value = True
+
+    def set_value(self, parent: _OpenCollection, mapping: MapNode, node: Node) -> None:
+        """Store the value of the last key; add a finding if the key is repeated."""
+        key = parent.key
+        parent.key = None
+        if parent.skip_value or key is None:
+            parent.skip_value = False
             return
         if key.text in mapping.items:
             message = f"{key.text!r} stands here twice"
@@ -175,17 +199,17 @@
         mapping.items[key.text] = node
         mapping.keys[key.text] = key.place
 
-    def resolve(self, anchor: str, place: Place) -> Node:
-        """Return the node that an alias stands for."""
+    def resolve_alias(self, anchor: str, place: Place) -> Node:
+        """Return the node of an alias; abort if it is undefined or contains itself."""
         if anchor in self.open_anchors:
             message = f"alias {anchor!r} contains itself"
-            self.stop(FindingCode.ALIAS_CYCLE, place, message)
+            self.abort(FindingCode.ALIAS_CYCLE, place, message)
         if anchor not in self.anchors:
-            self.stop(FindingCode.SYNTAX, place, f"there is no anchor {anchor!r}")
+            self.abort(FindingCode.SYNTAX, place, f"there is no anchor {anchor!r}")
         return self.anchors[anchor]
 
     def check_tag(self, event: Any, place: Place) -> None:
-        """Find fault with tags that ask for more than plain values."""
+        """Add a finding if a node has a tag other than those of plain values."""
         if event.tag is None or event.tag in PLAIN_TAGS or event.tag == "!":
             return
         message = f"tag {event.tag!r} is not supported"
@@ -201,26 +225,26 @@
                 path.append(each.key.text)
         return tuple(path)
 
-    def stop(self, code: FindingCode, place: Place, message: str) -> None:
-        """Record a finding after which reading makes no sense."""
+    def abort(self, code: FindingCode, place: Place, message: str) -> None:
+        """Add a finding and end the reading by raising `_StopReadingError`."""
         self.report.add(code, place, self.path(), message)
         raise _StopReadingError(message)
 
 
 def read_nodes(text: str, report: Report) -> Node | None:
-    """Read YAML text; what is wrong with it goes into the report.
+    """Read YAML text and add errors in it to the report.
 
     Returns:
-        The root, or None when the text cannot be read to its end.
+        The root, or None if the text is empty or cannot be read to its end.
     """
-    if len(text) > MOST_TEXT:
-        message = f"the document is longer than {MOST_TEXT} characters"
+    if len(text) > MAX_TEXT:
+        message = f"the document is longer than {MAX_TEXT} characters"
         report.add(FindingCode.TOO_LARGE, Place(), (), message)
         return None
     composer = _Composer(report)
     try:
         for event in yaml.parse(text, Loader=_LOADER):
-            composer.take(event)
+            composer.handle_event(event)
     except _StopReadingError:
         return None
     except yaml.MarkedYAMLError as error:
--- a/ebonyhold/document/_render.py
+++ b/ebonyhold/document/_render.py
@@ -1,4 +1,4 @@
-"""Writing a document: as YAML for people, as JSON for parts and digests."""
+"""Writes documents as YAML and JSON, and converts parts to JSON values."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 import yaml
 
 from ebonyhold.document._fields import (
-    RULE,
+    RULE_KEY,
     FieldRule,
-    Kind,
+    Notation,
     render_duration,
-    render_moment,
+    render_time,
 )
 from ebonyhold.document._model import Document
 from ebonyhold.types import Json
@@ -27,11 +27,13 @@
 
 
 def to_plain(value: Any, *, defaults: bool = False) -> Json:
-    """Return a document, or a part of one, as operators write it.
+    """Return a document, or a part of one, as JSON values in the operators' notation.
+
+    Durations are texts such as ``30s``, and times are ISO 8601 in UTC.
 
     Args:
         value: The document or the part.
-        defaults: Whether to write attributes that have their default.
+        defaults: Whether to include attributes whose value is the default.
     """
     if attrs.has(type(value)):
         return {
@@ -44,17 +46,17 @@
     if isinstance(value, Enum):
         return cast("Json", value.value)
     if isinstance(value, datetime):
-        return render_moment(value)
+        return render_time(value)
     return cast("Json", value)
 
 
 def to_yaml(document: Document) -> str:
-    """Return a document as YAML; reading it gives an equal document."""
+    """Return a document as YAML, which `check_text` reads as an equal document."""
     return plain_to_yaml(to_plain(document))
 
 
 def plain_to_yaml(plain: Json) -> str:
-    """Return a document as YAML, from what `to_plain` returned for it."""
+    """Return the result of `to_plain` as YAML."""
     text: str = yaml.dump(
         plain, Dumper=_DUMPER, sort_keys=False, width=WIDTH, allow_unicode=True
     )
@@ -62,7 +64,10 @@
 
 
 def to_canonical_json(document: Document) -> bytes:
-    """Return the one JSON form of a document, for digests and comparisons."""
+    """Return a document as JSON, with defaults and sorted keys.
+
+    Equal documents give equal bytes, so that these can be hashed and compared.
+    """
     return json.dumps(
         to_plain(document, defaults=True), sort_keys=True, separators=(",", ":")
     ).encode()
@@ -70,8 +75,8 @@
 
 def _plain_field(value: Any, attribute: attrs.Attribute[Any], defaults: bool) -> Json:
     content = getattr(value, attribute.name)
-    rule: FieldRule | None = attribute.metadata.get(RULE)
-    if rule is not None and rule.kind is Kind.DURATION:
+    rule: FieldRule | None = attribute.metadata.get(RULE_KEY)
+    if rule is not None and rule.notation is Notation.DURATION:
         return render_duration(content)
     return to_plain(content, defaults=defaults)
 
@@ -85,7 +90,7 @@
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(omit_if_default=True)
-    converter.register_unstructure_hook(datetime, render_moment)
+    converter.register_unstructure_hook(datetime, render_time)
     converter.register_structure_hook(
         datetime, lambda text, _: datetime.fromisoformat(text)
     )
@@ -93,4 +98,4 @@
 
 
 part_converter = _make_converter()
-"""Turns parts of a document into JSON values and back; durations in seconds."""
+"""Converts parts to JSON values, without defaults, and back; durations in seconds."""
--- a/ebonyhold/document/_rules.py
+++ b/ebonyhold/document/_rules.py
@@ -1,4 +1,4 @@
-"""Rules that tie several values of a document together."""
+"""Rules for documents that types, bounds and patterns cannot express."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 
 
 @frozen
-class Draft:
-    """A document under check: some of its values may be placeholders.
+class CheckContext:
+    """A document that is being checked, and the report of the check.
 
     Attributes:
-        document: The document as far as it could be read.
-        places: Where each value stands, by its path.
-        report: Where findings go.
-        now: The time of the check: what ended before it does not matter.
+        document: The document, with placeholders for missing and wrong values.
+        places: The place of each value in the text, by path; empty without text.
+        report: Receives the findings.
+        now: Planned stops that have ended by this time are left out of the check
+            of the capacity; None to include all stops.
     """
 
     document: Document
@@ -39,11 +40,11 @@
     now: datetime | None = None
 
     def intact(self, *paths: Path) -> bool:
-        """Tell whether none of these values is a placeholder."""
-        return self.report.broken.isdisjoint(paths)
+        """Return whether none of the values at these paths is a placeholder."""
+        return self.report.placeholders.isdisjoint(paths)
 
     def place(self, path: Path) -> Place:
-        """Return where a value stands, or else what is around it."""
+        """Return the place of a value, or else of the innermost value around it."""
         while path and path not in self.places:
             path = path[:-1]
         return self.places.get(path, Place())
@@ -55,42 +56,42 @@
         message: str,
         severity: Severity = Severity.ERROR,
     ) -> None:
-        """Record a finding, unless it is about a placeholder."""
+        """Add a finding, unless the value at its path is a placeholder."""
         if self.intact(path):
             self.report.add(code, self.place(path), path, message, severity)
 
 
-Rule: TypeAlias = Callable[[Draft], None]
+Rule: TypeAlias = Callable[[CheckContext], None]
 
 RULES: list[Rule] = []
 
 
 def rule(function: Rule) -> Rule:
-    """Register a rule."""
+    """Register a function that `apply_rules` calls; used as a decorator."""
     RULES.append(function)
     return function
 
 
-def apply_rules(draft: Draft) -> None:
-    """Apply every rule."""
+def apply_rules(context: CheckContext) -> None:
+    """Call every registered rule, which adds its findings to the report."""
     for each in RULES:
-        each(draft)
+        each(context)
 
 
-def _find_duplicates(draft: Draft, named: Iterable[tuple[Path, str]]) -> None:
+def _find_duplicates(context: CheckContext, named: Iterable[tuple[Path, str]]) -> None:
     first: dict[str, Path] = {}
     for path, name in named:
-        if not draft.intact(path):
+        if not context.intact(path):
             continue
         if name in first:
             message = f"{name!r} is taken by {render_path(first[name])}"
-            draft.add(FindingCode.DUPLICATE_NAME, path, message)
+            context.add(FindingCode.DUPLICATE_NAME, path, message)
         first.setdefault(name, path)
 
 
 @rule
-def _names_are_unique(draft: Draft) -> None:
-    document = draft.document
+def _names_are_unique(context: CheckContext) -> None:
+    document = context.document
     lists: dict[tuple[str, str], list[str]] = {
         ("workspaces", "name"): [each.name for each in document.workspaces],
         ("models", "model"): [each.model for each in document.models],
@@ -101,39 +102,39 @@
     }
     for (part, attribute), names in lists.items():
         _find_duplicates(
-            draft,
+            context,
             (((part, index, attribute), name) for index, name in enumerate(names)),
         )
     _find_duplicates(
-        draft,
+        context,
         ((("domains", index), name) for index, name in enumerate(document.domains)),
     )
 
 
 @rule
-def _keys_belong_to_one_workspace(draft: Draft) -> None:
+def _keys_belong_to_one_workspace(context: CheckContext) -> None:
     hashes: list[tuple[Path, str]] = []
-    for index, workspace in enumerate(draft.document.workspaces):
+    for index, workspace in enumerate(context.document.workspaces):
         keys: Path = ("workspaces", index, "keys")
         hashes.extend(
             ((*keys, number, "sha256"), key.sha256)
             for number, key in enumerate(workspace.keys)
         )
         ids = [((*keys, n, "id"), key.id) for n, key in enumerate(workspace.keys)]
-        _find_duplicates(draft, ids)
+        _find_duplicates(context, ids)
         if not workspace.keys:
             message = "without an API key nobody can use this workspace"
-            draft.add(FindingCode.UNUSED, keys, message, Severity.WARNING)
-    _find_duplicates(draft, hashes)
+            context.add(FindingCode.UNUSED, keys, message, Severity.WARNING)
+    _find_duplicates(context, hashes)
 
 
 @rule
-def _addresses_can_be_reached(draft: Draft) -> None:
-    for index, backend in enumerate(draft.document.backends):
+def _addresses_can_be_reached(context: CheckContext) -> None:
+    for index, backend in enumerate(context.document.backends):
         path: Path = ("backends", index, "address")
-        if draft.intact(path) and not _is_address(backend.address):
+        if context.intact(path) and not _is_address(backend.address):
             message = "expected ip:port with a port from 1 to 65535"
-            draft.add(FindingCode.BAD_VALUE, path, message)
+            context.add(FindingCode.BAD_VALUE, path, message)
 
 
 def _is_address(address: str) -> bool:
@@ -146,52 +147,56 @@
 
 
 @rule
-def _references_exist(draft: Draft) -> None:
-    document = draft.document
+def _references_exist(context: CheckContext) -> None:
+    document = context.document
     domains = set(document.domains)
     models = {each.model for each in document.models}
     services = {each.service for each in document.services}
     backends = {each.name for each in document.backends}
     for index, backend in enumerate(document.backends):
         path: Path = ("backends", index)
-        _find_reference(draft, (*path, "domain"), backend.domain, domains)
+        _find_reference(context, (*path, "domain"), backend.domain, domains)
         for number, model in enumerate(backend.models):
-            _find_reference(draft, (*path, "models", number), model, models)
+            _find_reference(context, (*path, "models", number), model, models)
         if backend.service:
-            _find_reference(draft, (*path, "service"), backend.service, services)
+            _find_reference(context, (*path, "service"), backend.service, services)
     for index, stop in enumerate(document.stops):
         if stop.backend:
-            _find_reference(draft, ("stops", index, "backend"), stop.backend, backends)
+            _find_reference(
+                context, ("stops", index, "backend"), stop.backend, backends
+            )
         if stop.domain:
-            _find_reference(draft, ("stops", index, "domain"), stop.domain, domains)
+            _find_reference(context, ("stops", index, "domain"), stop.domain, domains)
 
 
-def _find_reference(draft: Draft, path: Path, name: str, known: set[str]) -> None:
+def _find_reference(
+    context: CheckContext, path: Path, name: str, known: set[str]
+) -> None:
     if name not in known:
         message = f"there is no {name!r} in this document"
-        draft.add(FindingCode.BAD_REFERENCE, path, message)
+        context.add(FindingCode.BAD_REFERENCE, path, message)
 
 
 @rule
-def _backends_serve_their_kind(draft: Draft) -> None:
-    for index, backend in enumerate(draft.document.backends):
+def _backends_serve_their_kind(context: CheckContext) -> None:
+    for index, backend in enumerate(context.document.backends):
         path: Path = ("backends", index)
-        if not draft.intact((*path, "kind")):
+        if not context.intact((*path, "kind")):
             continue
         engine = backend.kind is BackendKind.ENGINE
         missing = "models" if engine else "service"
         excess = "service" if engine else "models"
         if not getattr(backend, missing):
             message = f"a backend server of kind {backend.kind.value} needs {missing}"
-            draft.add(FindingCode.MISSING_KEY, (*path, missing), message)
+            context.add(FindingCode.MISSING_KEY, (*path, missing), message)
         if getattr(backend, excess):
             message = f"a backend server of kind {backend.kind.value} has no {excess}"
-            draft.add(FindingCode.UNKNOWN_KEY, (*path, excess), message)
+            context.add(FindingCode.UNKNOWN_KEY, (*path, excess), message)
 
 
 @rule
-def _policies_are_registered(draft: Draft) -> None:
-    policy = draft.document.policy
+def _policies_are_registered(context: CheckContext) -> None:
+    policy = context.document.policy
     named = {
         "grants": (policy.grants, sorted(grant_policies)),
         "choice": (policy.choice, sorted(choice_policies)),
@@ -199,38 +204,38 @@
     for attribute, (name, known) in named.items():
         if name not in known:
             message = f"there is no policy {name!r}; known are {', '.join(known)}"
-            draft.add(FindingCode.BAD_REFERENCE, ("policy", attribute), message)
+            context.add(FindingCode.BAD_REFERENCE, ("policy", attribute), message)
 
 
 @rule
-def _bounds_agree(draft: Draft) -> None:
-    for index, route in enumerate(draft.document.models):
+def _bounds_agree(context: CheckContext) -> None:
+    for index, route in enumerate(context.document.models):
         path: Path = ("models", index)
         bounds = ((*path, "default_tokens"), (*path, "most_tokens"))
-        if draft.intact(*bounds) and route.default_tokens > route.most_tokens:
+        if context.intact(*bounds) and route.default_tokens > route.most_tokens:
             message = "default_tokens is larger than most_tokens"
-            draft.add(FindingCode.OUT_OF_RANGE, bounds[0], message)
+            context.add(FindingCode.OUT_OF_RANGE, bounds[0], message)
 
 
 @rule
-def _stops_are_whole(draft: Draft) -> None:
-    for index, stop in enumerate(draft.document.stops):
+def _stops_are_whole(context: CheckContext) -> None:
+    for index, stop in enumerate(context.document.stops):
         path: Path = ("stops", index)
         times = ((*path, "starts"), (*path, "ends"))
-        if draft.intact(*times) and stop.ends <= stop.starts:
+        if context.intact(*times) and stop.ends <= stop.starts:
             message = "the stop ends before it begins"
-            draft.add(FindingCode.STOP_REVERSED, times[1], message)
+            context.add(FindingCode.STOP_REVERSED, times[1], message)
         targets = ((*path, "backend"), (*path, "domain"))
-        if draft.intact(*targets) and bool(stop.backend) == bool(stop.domain):
+        if context.intact(*targets) and bool(stop.backend) == bool(stop.domain):
             message = "a stop names either a backend server or a failure domain"
-            draft.add(FindingCode.MISSING_KEY, path, message)
+            context.add(FindingCode.MISSING_KEY, path, message)
 
 
 @rule
-def _capacity_is_left(draft: Draft) -> None:
-    for shortage in find_shortages(draft.document, draft.now):
+def _capacity_is_left(context: CheckContext) -> None:
+    for shortage in find_shortages(context.document, context.now):
         path: Path = ("stops", shortage.stop)
-        if not draft.intact((*path, "starts"), (*path, "ends")):
+        if not context.intact((*path, "starts"), (*path, "ends")):
             continue
         code = FindingCode.LOW_CAPACITY
         severity = Severity.WARNING
@@ -241,12 +246,12 @@
             f"leaves {shortage.left} of {shortage.total} slots for"
             f" {shortage.route} from {shortage.at.isoformat()}"
         )
-        draft.add(code, path, message, severity)
+        context.add(code, path, message, severity)
 
 
 @rule
-def _routes_have_backends(draft: Draft) -> None:
-    document = draft.document
+def _routes_have_backends(context: CheckContext) -> None:
+    document = context.document
     served = {model for backend in document.backends for model in backend.models}
     served |= {backend.service for backend in document.backends}
     routes = [(("models", i, "model"), r.model) for i, r in enumerate(document.models)]
@@ -257,4 +262,4 @@
     for path, name in routes:
         if name and name not in served:
             message = f"no backend server serves {name!r}"
-            draft.add(FindingCode.UNUSED, path, message, Severity.WARNING)
+            context.add(FindingCode.UNUSED, path, message, Severity.WARNING)
--- a/ebonyhold/document/_schema.py
+++ b/ebonyhold/document/_schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of the document, made from the same model as its check."""
+"""Generates the JSON Schema of the document from the classes that the check uses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import attrs
 
-from ebonyhold.document._fields import DURATION_PATTERN, RULE, FieldRule, Kind
+from ebonyhold.document._fields import DURATION_PATTERN, RULE_KEY, FieldRule, Notation
 from ebonyhold.document._model import Document
 from ebonyhold.document._read import NO_RULE, fields_of
 from ebonyhold.types import Json
@@ -19,7 +19,7 @@
 
 
 def schema() -> dict[str, Json]:
-    """Return the JSON Schema of a document."""
+    """Return the JSON Schema; it does not contain the rules of `apply_rules`."""
     definitions: dict[str, Json] = {}
     root = describe_class(Document, definitions)
     return {
@@ -31,11 +31,11 @@
 
 
 def describe_class(kind: Any, definitions: dict[str, Json]) -> dict[str, Json]:
-    """Describe an attrs class, and put the classes it uses into definitions."""
+    """Return the schema of an attrs class; add the classes it uses to `definitions`."""
     properties: dict[str, Json] = {}
     required: list[str] = []
     for attribute, wanted in fields_of(kind):
-        rule = attribute.metadata.get(RULE, NO_RULE)
+        rule = attribute.metadata.get(RULE_KEY, NO_RULE)
         properties[attribute.name] = describe_type(wanted, rule, definitions)
         if attribute.default is attrs.NOTHING:
             required.append(attribute.name)
@@ -51,7 +51,7 @@
 def describe_type(
     wanted: Any, rule: FieldRule, definitions: dict[str, Json]
 ) -> dict[str, Json]:
-    """Describe the type of one attribute."""
+    """Return the schema of an attribute; add the classes it uses to `definitions`."""
     if attrs.has(wanted):
         name = wanted.__name__
         if name not in definitions:
@@ -64,18 +64,18 @@
         return {"enum": [member.value for member in wanted]}
     if wanted is datetime:
         return {"type": "string", "format": "date-time"}
-    if rule.kind is Kind.DURATION:
+    if rule.notation is Notation.DURATION:
         return {"type": "string", "pattern": DURATION_PATTERN}
     return describe_scalar(wanted, rule)
 
 
 def describe_scalar(wanted: type, rule: FieldRule) -> dict[str, Json]:
-    """Describe a text or a number with its bounds."""
+    """Return the schema of a text, number or boolean with its bounds and pattern."""
     described: dict[str, Json] = {"type": SCALAR_TYPES[wanted]}
-    if rule.least is not None:
-        described["minimum"] = rule.least
-    if rule.most is not None:
-        described["maximum"] = rule.most
+    if rule.minimum is not None:
+        described["minimum"] = rule.minimum
+    if rule.maximum is not None:
+        described["maximum"] = rule.maximum
     if rule.pattern is not None:
         described["pattern"] = rule.pattern
     return described
