--- a/tests/document/test_check.py
+++ b/tests/document/test_check.py
@@ -1,4 +1,4 @@
-"""The check finds everything that is wrong, with its place, in one pass."""
+"""Tests that one check reports all errors of a document with their places."""
 
 from __future__ import annotations
 
@@ -41,6 +41,7 @@
 
 
 def stop(name: str, target: str, starts: str = JANUARY, ends: str = FEBRUARY) -> str:
+    """Return the YAML of a planned stop as an item of the list ``stops``."""
     return f"  - {{name: {name}, starts: {starts}, ends: {ends}, {target}}}\n"
 
 
@@ -53,7 +54,7 @@
 
 
 @pytest.mark.parametrize("name", ["lenha-serrana.yaml", "bagmati-dhoka.yaml"])
-def test_every_form_reads_back_as_the_same_document(name: str) -> None:
+def test_every_output_format_is_read_as_an_equal_document(name: str) -> None:
     document = load_document(EXAMPLES / name)
     assert check_text(to_yaml(document)).document == document
     assert check_bytes(to_canonical_json(document)).document == document
@@ -107,9 +108,13 @@
          "services[0].honours_idempotency_key", None),
     ],
 )  # fmt: skip
-def test_finding(
+def test_error_is_found_at_its_place(
     old: str, new: str, code: str, path: str, place: tuple[int, int] | None
 ) -> None:
+    """An error forbids the document's use and is reported with path and place.
+
+    `place` is None where only code and path are checked.
+    """
     assert old in BASE
     result = check_text(BASE.replace(old, new, 1))
     assert result.document is None
@@ -137,7 +142,8 @@
         ("choice: favourite", "bad_reference"),
     ],
 )
-def test_policy_finding(policy: str, code: str) -> None:
+def test_error_in_policy_is_the_only_finding(policy: str, code: str) -> None:
+    """Each wrong value gives exactly one finding; rules must skip its placeholder."""
     result = check_text(f"{BASE}policy: {{{policy}}}\n")
     key = policy.partition(":")[0]
     assert [(f.code, f.path) for f in result.findings] == [(code, f"policy.{key}")]
@@ -166,25 +172,30 @@
         ),
     ],
 )
-def test_stop_finding(stops: str, code: str | None, severity: str | None) -> None:
+def test_error_in_stops_gives_one_kind_of_finding(
+    stops: str, code: str | None, severity: str | None
+) -> None:
+    """Stops of both failure domains are an error only if they overlap in time."""
     result = check_text(f"{BASE}stops:\n{stops}")
     found = {(each.code, each.severity.value) for each in result.findings}
     assert found == ({(code, severity)} if code else set())
 
 
-def test_a_stop_that_leaves_less_than_half_is_a_warning() -> None:
+def test_a_stop_that_leaves_less_than_half_of_the_slots_is_a_warning() -> None:
+    """Engine ``e1`` has 40 of 56 slots; its stop leaves 16."""
     larger = BASE.replace("domain: a, models: [m]", "domain: a, models: [m], slots: 40")
     result = check_text(f"{larger}stops:\n{stop('x', 'backend: e1')}")
     assert result.document is not None
     assert [each.severity for each in result.findings] == [Severity.WARNING]
 
 
-def test_a_stop_that_is_over_takes_no_capacity() -> None:
+def test_stops_that_have_ended_are_left_out_of_the_capacity_check() -> None:
+    """Overlapping stops of both failure domains would otherwise be an error."""
     text = f"{BASE}stops:\n{stop('x', 'domain: a')}{stop('y', 'domain: b')}"
     assert check_text(text, datetime(2027, 3, 1, tzinfo=UTC)).document is not None
 
 
-def test_all_findings_come_together_in_order() -> None:
+def test_all_findings_are_reported_in_the_order_of_their_places() -> None:
     text = BASE.replace("fleet: f", "fleet: 1").replace("[a, b]", "[a, b, b]")
     text += "policy: {stale_after: 3, odd: 1}\nstops: 5\n"
     codes = [each.code for each in check_text(text).findings]
@@ -192,9 +203,10 @@
     assert codes == expected
 
 
-LAUGHS = "\n".join(
+NESTED_ALIASES = "\n".join(
     f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 10) if n else 'x'}]" for n in range(12)
 )
+"""Lists of ten aliases of the previous list; the last one expands to 10**11 values."""
 
 
 @pytest.mark.parametrize(
@@ -206,7 +218,7 @@
         (b"a: [1, 2\n", "syntax"),
         (b"a: *nowhere\n", "syntax"),
         (b"a: &x [*x]\n", "alias_cycle"),
-        (LAUGHS.encode(), "alias_explosion"),
+        (NESTED_ALIASES.encode(), "alias_explosion"),
         (b"[" * 2_000_000, "too_deep"),
         (b"{a: " * 500_000, "too_deep"),
         (b"- " * 1_000_000, "too_deep"),
@@ -215,13 +227,15 @@
         (b"fleet: \xed\xa0\x80", "bad_text"),
     ],
 )
-def test_hostile_text_is_a_finding(body: bytes, code: str) -> None:
+def test_malformed_text_gives_a_finding(body: bytes, code: str) -> None:
+    """Nested aliases and deep nesting must not exhaust memory or the call stack."""
     result = check_bytes(body)
     assert result.document is None
     assert code in {each.code for each in result.findings}
 
 
-def test_load_document_names_the_findings(tmp_path: Path) -> None:
+def test_error_of_load_document_lists_the_findings(tmp_path: Path) -> None:
+    """A file that cannot be read raises an error with the system's reason."""
     file = tmp_path / "bad.yaml"
     file.write_text("fleet: 1\n")
     with pytest.raises(DocumentError, match=r"1:8 fleet: .*\[wrong_type\]"):
--- a/tests/document/test_fuzz.py
+++ b/tests/document/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever the document holds, its check ends with findings, not a traceback."""
+"""Tests with generated input: the check must never raise an exception."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 TEXT = EXAMPLE.read_text()
 PLAIN: Any = to_plain(load(EXAMPLE), defaults=True)
 
-steady = settings(
+fuzz_settings = settings(
     max_examples=120,
     deadline=None,
     derandomize=True,
@@ -42,6 +42,7 @@
 
 
 def paths_of(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the paths of all values inside a value; each path starts with `path`."""
     found = [path] if path else []
     items: Any = ()
     if isinstance(value, dict):
@@ -57,40 +58,47 @@
 
 
 def replace(value: Any, path: tuple[Any, ...], new: Any) -> Any:
+    """Return a copy of a value in which the value at a path is replaced."""
     copy = json.loads(json.dumps(value))
-    around = copy
+    parent = copy
     for key in path[:-1]:
-        around = around[key]
-    around[path[-1]] = new
+        parent = parent[key]
+    parent[path[-1]] = new
     return copy
 
 
-@steady
+@fuzz_settings
 @given(st.binary(max_size=200))
-def test_raw_bytes(body: bytes) -> None:
+def test_bytes_raise_no_exception(body: bytes) -> None:
     check_bytes(body)
 
 
-@steady
+@fuzz_settings
 @given(st.text(alphabet="[]{}:,-&*!|>'\"#%@` \n\tab0", max_size=60))
-def test_yaml_signs(text: str) -> None:
+def test_yaml_syntax_characters_raise_no_exception(text: str) -> None:
     check_text(text)
 
 
-@steady
+@fuzz_settings
 @given(
     st.integers(0, len(TEXT)),
     st.integers(0, 40),
     st.text(alphabet="[]{}:,-&*!|>'\"# \n\tab0\x85\ud800", max_size=8),
 )
-def test_mutated_text(start: int, length: int, insert: str) -> None:
+def test_changed_text_raises_no_exception(start: int, length: int, insert: str) -> None:
+    """Part of an example document is replaced by other characters."""
     check_text(TEXT[:start] + insert + TEXT[start + length :])
 
 
-@steady
+@fuzz_settings
 @given(st.lists(st.tuples(st.sampled_from(PATHS), values), min_size=1, max_size=3))
-def test_mutated_values(changes: list[tuple[tuple[Any, ...], Any]]) -> None:
-    """A document that passes can be written and read again without change."""
+def test_changed_values_raise_no_exception(
+    changes: list[tuple[tuple[Any, ...], Any]],
+) -> None:
+    """Values of an example document are replaced by others of any type.
+
+    If the document passes the check, its YAML must be read as an equal document.
+    """
     value = PLAIN
     for path, new in changes:
         try:
--- a/tests/document/test_schema.py
+++ b/tests/document/test_schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema agrees with the check."""
+"""Tests that the JSON Schema agrees with the check."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         ("limits", {"table_writes": 0}),
     ],
 )
-def test_schema_and_check_refuse_the_same(part: str, value: Any) -> None:
+def test_schema_and_check_reject_the_same_documents(part: str, value: Any) -> None:
     document = yaml.safe_load(EXAMPLES[0].read_text()) | {part: value}
     assert not VALIDATOR.is_valid(document)
     assert check_text(yaml.safe_dump(document)).document is None
