--- a/ebonyhold/document/_capacity.py
+++ b/ebonyhold/document/_capacity.py
@@ -33,7 +33,7 @@
 
 
 def find_shortages(document: Document, now: datetime | None = None) -> list[Shortage]:
-    """Return a shortage for each stop and each route that it leaves too few slots.
+    """Return a shortage for each route that a stop leaves with too few slots.
 
     Capacity falls only when a stop begins, so each stop is checked at its start,
     or at `now` if it began earlier, together with the other stops active then.
@@ -54,7 +54,7 @@
 
 
 def is_stopped(backend: Backend, stop: Stop) -> bool:
-    """Return whether a stop names this backend server or its failure domain."""
+    """Return whether a stop names this backend server or its domain, at any time."""
     if stop.backend:
         return stop.backend == backend.name
     return bool(stop.domain) and stop.domain == backend.domain
--- a/ebonyhold/document/_check.py
+++ b/ebonyhold/document/_check.py
@@ -62,8 +62,8 @@
 def check_document(document: Document, now: datetime | None = None) -> CheckResult:
     """Check a document that was built from checked parts.
 
-    The rules that types, bounds and patterns cannot express are applied; types,
-    bounds and patterns are not checked again. As there is no text, each finding
+    Only the rules of `apply_rules` are checked; types, bounds and patterns of
+    single fields are not checked again. As there is no text, each finding
     has line 1 and column 1; its path is set as usual.
     """
     report = Report()
@@ -106,7 +106,7 @@
 
 
 def check_bytes(body: bytes, now: datetime | None = None) -> CheckResult:
-    """Check a document given as bytes, which must be UTF-8; see `check_text`."""
+    """Check a document given as UTF-8 bytes; other bytes give a finding."""
     try:
         text = body.decode("utf-8")
     except UnicodeDecodeError as error:
--- a/ebonyhold/document/_model.py
+++ b/ebonyhold/document/_model.py
@@ -128,7 +128,7 @@
 
     Attributes:
         method: HTTP method, or ``*`` for every method.
-        path: Prefix of the part of the path that follows ``/services/{service}``.
+        path: Prefix of the request path after ``/services/{service}``.
         repeatable: Whether a call that matches may be retried although it may
             already have run.
         price: Tokens billed for a call that ran.
@@ -199,8 +199,8 @@
             cannot report whether the request ran.
         stale_configuration: What a router does while its version of the
             configuration is stale.
-        stale_after: Time, in seconds, that a version may go without confirmation
-            that it is the latest before it is stale.
+        stale_after: A version becomes stale this many seconds after it was last
+            confirmed as the latest.
         retry_ratio: Maximum number of retries per request, on average.
         keep_bills: How long bills and claims are kept, in seconds.
     """
--- a/ebonyhold/document/_rules.py
+++ b/ebonyhold/document/_rules.py
@@ -1,4 +1,4 @@
-"""Rules for documents that types, bounds and patterns cannot express."""
+"""Rules that types, bounds and patterns of single fields cannot express."""
 
 from __future__ import annotations
 
--- a/tests/document/test_check.py
+++ b/tests/document/test_check.py
@@ -206,7 +206,7 @@
 NESTED_ALIASES = "\n".join(
     f"a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 10) if n else 'x'}]" for n in range(12)
 )
-"""Lists of ten aliases of the previous list; the last one expands to 10**11 values."""
+"""Each list has ten aliases of the list before; the last expands to 10**11 values."""
 
 
 @pytest.mark.parametrize(
