--- a/ebonyhold/__init__.py
+++ b/ebonyhold/__init__.py
@@ -1,4 +1,4 @@
-"""A router fleet for prepaid token budgets, and the coordination parts inside it."""
+"""Routers that admit requests against prepaid token budgets, and their tools."""
 
 from ebonyhold.version import __version__
 
--- a/ebonyhold/_asgi.py
+++ b/ebonyhold/_asgi.py
@@ -1,6 +1,6 @@
-"""The shared base of the HTTP listeners: requests, endpoints and responses.
+"""Requests, endpoints and responses for the HTTP listeners.
 
-It is a thin typed layer over ASGI; the HTTP itself is hypercorn's.
+A thin typed layer over ASGI; hypercorn implements HTTP itself.
 """
 
 from __future__ import annotations
@@ -26,24 +26,27 @@
 State = TypeVar("State")
 Handler: TypeAlias = Callable[[State, "Request", Send], Awaitable[None]]
 
-DISCARD_WITHIN: Seconds = 5.0
-"""How long a refused request's body is still read."""
+DISCARD_TIMEOUT: Seconds = 5.0
+"""Time limit for reading the rest of a refused request's body."""
 
-DISCARD_MOST = 8_388_608
-"""Bytes of a refused request's body that are still read; eight of the usual limit."""
+MAX_DISCARDED = 8_388_608
+"""Bytes after which a refused request's body is read no further.
 
-REST_MARK = "..."
-"""Ends the name of a pattern's last parameter that takes the rest of the path."""
+Eight times the default limit on request bodies.
+"""
+
+REST_SUFFIX = "..."
+"""Suffix of a pattern's last parameter that matches the rest: ``{name...}``."""
 
 
 class BodyTooLargeError(EbonyholdError):
-    """The request's body is larger than its listener allows."""
+    """The request's body is larger than the limit for it."""
 
     code = "body_too_large"
 
 
 class CallerGoneError(EbonyholdError):
-    """The caller closed the connection before its request was whole."""
+    """The caller closed the connection before it had sent the whole request."""
 
     code = "caller_gone"
 
@@ -55,8 +58,8 @@
     Attributes:
         scope: The ASGI scope.
         receive: The ASGI receive callable.
-        parameters: What the endpoint's pattern took from the path.
-        ended: Whether the body was read to its end, or the caller has gone.
+        parameters: Parameters from the path, by their names in the endpoint's pattern.
+        ended: Whether the body was read to its end or the caller disconnected.
     """
 
     scope: Scope
@@ -68,28 +71,28 @@
 
     @property
     def method(self) -> str:
-        """The HTTP method, in capitals."""
+        """The HTTP method, in upper case."""
         return str(self.scope["method"]).upper()
 
     @property
     def path(self) -> str:
-        """The decoded path."""
+        """The path, percent-decoded, without the query."""
         return str(self.scope["path"])
 
     @property
     def raw_query(self) -> bytes:
-        """The query as it came, without the question mark."""
+        """The query as received, without the question mark."""
         return bytes(self.scope.get("query_string", b""))
 
     @property
     def raw_headers(self) -> HeaderList:
-        """The headers as they came, names in lower case."""
+        """The headers as ASGI passes them: repeated ones kept, names in lower case."""
         headers: HeaderList = self.scope["headers"]
         return headers
 
     @property
     def headers(self) -> Mapping[str, str]:
-        """The headers by lower-case name; the last of equal names counts."""
+        """The headers by lower-case name; the last one of a repeated header."""
         if self._headers is None:
             self._headers = {
                 name.decode("latin-1").lower(): value.decode("latin-1")
@@ -99,50 +102,50 @@
 
     @property
     def client(self) -> str:
-        """The caller's IP address, or empty."""
+        """The caller's IP address; empty if the server gives none."""
         client = self.scope.get("client")
         return str(client[0]) if client else ""
 
     def query(self, name: str, default: str = "") -> str:
-        """Return the last value of a query parameter."""
+        """Return the last value of a query parameter; the default if there is none."""
         if self._query is None:
             self._query = parse_qs(self.raw_query.decode("latin-1"))
         values = self._query.get(name)
         return values[-1] if values else default
 
     def bearer(self) -> str:
-        """Return the bearer key of the Authorization header, or empty."""
+        """Return the key of a Bearer Authorization header; empty if there is none."""
         scheme, _, key = self.headers.get("authorization", "").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else ""
 
-    async def body(self, most: int) -> bytes:
+    async def body(self, max_bytes: int) -> bytes:
         """Read the whole body.
 
         Args:
-            most: The largest body that is accepted, in bytes.
+            max_bytes: The largest body that is accepted.
 
         Raises:
-            BodyTooLargeError: It is larger; no more than `most` was kept.
-            CallerGoneError: The connection ended first.
+            BodyTooLargeError: The body is larger; its remaining parts are unread.
+            CallerGoneError: The caller disconnected before the end of the body.
         """
         announced = self.headers.get("content-length", "")
-        if announced.isdigit() and int(announced) > most:
-            raise BodyTooLargeError(f"the body is larger than {most} bytes")
+        if announced.isdigit() and int(announced) > max_bytes:
+            raise BodyTooLargeError(f"the body is larger than {max_bytes} bytes")
         parts: list[bytes] = []
         size = 0
         while not self.ended:
             part = await self.part()
             size += len(part)
-            if size > most:
-                raise BodyTooLargeError(f"the body is larger than {most} bytes")
+            if size > max_bytes:
+                raise BodyTooLargeError(f"the body is larger than {max_bytes} bytes")
             parts.append(part)
         return b"".join(parts)
 
     async def part(self) -> bytes:
-        """Read the next part of the body.
+        """Return the next part of the body, and set `ended` after the last.
 
         Raises:
-            CallerGoneError: The connection ended first.
+            CallerGoneError: The caller disconnected before the end of the body.
         """
         message = await self.receive()
         if message["type"] == "http.disconnect":
@@ -152,18 +155,21 @@
         return bytes(message.get("body", b""))
 
     async def discard(self) -> None:
-        """Read what is left of the body, within bounds, and drop it.
+        """Read and drop the rest of the body, up to a time and a size limit.
 
-        A connection that is closed while its caller still sends is reset, and the
-        caller may hear of that instead of the refusal that came before.
+        Closing a connection while the caller still sends resets it, and the caller
+        may then get a connection error instead of the refusal.
         """
         size = 0
-        with anyio.move_on_after(DISCARD_WITHIN), suppress(CallerGoneError):
-            while not self.ended and size < DISCARD_MOST:
+        with anyio.move_on_after(DISCARD_TIMEOUT), suppress(CallerGoneError):
+            while not self.ended and size < MAX_DISCARDED:
                 size += len(await self.part())
 
     async def wait_disconnect(self) -> None:
-        """Return when the caller has gone; call it after the body was read."""
+        """Return when the caller disconnects.
+
+        Call this after the body was read, since it drops parts of the body.
+        """
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
@@ -173,10 +179,10 @@
     """One registered handler.
 
     Attributes:
-        method: The HTTP method it answers, or ``*``.
-        segments: The pattern, split at its slashes.
-        handler: What answers.
-        open: Whether it answers without a key.
+        method: The HTTP method, or ``*`` for all.
+        segments: The path pattern, split at its slashes.
+        handler: Called with the state, the request and the ASGI send callable.
+        open: Whether requests need no key.
     """
 
     method: str
@@ -185,11 +191,11 @@
     open: bool = False
 
     def match(self, segments: Sequence[str]) -> dict[str, str] | None:
-        """Return the path's parameters, or None when the path does not match."""
+        """Return the path's parameters, or None if the path does not match."""
         parameters: dict[str, str] = {}
         for index, wanted in enumerate(self.segments):
-            if wanted.endswith(REST_MARK + "}"):
-                name = wanted[1 : -len(REST_MARK) - 1]
+            if wanted.endswith(REST_SUFFIX + "}"):
+                name = wanted[1 : -len(REST_SUFFIX) - 1]
                 parameters[name] = "/".join(segments[index:])
                 return parameters
             if index >= len(segments):
@@ -203,7 +209,7 @@
 
 @frozen
 class Found(Generic[State]):
-    """The endpoint of a path, and what its pattern took from it."""
+    """The endpoint of a request, and the parameters from the path."""
 
     endpoint: Endpoint[State]
     parameters: Mapping[str, str]
@@ -211,11 +217,10 @@
 
 @frozen
 class NotFound:
-    """No endpoint answers this request.
+    """No endpoint matches the method and path of a request.
 
     Attributes:
-        methods: The methods that the path does answer; empty if there is no
-            such path.
+        methods: The methods of the endpoints that match the path; empty if none does.
     """
 
     methods: tuple[str, ...]
@@ -223,7 +228,7 @@
 
 @define
 class Endpoints(Generic[State]):
-    """A registry of endpoints, filled by its decorator.
+    """A registry of endpoints; the decorator `add` registers a handler.
 
     >>> endpoints: Endpoints[None] = Endpoints()
     >>> @endpoints.add("GET", "/files/{name...}")
@@ -243,9 +248,9 @@
 
         Args:
             method: The HTTP method, or ``*`` for all.
-            pattern: The path; ``{name}`` takes one segment, and a last
-                ``{name...}`` the rest of the path.
-            open_to_all: Whether it answers without a key.
+            pattern: The path; ``{name}`` matches one segment, and a last
+                ``{name...}`` matches the rest of the path, which may be empty.
+            open_to_all: Whether requests need no key.
         """
 
         def register(handler: Handler[State]) -> Handler[State]:
@@ -256,7 +261,7 @@
         return register
 
     def find(self, method: str, path: str) -> Found[State] | NotFound:
-        """Return the first endpoint that matches, or why there is none."""
+        """Return the first registered endpoint that matches, or `NotFound`."""
         segments = split_path(path)
         methods: list[str] = []
         for endpoint in self.endpoints:
@@ -270,12 +275,12 @@
 
 
 def split_path(path: str) -> tuple[str, ...]:
-    """Split a path at its slashes, without the first."""
+    """Split a path at its slashes, leaving out a leading one."""
     return tuple(path.removeprefix("/").split("/"))
 
 
 def header(name: str, value: str) -> tuple[bytes, bytes]:
-    """Return one response header as ASGI wants it."""
+    """Return a response header encoded for ASGI: Latin-1, name in lower case."""
     return name.lower().encode("latin-1"), value.encode("latin-1")
 
 
@@ -293,12 +298,12 @@
         send: The ASGI send callable.
         status: The HTTP status.
         body: The body.
-        content_type: Its type.
-        headers: Further headers.
-        request: The request, if its body may not have been read: the response goes
-            out at once, but does not end before the caller has sent its body.
+        content_type: The body's media type.
+        headers: Headers besides content-type and content-length.
+        request: The request, if its body may be unread: the response's body is sent
+            at once, then `Request.discard` runs before the response is ended.
     """
-    described = (
+    entity_headers = (
         header("content-type", content_type),
         header("content-length", str(len(body))),
     )
@@ -306,7 +311,7 @@
         {
             "type": "http.response.start",
             "status": status,
-            "headers": [*described, *headers],
+            "headers": [*entity_headers, *headers],
         }
     )
     if request is not None and not request.ended:
@@ -323,7 +328,7 @@
     headers: HeaderList = (),
     request: Request | None = None,
 ) -> None:
-    """Send a whole JSON response; see `send_body`."""
+    """Send a whole response with a JSON body; see `send_body`."""
     body = json.dumps(value, separators=(",", ":")).encode()
     await send_body(send, status, body, "application/json", headers, request)
 
@@ -335,18 +340,18 @@
     content_type: str = "text/plain; charset=utf-8",
     headers: HeaderList = (),
 ) -> None:
-    """Send a whole text response."""
+    """Send a whole response with a UTF-8 text body; see `send_body`."""
     await send_body(send, status, text.encode(), content_type, headers)
 
 
 @define
 class StreamingResponse:
-    """A response that is sent piece by piece.
+    """A response whose body is sent in parts.
 
     Attributes:
         send: The ASGI send callable.
-        started: Whether status and headers have gone out.
-        ended: Whether the last piece has gone out.
+        started: Whether sending the status and headers has begun.
+        ended: Whether sending the last part has begun.
     """
 
     send: Send
@@ -365,17 +370,17 @@
         )
 
     async def write(self, body: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body that is not the last."""
         await self.send({"type": "http.response.body", "body": body, "more_body": True})
 
     async def end(self, body: bytes = b"") -> None:
-        """Send the last piece."""
+        """Send the last part of the body and end the response."""
         self.ended = True
         await self.send({"type": "http.response.body", "body": body})
 
 
 async def answer_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop, when nothing hangs on them."""
+    """Acknowledge ASGI lifespan messages, and return after the shutdown message."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
--- a/ebonyhold/command/__init__.py
+++ b/ebonyhold/command/__init__.py
@@ -1,6 +1,6 @@
 """The command-line tool ``ebonyhold``.
 
-Other packages add their commands with `add_group`.
+Other packages can add their own commands with `add_group`.
 """
 
 from ebonyhold.command import _document as _document
--- a/ebonyhold/command/_app.py
+++ b/ebonyhold/command/_app.py
@@ -1,4 +1,4 @@
-"""The root of the command-line tool, and how further commands join it."""
+"""The root application of the command-line tool; other modules add commands."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def add_group(name: str, group: typer.Typer) -> None:
-    """Add a group of commands under one word."""
+    """Add a group of commands, called as ``ebonyhold NAME COMMAND``."""
     app.add_typer(group, name=name)
 
 
 def show_version(wanted: bool) -> None:
-    """Print the version and leave."""
+    """Print the version and exit, if the option is given."""
     if wanted:
         typer.echo(__version__)
         raise typer.Exit
--- a/ebonyhold/command/_document.py
+++ b/ebonyhold/command/_document.py
@@ -1,4 +1,4 @@
-"""Commands for the document and its versions."""
+"""Commands that check, publish and show the fleet document."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     "message": "Message",
 }
 
-WAIT_STEP = 0.5
-"""Seconds between two looks at the routers' versions."""
+POLL_INTERVAL = 0.5
+"""Seconds between two requests for the routers' versions."""
 
 File = Annotated[Path, typer.Argument(help="The document, as YAML.")]
 BasedOn = Annotated[
@@ -78,7 +78,7 @@
     """Put a document into force, if nobody else was faster."""
     body = read_file(file)
     with OperatorsClient(server, key) as client:
-        query = {"based_on": str(base_of(client, based_on))}
+        query = {"based_on": str(base_version(client, based_on))}
         answer = client.call("PUT", "/v1/document", query=query, body=body)
         finish_change(client, answer, wait, output)
 
@@ -95,7 +95,7 @@
 ) -> None:
     """Put an older version's content into force, as a new version."""
     with OperatorsClient(server, key) as client:
-        base = base_of(client, based_on)
+        base = base_version(client, based_on)
         query = {"version": str(version), "based_on": str(base)}
         answer = client.call("POST", "/v1/rollback", query=query)
         finish_change(client, answer, wait, output)
@@ -139,7 +139,7 @@
 
 
 def read_file(file: Path) -> bytes:
-    """Read the document's file, or leave with a usage error."""
+    """Return a file's bytes; if it cannot be read, exit with a usage error."""
     try:
         return file.read_bytes()
     except OSError as error:
@@ -147,8 +147,8 @@
         raise typer.Exit(ExitCode.USAGE) from error
 
 
-def base_of(client: OperatorsClient, based_on: int | None) -> int:
-    """Return the version to base a change on."""
+def base_version(client: OperatorsClient, based_on: int | None) -> int:
+    """Return the version to base a change on: the given one or the one in force."""
     if based_on is not None:
         return based_on
     return int(client.call("GET", "/v1/status")["version"])
@@ -157,7 +157,10 @@
 def finish_change(
     client: OperatorsClient, answer: dict[str, Any], wait: float, output: OutputForm
 ) -> None:
-    """Show an accepted version, and wait for the routers if that was asked."""
+    """Print an accepted version; if `wait` is above 0, first wait for the routers.
+
+    Exits with `ExitCode.FAILED` if a router lacks the version after `wait` seconds.
+    """
     version = int(answer["version"])
     lacking: list[str] = []
     if wait > 0:
@@ -175,17 +178,21 @@
 
 
 def wait_for_routers(client: OperatorsClient, version: int, wait: float) -> list[str]:
-    """Wait until each router has a version; return those that lack it."""
+    """Poll the status until each router has a version or `wait` seconds have passed.
+
+    Returns:
+        The routers that still lack the version, as `describe_lacking` returns them.
+    """
     deadline = time.monotonic() + wait
     while True:
-        lacking = find_lacking(client.call("GET", "/v1/status"), version)
+        lacking = describe_lacking(client.call("GET", "/v1/status"), version)
         if not lacking or time.monotonic() >= deadline:
             return lacking
-        time.sleep(WAIT_STEP)
+        time.sleep(POLL_INTERVAL)
 
 
-def find_lacking(status: dict[str, Any], version: int) -> list[str]:
-    """Name the routers that should have a version and do not."""
+def describe_lacking(status: dict[str, Any], version: int) -> list[str]:
+    """Return a description of each router that is not gone and has an older version."""
     return [
         f"{each['router']} (has {each.get('version', 0)}, {each['state']})"
         for each in status["routers"]
--- a/ebonyhold/command/_exits.py
+++ b/ebonyhold/command/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, and errors as the command line shows them."""
+"""Exit codes and error output of the command-line tool."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the command's exit code tells a script."""
+    """Exit codes of the commands; their meanings are in `_app.EPILOG`."""
 
     OK = 0
     FAILED = 1
@@ -36,11 +36,11 @@
     "platform_throttled": ExitCode.UNREACHABLE,
     "platform_outcome_unknown": ExitCode.UNKNOWN_OUTCOME,
 }
-"""The exit codes of refusals; any other is `ExitCode.FAILED`."""
+"""Exit codes by the router's error code; `ExitCode.FAILED` for codes not listed."""
 
 
 def exit_code_of(error: EbonyholdError) -> ExitCode:
-    """Return the exit code of an error."""
+    """Return the exit code for an error, `ExitCode.FAILED` by default."""
     if isinstance(error, UnreachableError):
         return ExitCode.UNREACHABLE
     if isinstance(error, UnansweredError):
@@ -50,8 +50,8 @@
     return ExitCode.FAILED
 
 
-def explain(error: EbonyholdError) -> None:
-    """Write an error and what it tells beyond its message."""
+def print_error(error: EbonyholdError) -> None:
+    """Print an error to standard error, with the changes and findings in its detail."""
     code = error.remote_code if isinstance(error, RemoteError) else error.code
     errors.print(f"error: {error} [{code}]", markup=False)
     detail = error.detail if isinstance(error, RemoteError) else {}
@@ -65,14 +65,14 @@
 def reports_errors(
     command: Callable[Parameters, Result],
 ) -> Callable[Parameters, Result]:
-    """Make a command explain its errors and exit with their code."""
+    """Decorate a command to print an `EbonyholdError` and exit with its exit code."""
 
     @functools.wraps(command)
     def wrapped(*args: Parameters.args, **kwargs: Parameters.kwargs) -> Result:
         try:
             return command(*args, **kwargs)
         except EbonyholdError as error:
-            explain(error)
+            print_error(error)
             raise typer.Exit(exit_code_of(error)) from error
 
     return wrapped
--- a/ebonyhold/command/_experiment.py
+++ b/ebonyhold/command/_experiment.py
@@ -1,4 +1,4 @@
-"""Commands that compare policies on scenarios; they need no fleet."""
+"""Commands that run scenarios with several policies and compare the results."""
 
 from __future__ import annotations
 
@@ -58,8 +58,8 @@
 ]
 Folder = Annotated[Path, typer.Argument(help="A directory that `run` has written.")]
 
-# The benches, HDR histograms and matplotlib are slow to import, so each command
-# imports them when it runs: `ebonyhold --help` must stay fast.
+# Each command imports benches, HDR histograms and matplotlib only when it runs: they
+# are slow to import, and `ebonyhold --help` must stay fast.
 
 
 @group.command("list")
@@ -96,9 +96,9 @@
     from ebonyhold.experiments._runs import make_wishes
 
     specs = [find_scenario(name) for name in dict.fromkeys(scenarios)]
-    lively = [spec.name for spec in specs if spec.kind is Kind.LIVE]
-    if lively and not live:
-        errors.print(f"error: {', '.join(lively)}: add --live", markup=False)
+    live_names = [spec.name for spec in specs if spec.kind is Kind.LIVE]
+    if live_names and not live:
+        errors.print(f"error: {', '.join(live_names)}: add --live", markup=False)
         raise typer.Exit(ExitCode.USAGE)
     seeds = list(dict.fromkeys(seed or DEFAULT_SEEDS))
     wishes = make_wishes(specs, policy or [], seeds)
@@ -107,13 +107,13 @@
     try:
         run_with_progress(wishes, done)
     finally:
-        # A long run that is interrupted, or fails, keeps what it has finished.
+        # If a run fails or is interrupted, the results of the finished runs are kept.
         write_results(out, done)
     console().print(f"{len(done)} runs are in {out}", markup=False)
-    broken = [line for each in done for line in each.result.broken]
-    for line in broken:
+    violations = [line for each in done for line in each.result.broken]
+    for line in violations:
         errors.print(f"broken promise: {line}", markup=False)
-    if broken:
+    if violations:
         raise typer.Exit(ExitCode.FAILED)
 
 
@@ -139,8 +139,7 @@
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] != "matplotlib":
             raise
-        # A daemon's installation goes without plots: requirements/run.in has no
-        # matplotlib.
+        # Installations for daemons lack matplotlib: it is not in requirements/run.in.
         errors.print("error: plots need matplotlib: pip install matplotlib")
         raise typer.Exit(ExitCode.FAILED) from error
 
@@ -153,7 +152,7 @@
 
 
 def make_folder(out: Path) -> None:
-    """Make the directory before a long run, or leave with a usage error."""
+    """Create the results' directory; if that fails, exit with a usage error."""
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
@@ -162,11 +161,11 @@
 
 
 def run_with_progress(wishes: list[Wish], done: list[Finished]) -> None:
-    """Run everything, with a progress bar on standard error.
+    """Run scenarios one after the other, with a progress bar on standard error.
 
     Args:
-        wishes: The runs that are wanted.
-        done: Takes the finished ones.
+        wishes: The runs to do.
+        done: Each finished run is appended here, so that none is lost on a failure.
     """
     from ebonyhold.experiments._runs import run_wish
 
--- a/ebonyhold/command/_explain.py
+++ b/ebonyhold/command/_explain.py
@@ -1,4 +1,4 @@
-"""The command that tells from logs what became of a request."""
+"""The command that shows from log files how a request was handled."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 from ebonyhold.command._app import app
 
-EXIT_UNKNOWN = 1
+EXIT_NOT_FOUND = 1
+"""Exit code if no log line names the request."""
 
 
 @app.command()
@@ -23,9 +24,9 @@
     lines = [
         line for file in files for line in file.read_text(errors="replace").splitlines()
     ]
-    story = explain_request(request, lines)
-    if not story:
+    explanation = explain_request(request, lines)
+    if not explanation:
         typer.echo(f"no line names the request {request}", err=True)
-        raise typer.Exit(EXIT_UNKNOWN)
-    for line in story:
+        raise typer.Exit(EXIT_NOT_FOUND)
+    for line in explanation:
         typer.echo(line)
--- a/ebonyhold/command/_fleet.py
+++ b/ebonyhold/command/_fleet.py
@@ -55,8 +55,8 @@
     if output is OutputForm.JSON:
         write_json(answer)
         return
-    remark = ", not confirmed for too long" if answer["stale"] else ""
-    console().print(f"configuration version {answer['version']}{remark}")
+    stale_note = ", not confirmed for too long" if answer["stale"] else ""
+    console().print(f"configuration version {answer['version']}{stale_note}")
     routers = [router_row(each) for each in answer["routers"]]
     write_rows(output, None, routers, ROUTER_COLUMNS, "no routers known")
     backends = [{"in_flight": 0} | each for each in answer["backends"]]
@@ -64,7 +64,7 @@
 
 
 def router_row(router: dict[str, Any]) -> dict[str, Any]:
-    """Return a router's row of the table."""
+    """Return a router's table row, with the sum of its grants and a readable age."""
     grants = router.get("grants", ())
     held = sum(each["available"] + each.get("held", 0) for each in grants)
     age = router.get("confirmed_age", -1.0)
@@ -119,21 +119,21 @@
 
 
 def stop_row(stop: dict[str, Any], backends: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return a stop's row of the table."""
+    """Return a stop's table row, with the requests in flight at its servers."""
     backend, domain = stop.get("backend", ""), stop.get("domain", "")
-    concerned = [
+    affected = [
         each
         for each in backends
         if each["backend"] == backend or (domain and each["domain"] == domain)
     ]
-    left = sum(each.get("in_flight", 0) for each in concerned)
-    holders = sorted({name for each in concerned for name in each.get("held_by", ())})
-    empty = f"{left} in flight at {', '.join(holders)}" if left else "yes"
+    in_flight = sum(each.get("in_flight", 0) for each in affected)
+    routers = sorted({name for each in affected for name in each.get("held_by", ())})
+    empty = f"{in_flight} in flight at {', '.join(routers)}" if in_flight else "yes"
     return stop | {"target": backend or f"domain {domain}", "empty": empty}
 
 
 def show_stop_change(answer: dict[str, Any], done: str, output: OutputForm) -> None:
-    """Show that a stop was changed, and what the check warned of."""
+    """Print that a stop was changed, and the findings of the document's check."""
     if output is OutputForm.JSON:
         write_json(answer)
         return
--- a/ebonyhold/command/_losses.py
+++ b/ebonyhold/command/_losses.py
@@ -1,4 +1,4 @@
-"""The command that tells from logs where requests were lost."""
+"""The command that counts lost requests from log files."""
 
 from __future__ import annotations
 
--- a/ebonyhold/command/_money.py
+++ b/ebonyhold/command/_money.py
@@ -82,7 +82,7 @@
     output: Output = OutputForm.TABLE,
 ) -> None:
     """Add prepaid tokens."""
-    value: Json = {"key": announced_key(repeat_key), "amount": amount}
+    value: Json = {"key": announce_key(repeat_key), "amount": amount}
     with OperatorsClient(server, key) as client:
         path = f"/v1/budgets/{quote(workspace, safe='')}/top-ups"
         answer = client.call("POST", path, value=value)
@@ -101,7 +101,7 @@
     output: Output = OutputForm.TABLE,
 ) -> None:
     """Give billed tokens back."""
-    name = announced_key(repeat_key)
+    name = announce_key(repeat_key)
     value: Json = {"key": name, "request": request, "amount": amount}
     with OperatorsClient(server, key) as client:
         path = f"/v1/budgets/{quote(workspace, safe='')}/refunds"
@@ -140,17 +140,17 @@
     with OperatorsClient(server, key) as client:
         answer = client.call("GET", "/v1/bills/verify", query=query)
     found = answer["discrepancies"]
-    fine = f"bills, grants and budgets of {answer['workspaces']} workspaces add up"
-    write_rows(output, answer, found, DISCREPANCY_COLUMNS, fine)
+    empty = f"bills, grants and budgets of {answer['workspaces']} workspaces add up"
+    write_rows(output, answer, found, DISCREPANCY_COLUMNS, empty)
     if found:
         raise typer.Exit(ExitCode.FAILED)
 
 
-def announced_key(repeat_key: str) -> str:
-    """Return the key of this change, and name it before anything is sent.
+def announce_key(repeat_key: str) -> str:
+    """Return the given repeat key, or print and return a new one.
 
-    An answer can be lost after the tokens were added; whoever repeats the
-    command then needs the same key, so it must be known before the call.
+    An answer can be lost after the tokens were added. The operator then needs the
+    same key to repeat the command, so a new key is printed before the call.
     """
     name = repeat_key or uuid4().hex
     if not repeat_key:
--- a/ebonyhold/command/_options.py
+++ b/ebonyhold/command/_options.py
@@ -1,4 +1,4 @@
-"""Options that many commands share."""
+"""Command-line options that several commands have."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OutputForm(StrEnum):
-    """How results are written."""
+    """Output formats of a command's result."""
 
     TABLE = "table"
     JSON = "json"
--- a/ebonyhold/command/_output.py
+++ b/ebonyhold/command/_output.py
@@ -1,4 +1,4 @@
-"""Writing results as tables or as JSON."""
+"""Output of results as tables or as JSON."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 
 from ebonyhold.command._options import OutputForm
 
-NARROWEST = 132
-"""Columns of a table that does not go to a terminal."""
+MIN_WIDTH = 132
+"""Minimum width in characters of output that does not go to a terminal."""
 
 
 def console() -> Console:
-    """Return the console for results."""
-    found = Console(highlight=False)
-    if not found.is_terminal:
-        found.width = max(found.width, NARROWEST)
-    return found
+    """Return a console for standard output.
+
+    It is at least `MIN_WIDTH` wide if standard output is not a terminal.
+    """
+    output = Console(highlight=False)
+    if not output.is_terminal:
+        output.width = max(output.width, MIN_WIDTH)
+    return output
 
 
 def write_json(value: Any) -> None:
-    """Write a value as JSON."""
+    """Print a value as indented JSON."""
     print(json.dumps(value, indent=2))
 
 
@@ -36,14 +39,14 @@
     columns: Mapping[str, str],
     empty: str,
 ) -> None:
-    """Write a result.
+    """Print a result as a table or as JSON.
 
     Args:
-        form: A table or JSON.
-        whole: What JSON shows.
-        rows: What the table shows.
-        columns: The table's columns: the key in a row, then the heading.
-        empty: What to write in place of a table without rows.
+        form: The output format.
+        whole: The value that is printed as JSON.
+        rows: The rows of the table; a missing value leaves the cell empty.
+        columns: The table's headings by the keys of a row.
+        empty: The text that is printed instead of a table without rows.
     """
     if form is OutputForm.JSON:
         write_json(whole)
@@ -60,7 +63,7 @@
 
 
 def render_cell(value: Any) -> str:
-    """Write one value of a table."""
+    """Return the text of a table cell."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, int):
@@ -73,7 +76,7 @@
 
 
 def render_time(seconds: float) -> str:
-    """Write a point in time, or a dash for none."""
+    """Return a time in seconds since the epoch as UTC text, or a dash for 0."""
     if not seconds:
         return "-"
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/ebonyhold/command/_parts.py
+++ b/ebonyhold/command/_parts.py
@@ -1,4 +1,4 @@
-"""Commands that change one part of the document in force."""
+"""Commands that put or delete one part of the document in force."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     """Add or replace one part; all else stays as it is in force."""
     body = read_file(file)
     with OperatorsClient(server, key) as client:
-        path, query = path_of(section, name), query_of(based_on)
+        path, query = part_path(section, name), base_query(based_on)
         answer = client.call("PUT", path, query=query, body=body)
         finish_change(client, answer, wait, output)
 
@@ -57,16 +57,20 @@
 ) -> None:
     """Remove one part; all else stays as it is in force."""
     with OperatorsClient(server, key) as client:
-        path, query = path_of(section, name), query_of(based_on)
+        path, query = part_path(section, name), base_query(based_on)
         answer = client.call("DELETE", path, query=query)
         finish_change(client, answer, wait, output)
 
 
-def path_of(section: str, name: str) -> str:
-    """Return the path of a part."""
+def part_path(section: str, name: str) -> str:
+    """Return the URL path of a part; slashes in its name stay."""
     return f"/v1/parts/{quote(section, safe='')}/{quote(name)}"
 
 
-def query_of(based_on: int | None) -> dict[str, str] | None:
-    """Return the query of a change; without a base it follows whoever was faster."""
+def base_query(based_on: int | None) -> dict[str, str] | None:
+    """Return the query that names the base version, or None without one.
+
+    Without a base version, the router retries the change a few times on the version
+    in force if another operator publishes meanwhile.
+    """
     return None if based_on is None else {"based_on": str(based_on)}
--- a/ebonyhold/command/_recovery.py
+++ b/ebonyhold/command/_recovery.py
@@ -1,4 +1,4 @@
-"""Commands for what recovery could not settle by itself."""
+"""Commands to settle runs and bills whose outcome recovery could not find out."""
 
 from __future__ import annotations
 
--- a/ebonyhold/env.py
+++ b/ebonyhold/env.py
@@ -1,4 +1,4 @@
-"""Facts about the platform that a process runs on."""
+"""Processor time and memory of a process, read from Linux's /proc."""
 
 from __future__ import annotations
 
@@ -8,17 +8,22 @@
 from ebonyhold.types import Seconds
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK") if hasattr(os, "sysconf") else 100
+"""Clock ticks per second, the unit of the times in /proc/PID/stat."""
+
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE") if hasattr(os, "sysconf") else 4096
 
 UTIME_FIELD = 11
-"""Index of the user time in /proc/PID/stat, counted behind the command's name."""
+"""Index of the user time among the fields after the command name in /proc/PID/stat.
+
+The system time is the next field.
+"""
 
 
 def processor_seconds(pid: int) -> Seconds:
-    """Return the processor time that a process has used, user and system.
+    """Return the user and system processor time of a process.
 
     Raises:
-        OSError: There is no such process, or no /proc here.
+        OSError: There is no such process, or this system has no /proc.
     """
     stat = Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
     fields = stat.rpartition(")")[2].split()
@@ -27,10 +32,10 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the memory that a process holds and shares with no other.
+    """Return the resident memory of a process without its shared pages, in bytes.
 
     Raises:
-        OSError: There is no such process, or no /proc here.
+        OSError: There is no such process, or this system has no /proc.
     """
     fields = Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()
     return (int(fields[1]) - int(fields[2])) * PAGE_BYTES
--- a/ebonyhold/exceptions.py
+++ b/ebonyhold/exceptions.py
@@ -1,8 +1,7 @@
-"""Every error that ebonyhold raises, each with a stable code.
+"""Errors that several packages raise, each with a stable code.
 
-All of them descend from `EbonyholdError`, so that whoever embeds one part can
-catch the whole family.  What callers see over HTTP is in
-`ebonyhold.callers`, which maps these onto refusals.
+All of them derive from `EbonyholdError`, so that one except clause catches them.
+`ebonyhold.callers` maps them onto the HTTP refusals that callers receive.
 """
 
 from __future__ import annotations
@@ -11,41 +10,42 @@
 
 
 class EbonyholdError(Exception):
-    """The base of all errors raised here.
+    """Base class of the errors that ebonyhold raises.
 
     Attributes:
-        code: A stable word for programs; the message is for people.
+        code: Identifies the kind of error to programs and never changes; the message
+            may.
     """
 
     code: ClassVar[str] = "internal"
 
 
 class SettingsError(EbonyholdError):
-    """A daemon's settings file cannot be used."""
+    """A daemon's settings cannot be read, or a value in them is invalid."""
 
     code = "settings_invalid"
 
 
 class DocumentError(EbonyholdError):
-    """A fleet document has findings that forbid its use."""
+    """A fleet document has findings that make it unusable."""
 
     code = "document_invalid"
 
 
 class ConfigurationError(EbonyholdError):
-    """A configuration version cannot be read or put into force."""
+    """A configuration version is missing, damaged or cannot be put into force."""
 
     code = "configuration_damaged"
 
 
 class LostRaceError(EbonyholdError):
-    """Another version was accepted since the one this was based on.
+    """A change was refused because its base version is not the one in force.
 
     Attributes:
-        version: The version in force.
-        author: The operator who published it.
-        changed: What differs between the version that this was based on and the
-            one in force.
+        version: The version in force; 0 if there is none.
+        author: The operator who published the version in force; empty if none is.
+        changed: Paths of the parts that differ between the base version and the one
+            in force.
     """
 
     code = "lost_race"
@@ -60,35 +60,35 @@
 
 
 class PlatformError(EbonyholdError):
-    """The platform did not do what was asked."""
+    """A call to a platform service failed."""
 
     code = "platform_error"
 
 
 class UnavailableError(PlatformError):
-    """The platform could not be reached, and the call had no effect."""
+    """The platform service could not be reached, and the call had no effect."""
 
     code = "platform_unavailable"
 
 
 class ThrottledError(UnavailableError):
-    """The platform refused the call because of its rate ceiling; no effect."""
+    """The platform service refused the call for its rate limit; it had no effect."""
 
     code = "platform_throttled"
 
 
 class UnknownOutcomeError(PlatformError):
-    """The call may or may not have taken effect; read back before repeating."""
+    """The call may have taken effect; read the state back before repeating it."""
 
     code = "platform_outcome_unknown"
 
 
 class ConflictError(PlatformError):
-    """A precondition did not hold, so nothing was written.
+    """A precondition of a write did not hold, so nothing was written.
 
     Attributes:
-        keys: The keys whose checks failed, where the platform names them.
-        rows: The rows that were checked as they are now, where it sends them.
+        keys: Keys whose checks failed; empty if the platform does not name them.
+        rows: The checked rows as they are now; empty if the platform sends none.
     """
 
     code = "platform_conflict"
@@ -105,64 +105,64 @@
 
 
 class SealedError(EbonyholdError):
-    """Another router sealed this incarnation's journal; it must stop spending."""
+    """This incarnation may spend no more tokens: another router sealed its journal."""
 
     code = "incarnation_sealed"
 
 
 class BudgetError(EbonyholdError):
-    """A hold could not be granted."""
+    """Tokens could not be held, or a run of a dead router could not be settled."""
 
     code = "budget"
 
 
 class BudgetExhaustedError(BudgetError):
-    """The workspace's prepaid tokens are spent, as the table itself says."""
+    """The table shows that too few of the workspace's prepaid tokens remain."""
 
     code = "budget_exhausted"
 
 
 class BudgetUnreachableError(BudgetError):
-    """Tokens may exist, but this router cannot get at them now."""
+    """Tokens may remain, but this router could not obtain them in time."""
 
     code = "budget_unreachable"
 
 
 class ClaimError(EbonyholdError):
-    """A request's claim could not be taken."""
+    """A request got no claim, so it may not run."""
 
     code = "claim"
 
 
 class KeyReusedError(ClaimError):
-    """The idempotency key was used before with another body."""
+    """The idempotency key was used before for a request with another body."""
 
     code = "idempotency_key_reused"
 
 
 class ClaimUnavailableError(ClaimError):
-    """The claim could not be recorded, so the request was not run."""
+    """The claim could not be stored, so the request was not run."""
 
     code = "claim_unavailable"
 
 
 class OutcomeUnknownError(ClaimError):
-    """The request may have run; nobody can say yet."""
+    """The request is refused: it may have run before, or was repeated too often."""
 
     code = "outcome_unknown"
 
 
 class PeerError(EbonyholdError):
-    """Another router did not answer, or answered what cannot be used."""
+    """A call to another router got no answer, or an unusable one."""
 
     code = "peer_error"
 
 
 class RefusedMessageError(PeerError):
-    """A message of another router was not accepted.
+    """A message from another router was refused.
 
     Attributes:
-        reason: A stable word for the cause, by which refusals are counted.
+        reason: Code of the cause; refused messages are counted by it.
     """
 
     code = "peer_message_refused"
@@ -176,7 +176,7 @@
     """A backend server failed an attempt.
 
     Attributes:
-        ran: Whether the attempt may have run: False only where that is proved.
+        ran: Whether the attempt may have run; False only if it certainly did not.
     """
 
     code = "backend_error"
@@ -187,36 +187,36 @@
 
 
 class DamagedRowError(PlatformError):
-    """A row of our own does not hold what it must; somebody else wrote it."""
+    """A table row does not have the form that ebonyhold writes."""
 
     code = "row_damaged"
 
 
 class HistoryLostError(PlatformError):
-    """The store no longer keeps the changes that were asked for."""
+    """The store has discarded the requested changes; read all rows again."""
 
     code = "platform_history_lost"
 
 
 class MalformedEntryError(EbonyholdError):
-    """An entry in the list of servers cannot be read."""
+    """An entry in the list of servers is malformed."""
 
     code = "server_entry_malformed"
 
 
 class MalformedMessageError(EbonyholdError):
-    """A message of another router cannot be read."""
+    """A message from another router is malformed."""
 
     code = "message_malformed"
 
 
 class MalformedRequestError(EbonyholdError):
-    """A caller's request cannot be read."""
+    """A caller's request is malformed."""
 
     code = "request_malformed"
 
 
 class BackendLostError(EbonyholdError):
-    """A backend server's connection broke, or its answer made no sense."""
+    """A connection to a backend server failed, or its answer broke the protocol."""
 
     code = "backend_lost"
--- a/ebonyhold/fleet.py
+++ b/ebonyhold/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as one router knows it now."""
+"""The document in force and the backend servers that are leaving, at one router."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 class FleetView:
     """The document in force, and which backend servers are leaving.
 
-    The daemon's tasks keep it current, all in one event loop; whoever reads it
-    reads it anew for each request and keeps nothing of it.
+    The daemon's tasks update it, all in one event loop. Requests read it each time
+    and keep no copies, so that a change applies to the next request.
 
     Attributes:
         document: The document in force.
         version: The document's version; 0 before there is one.
         domain: The failure domain of this router.
-        leaving: Backend servers that the membership list calls leaving.
-        reported: Backend servers whose own load report says that they leave.
-        wall_clock: Seconds since the epoch, for planned stops.
+        leaving: Backend servers that the membership list marks as leaving.
+        reported: Backend servers that report themselves as leaving.
+        wall_clock: Returns the seconds since the epoch, for planned stops.
+        planned: The document's planned stops, with times in seconds since the epoch.
     """
 
     document: Document
@@ -37,11 +38,11 @@
     planned: tuple[PlannedStop, ...] = field(init=False, factory=tuple)
 
     def __attrs_post_init__(self) -> None:
-        """Derive what the document implies."""
+        """Set the planned stops of the first document."""
         self.adopt(self.document, self.version)
 
     def adopt(self, document: Document, version: int) -> None:
-        """Put another document in force."""
+        """Put a document into force, and forget reports of servers that it lacks."""
         self.document = document
         self.version = version
         self.planned = tuple(
@@ -60,9 +61,9 @@
     def accepts(self, backend: Backend) -> bool:
         """Return whether new work may go to a backend server now.
 
-        Three sources say that a server leaves, since any of them may be late:
-        the document's planned stops by this router's clock, the membership
-        list, and the server's own load report or refusal.
+        Any of three sources excludes a server, since each may lag behind the others:
+        the document's planned stops by this router's clock, the membership list, and
+        the server's own load reports and refusals.
         """
         if backend.name in self.leaving or backend.name in self.reported:
             return False
@@ -70,19 +71,19 @@
         return not is_stopped(self.planned, backend.name, backend.domain, now)
 
     def model(self, name: str) -> ModelRoute | None:
-        """Return the route of a model, or None."""
+        """Return the route of a model, or None if the document has none."""
         for route in self.document.models:
             if route.model == name:
                 return route
         return None
 
     def service(self, name: str) -> ServiceRoute | None:
-        """Return the route of a plain service, or None."""
+        """Return the route of a plain service, or None if the document has none."""
         for route in self.document.services:
             if route.service == name:
                 return route
         return None
 
     def backends(self, kind: BackendKind) -> tuple[Backend, ...]:
-        """Return the backend servers of one kind, leaving ones included."""
+        """Return the document's backend servers of one kind, leaving ones included."""
         return tuple(item for item in self.document.backends if item.kind is kind)
--- a/ebonyhold/logs.py
+++ b/ebonyhold/logs.py
@@ -1,4 +1,4 @@
-"""JSON-line logs that carry the request, workspace and span being worked on."""
+"""JSON-line logs whose lines name the current request, workspace and span."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from pythonjsonlogger.json import JsonFormatter
 
 current_request: ContextVar[str] = ContextVar("current_request", default="")
-"""The request identifier that log lines of this task carry."""
+"""The request identifier in log lines of the current task."""
 
 current_workspace: ContextVar[str] = ContextVar("current_workspace", default="")
-"""The workspace that log lines of this task carry."""
+"""The workspace in log lines of the current task."""
 
 FIELDS = ("timestamp", "level", "name", "message")
 
 
 class ContextFilter(logging.Filter):
-    """Adds what the task works on to each record."""
+    """Adds the router and the current request, workspace and span to each record."""
 
     def __init__(self, router: str) -> None:
         super().__init__()
         self.router = router
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Add the fields; no record is dropped."""
+        """Add the fields, empty where there is no value; keep every record."""
         record.router = self.router
         record.request = current_request.get()
         record.workspace = current_workspace.get()
@@ -43,12 +43,12 @@
     """Send all logs to a stream as JSON lines.
 
     Args:
-        level: The least severity that is written.
-        router: The incarnation that each line names.
-        stream: Where to write; the standard error by default.
+        level: The minimum severity that is written.
+        router: The router's incarnation, a field of each line.
+        stream: The stream to write to; standard error by default.
 
     Returns:
-        The handler, so that a test can remove it again.
+        The new handler, which replaces all handlers of the root logger.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.addFilter(ContextFilter(router))
@@ -62,7 +62,7 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # One line for each call of these would drown what an operator looks for.
+    # These log a line for each HTTP request, too many for operators to find others.
     for noisy in ("httpx", "httpcore", "hypercorn.access"):
         logging.getLogger(noisy).setLevel(logging.WARNING)
     return handler
--- a/ebonyhold/metrics.py
+++ b/ebonyhold/metrics.py
@@ -11,14 +11,14 @@
 )
 
 FIRST_TOKEN_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.6, 1.0, 2.0, 5.0)
-"""Seconds; one bound stands at the target of 0.42 s."""
+"""Histogram bounds in seconds; 0.42 s is the target for the first token."""
 
-HOP_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 1.0, 5.0)
-"""Seconds; for calls to the platform and to other routers."""
+PERMIT_BUCKETS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 1.0, 5.0)
+"""Histogram bounds in seconds, for the time to permit a request."""
 
 
 class Metrics:
-    """All metrics, in a registry of their own so that tests do not share them."""
+    """All metrics of one daemon; each instance has its own registry, for tests."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -37,7 +37,7 @@
         self.permit = Histogram(
             "ebonyhold_permit_seconds",
             "Time to hold the budget, claim the request and journal the intent.",
-            buckets=HOP_BUCKETS,
+            buckets=PERMIT_BUCKETS,
             registry=self.registry,
         )
         self.in_flight = Gauge(
@@ -86,6 +86,6 @@
         )
 
     def render(self) -> bytes:
-        """Return the exposition text."""
+        """Return the metrics in the Prometheus text format."""
         text: bytes = generate_latest(self.registry)
         return text
--- a/ebonyhold/misc.py
+++ b/ebonyhold/misc.py
@@ -1,4 +1,4 @@
-"""Plain functions that belong to no one part."""
+"""Helper functions that several packages use."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 from contextlib import suppress
 
 BOOT_BYTES = 6
+"""Random bytes in a boot identifier."""
 
 LISTENING_PORTS = range(16_384, 20_000)
-"""Ports below those that systems give to outgoing connections."""
+"""Ports for `free_port`, below the range that systems use for outgoing connections."""
 
 PORT_TRIES = 100
+"""Number of random ports that `free_port` tries."""
 
 
 def sha256_hex(text: str | bytes) -> str:
-    """Return the SHA-256 of a text or of bytes, in hexadecimal.
+    """Return the SHA-256 digest of bytes or of a text in UTF-8, in hexadecimal.
 
     >>> sha256_hex("demo")[:8]
     '2a97516c'
@@ -27,15 +29,16 @@
 
 
 def new_incarnation(name: str) -> str:
-    """Return a router identifier that no earlier life of this VM had.
+    """Return a router identifier for a new incarnation, ``name.boot``.
 
-    It is random, not a counter, since the VM has no disk to keep a count on.
+    The boot identifier is random rather than a counter, since the VM has no disk to
+    store a counter on.
     """
     return f"{name}.{secrets.token_hex(BOOT_BYTES)}"
 
 
 def vm_name(router: str) -> str:
-    """Return the VM's name in a router identifier.
+    """Return the VM's name from a router identifier.
 
     >>> vm_name("entry-1.0a1b2c")
     'entry-1'
@@ -44,16 +47,16 @@
 
 
 def free_port() -> int:
-    """Return a loopback port that nothing listens on now.
+    """Return a loopback port that is free now.
 
-    It is none of those that the system gives to outgoing connections: one of these
-    would often take the port before its user listens there.
+    Ports of the range for outgoing connections are left out: an outgoing connection
+    would often use such a port before the caller of this function listens there.
 
     Raises:
-        OSError: All ports that were tried are taken.
+        OSError: All `PORT_TRIES` ports that were tried are in use.
     """
     for port in random.sample(LISTENING_PORTS, PORT_TRIES):
         with socket.socket() as probe, suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
-    raise OSError(f"{PORT_TRIES} ports are taken")
+    raise OSError(f"no free port: all {PORT_TRIES} ports tried are in use")
--- a/ebonyhold/scans.py
+++ b/ebonyhold/scans.py
@@ -1,4 +1,4 @@
-"""Reading many rows of the table without running into its rate ceiling."""
+"""Reading many rows of the table page by page, with retries at its rate limit."""
 
 from __future__ import annotations
 
@@ -11,27 +11,35 @@
 from ebonyhold.types import Seconds
 
 PAGE = 100
-"""Rows of one read: a small part of what the table allows in a second, so that a
-long scan leaves room for the reads that requests wait for."""
+"""Rows per read.
+
+A small part of what the table allows per second, so that a long scan leaves room for
+the reads that requests wait for.
+"""
 
 PAUSE: Seconds = 0.1
+"""Delay after a read that the rate limit refused."""
+
 TRIES = 100
-"""Ten seconds of waiting for one page before the scan gives up."""
+"""Maximum reads of one page; the scan then fails, after ten seconds of delays."""
 
 
 async def scan_rows(table: Table, prefix: str, after: str = "") -> AsyncIterator[Row]:
     """Read all rows whose key starts with a prefix, in the order of their keys.
 
+    Pages are read one after the other, so the rows are no snapshot of one time.
+
     Args:
         table: The table.
-        prefix: How the keys start.
-        after: The key behind which to begin; empty for the first.
+        prefix: The prefix of the keys.
+        after: Only rows with a greater key are read; empty for all.
 
     Yields:
-        The rows.
+        One row at a time.
 
     Raises:
-        UnavailableError: The table cannot be reached, or its ceiling left no room.
+        UnavailableError: The table cannot be reached; a `ThrottledError` if the rate
+            limit refused a page `TRIES` times.
     """
     while True:
         page = await read_page(table, prefix, after)
@@ -43,10 +51,11 @@
 
 
 async def read_page(table: Table, prefix: str, after: str) -> list[Row]:
-    """Read one page, waiting while the table's ceiling refuses it.
+    """Read one page, retrying with a delay while the rate limit refuses the read.
 
     Raises:
-        UnavailableError: The table cannot be reached, or its ceiling left no room.
+        UnavailableError: The table cannot be reached; a `ThrottledError` if the rate
+            limit refused a page `TRIES` times.
     """
     for _ in range(TRIES):
         try:
--- a/ebonyhold/settings.py
+++ b/ebonyhold/settings.py
@@ -1,4 +1,4 @@
-"""A daemon's own settings: a small YAML file, read once at the start."""
+"""A daemon's settings: a YAML file that is read once, when the daemon starts."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @frozen
 class TlsSettings:
-    """Files of a listener's certificate; they are read again when they change.
+    """Certificate files of a listener, which it reloads when they change.
 
     Attributes:
-        certificate: The certificate and its chain.
-        key: The certificate's key.
-        authority: Whose certificates those who connect must show; empty if they
-            need none.
+        certificate: File of the certificate and its chain.
+        key: File of the certificate's private key.
+        authority: File of the authorities that must have issued the client's
+            certificate; empty if clients need none.
     """
 
     certificate: str
@@ -30,10 +30,10 @@
 
 @frozen
 class Listener:
-    """Where a listener binds.
+    """The address and TLS files of a listener.
 
     Attributes:
-        bind: ``ip:port``.
+        bind: The address, ``ip:port``.
         tls: The certificate files, or None for plain text.
     """
 
@@ -43,14 +43,14 @@
 
 @frozen
 class PlatformSettings:
-    """Where the platform's services answer, as base URLs.
+    """Base URLs of the platform's services, and the timeout of calls to them.
 
     Attributes:
         table: The transactional table service.
         objects: The object store.
-        members: The membership list.
-        weights: The weight store; empty when there is none.
-        timeout: The longest wait for one call, in seconds.
+        members: The membership list; empty if there is none.
+        weights: The weight store; empty if there is none.
+        timeout: The timeout of one call, in seconds.
     """
 
     table: str
@@ -62,12 +62,13 @@
 
 @frozen
 class TracingSettings:
-    """Where spans go.
+    """How spans are exported.
 
     Attributes:
         exporter: ``none``, ``log`` or ``otlp``.
-        endpoint: The collector's URL for ``otlp``.
-        ratio: The part of the traces that is kept, from 0 to 1.
+        endpoint: The collector's URL for ``otlp``; empty for the exporter's default.
+        ratio: The share of the traces started here that is sampled, from 0 to 1. A
+            trace that a caller started keeps the caller's sampling decision.
     """
 
     exporter: str = "none"
@@ -77,21 +78,21 @@
 
 @frozen
 class Settings:
-    """Everything a daemon must know before it can read the document.
+    """What a daemon needs to know before it can read the fleet document.
 
     Attributes:
-        name: This VM's name; each start adds a boot identifier to it.
-        domain: Its failure domain.
-        callers: Where callers connect.
-        operators: Where operators, metrics and health checks connect.
-        peers: Where the other routers connect, ``ip:port``.
-        platform: Where the platform's services answer.
-        peer_keys: File of the routers' shared keys, newest first, one a line as
-            ``id:hexadecimal``.
-        operator_keys: File of SHA-256 hashes of the operators' keys, as
+        name: The VM's name, the first part of its router identifiers.
+        domain: The VM's failure domain.
+        callers: The listener for callers.
+        operators: The listener for operators, metrics and health checks.
+        peers: The address for other routers, ``ip:port``.
+        platform: The platform's services.
+        peer_keys: File of the keys that the routers share, newest first, one per line
+            as ``id:hexadecimal``.
+        operator_keys: File of SHA-256 hashes of the operators' keys, one per line as
             ``name:hexadecimal``.
-        log_level: The least severity that is logged.
-        tracing: Where spans go.
+        log_level: The minimum severity that is logged.
+        tracing: How spans are exported.
     """
 
     name: str
@@ -110,7 +111,8 @@
     """Read a settings file.
 
     Raises:
-        SettingsError: The file cannot be read or has findings; all are named.
+        SettingsError: The file cannot be read, or values in it are invalid; the
+            message lists all of these.
     """
     try:
         raw = yaml.safe_load(path.read_text(encoding="utf-8"))
--- a/ebonyhold/tasks.py
+++ b/ebonyhold/tasks.py
@@ -1,4 +1,4 @@
-"""Where tasks run, and what stands between one that fails and all others."""
+"""Types for starting tasks and for keeping one task's failure from the others."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TaskStarter(Protocol):
-    """Starts tasks: a task group, or what keeps one task's failure from the others."""
+    """Starts tasks: a task group, or a wrapper that isolates their failures."""
 
     def start_soon(
         self,
@@ -17,18 +17,18 @@
         *args: *Args,
         name: object = None,
     ) -> object:
-        """Start a task."""
+        """Start a task that runs the function with these arguments."""
         ...
 
 
 Run: TypeAlias = Callable[[], Awaitable[None]]
-"""Something to run once."""
+"""A function to run once."""
 
 Guard: TypeAlias = Callable[[Run], Awaitable[bool]]
-"""Runs something, and tells whether it ended without a failure."""
+"""Runs a function, and returns whether it ended without a failure."""
 
 
 async def unguarded(run: Run) -> bool:
-    """Run something whose failure is for the caller."""
+    """Run a function and return True; its exceptions go to the caller."""
     await run()
     return True
--- a/ebonyhold/tracing.py
+++ b/ebonyhold/tracing.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry traces: a span for each hop, W3C context carried through."""
+"""OpenTelemetry spans for calls between services, with W3C trace context."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class LogSpanExporter(SpanExporter):
-    """Writes each ended span as one log line."""
+    """Logs each ended span as one line."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Log the spans; it never fails."""
+        """Log the spans, and always report success."""
         for span in spans:
             context = span.get_span_context()
             assert context is not None
@@ -55,13 +55,13 @@
 
 
 def configure_tracing(settings: TracingSettings, router: str) -> TracerProvider | None:
-    """Install the exporter that the settings name.
+    """Install a tracer provider with the exporter that the settings name.
 
     Returns:
-        The provider, to be shut down at the end, or None without an exporter.
+        The provider, which the caller shuts down at the end; None for ``none``.
 
     Raises:
-        SettingsError: There is no exporter of that name.
+        SettingsError: The exporter's name is unknown.
     """
     if settings.exporter == "none":
         return None
@@ -83,12 +83,12 @@
 
 
 def context_from(headers: Mapping[str, str]) -> Context:
-    """Read the W3C trace context that a request carries."""
+    """Return the W3C trace context from a request's headers."""
     return _propagator.extract(headers)
 
 
 def context_headers() -> dict[str, str]:
-    """Return the headers that carry the current span to the next hop."""
+    """Return headers with the current trace context; empty outside of a trace."""
     headers: dict[str, str] = {}
     _propagator.inject(headers)
     return headers
@@ -96,10 +96,10 @@
 
 @contextmanager
 def inner_hop(name: str) -> Iterator[None]:
-    """Record a span for a hop, but only inside of a trace.
+    """Record a span for a call to another service if a trace is open.
 
-    Background polls call the same services many times a second; a trace of its
-    own for each would bury those of requests.
+    Background polls make such calls many times a second, outside of traces. A new
+    trace for each of them would make the traces of requests hard to find.
     """
     if not trace.get_current_span().get_span_context().is_valid:
         yield
@@ -112,12 +112,12 @@
 def hop(
     name: str, parent: Context | None = None, kind: SpanKind = SpanKind.CLIENT
 ) -> Iterator[Span]:
-    """Record a span for one hop.
+    """Record a span for a call between services; start a trace if none is open.
 
     Args:
-        name: What is called, such as ``table.commit``.
-        parent: The context it belongs to; the current one by default.
-        kind: The side of the hop that this process is on.
+        name: The call's name, such as ``table.commit``.
+        parent: The context of the parent span; the current one by default.
+        kind: Whether this process makes the call or serves it.
     """
     tracer = trace.get_tracer("ebonyhold")
     with tracer.start_as_current_span(name, context=parent, kind=kind) as span:
--- a/ebonyhold/types.py
+++ b/ebonyhold/types.py
@@ -1,4 +1,4 @@
-"""Type aliases shared by every package."""
+"""Type aliases that the packages share."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 """The name of a workspace, unique in one document."""
 
 RouterId: TypeAlias = str
-"""One life of one router process, written ``name.boot``.
+"""One incarnation of a router, written ``name.boot``.
 
-A router that restarts, or that finds its journal sealed, takes a new one.
+A router gets a new one when it restarts or finds that its journal was sealed.
 """
 
 HoldId: TypeAlias = str
-"""A hold of tokens for one request; unique among all routers and their lives."""
+"""A hold of tokens for one request; unique among all incarnations of all routers."""
 
 RequestId: TypeAlias = str
-"""One request of a workspace: the caller's idempotency key, or one made here."""
+"""A request of a workspace: the caller's idempotency key, or a generated one."""
 
 AttemptId: TypeAlias = str
-"""One dispatch of a request to one backend server."""
+"""One attempt: a dispatch of a request to a backend server."""
 
 BackendName: TypeAlias = str
 """The name of a backend server in the document."""
 
 Tokens: TypeAlias = int
-"""An amount of tokens, never negative unless the docstring says so."""
+"""An amount of tokens; not negative unless documented where it is used."""
 
 Seconds: TypeAlias = float
-"""A length of time, or a point on a monotonic clock."""
+"""A duration or a point in time, in seconds."""
 
 Json: TypeAlias = (
     "bool | int | float | str | Sequence[Json] | Mapping[str, Json] | None"
 )
-"""A value that JSON can carry."""
+"""A value that can be encoded as JSON."""
--- a/ebonyhold/version.py
+++ b/ebonyhold/version.py
@@ -1,3 +1,3 @@
-"""The version of this distribution."""
+"""The version of the ebonyhold distribution."""
 
 __version__ = "0.1.0"
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, mirroring the packages of ebonyhold."""
+"""Tests, in folders named like the packages of ebonyhold."""
--- a/tests/command/test_command.py
+++ b/tests/command/test_command.py
@@ -1,4 +1,4 @@
-"""The command line: output in both forms, and one exit code for each ending."""
+"""The commands: output as tables and as JSON, and exit codes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,11 @@
 
 @define
 class PortalTransport(httpx.BaseTransport):
-    """Carries a synchronous client's requests to an application in a portal."""
+    """Sends a synchronous client's requests to an ASGI application.
+
+    If `error` is set, it is raised after the application has answered, as when the
+    answer is lost.
+    """
 
     portal: BlockingPortal
     inner: httpx.ASGITransport
@@ -59,7 +63,7 @@
 
 @define
 class Tool:
-    """The command-line tool before a router of fakes."""
+    """Runs commands against the operators' interface of a router made of fakes."""
 
     bench: Bench
     transport: PortalTransport
@@ -95,7 +99,7 @@
         ("[", 1, "syntax"),
     ],
 )
-def test_check(tool: Tool, text: str, code: int, shown: str) -> None:
+def test_check_shows_findings(tool: Tool, text: str, code: int, shown: str) -> None:
     result = tool.run("check", tool.file(text))
     assert (result.exit_code, shown in result.output) == (code, True)
     as_json = json.loads(tool.run("check", tool.file(text), "--output", "json").stdout)
@@ -111,7 +115,7 @@
         ["budget", "top-up", "w", "0"],
     ],
 )
-def test_usage_errors(tool: Tool, arguments: list[str]) -> None:
+def test_usage_errors_exit_with_2(tool: Tool, arguments: list[str]) -> None:
     assert tool.run(*arguments).exit_code == 2
 
 
@@ -139,11 +143,10 @@
 
 
 def test_a_repeated_apply_is_no_lost_race(tool: Tool) -> None:
-    """The answer to an accepted apply is lost between router and operator.
+    """Guards against a repeated apply that fails or makes a second version.
 
-    The operator sees a timeout and repeats the same command, still based on
-    the old version.  The document is in force already, so this is a success
-    and there is no second version.
+    The answer to the first apply is lost, and the operator repeats the command with
+    the same base version. The document is in force already, so the repeat succeeds.
     """
     tool.transport.error = httpx.ReadTimeout("no answer")
     lost = tool.run("apply", tool.file(), "--based-on", "0")
@@ -161,7 +164,7 @@
         (httpx.ReadError("reset"), ["status"], 4),
     ],
 )
-def test_broken_connections(
+def test_connection_errors_set_the_exit_code(
     tool: Tool, error: httpx.TransportError, arguments: list[str], code: int
 ) -> None:
     tool.run("apply", tool.file())
@@ -173,7 +176,7 @@
     ("error", "code"),
     [(UnavailableError("down"), 4), (UnknownOutcomeError("lost"), 5)],
 )
-def test_platform_failures(
+def test_platform_errors_set_the_exit_code(
     tool: Tool, error: UnavailableError | UnknownOutcomeError, code: int
 ) -> None:
     tool.run("apply", tool.file())
@@ -186,7 +189,7 @@
     assert (result.exit_code, "unauthorized" in result.stderr) == (1, True)
 
 
-def test_wait_names_the_routers_that_lack_it(tool: Tool) -> None:
+def test_wait_names_the_routers_that_lack_the_version(tool: Tool) -> None:
     routers = (
         RouterStatus("a.1", "a", 1, "alive"),
         RouterStatus("b.1", "b", 0, "suspect"),
@@ -199,7 +202,7 @@
     assert "c.1" not in result.output
 
 
-def test_status_and_stops_name_what_holds_a_server(tool: Tool) -> None:
+def test_status_and_stops_show_requests_in_flight_at_a_server(tool: Tool) -> None:
     tool.run("apply", tool.file())
     router = RouterStatus("a.1", "a", 1, "alive", 2, (GrantStatus("w", 70, 30),), 1.0)
     backends = (
@@ -234,11 +237,11 @@
     assert tool.run("part", "put", "odd", "a?b", file).exit_code == 1
 
 
-def test_a_top_up_names_its_key_before_it_is_sent(tool: Tool) -> None:
-    """The answer to a top-up is lost; the operator must be able to repeat it.
+def test_a_top_up_prints_its_key_before_it_is_sent(tool: Tool) -> None:
+    """Guards against tokens that are added twice when a top-up is repeated.
 
-    The tokens were added, but the command ends with exit code 5.  The key was
-    printed before the call, and the repeat with it adds nothing.
+    The answer is lost after the tokens were added, so the command exits with 5. The
+    key was printed before the call, and repeating the command with it adds nothing.
     """
     tool.run("apply", tool.file())
     tool.transport.error = httpx.ReadTimeout("no answer")
@@ -251,7 +254,7 @@
     assert shown["budgets"][0]["prepaid"] == 500
 
 
-def test_bills(tool: Tool) -> None:
+def test_bills_are_listed_and_verified(tool: Tool) -> None:
     tool.run("apply", tool.file())
     assert "q1" in tool.run("bill", "list", "w").output
     assert "budgets of 1 workspaces add up" in tool.run("bill", "verify").output
--- a/tests/command/test_operating_page.py
+++ b/tests/command/test_operating_page.py
@@ -1,4 +1,4 @@
-"""The operators' page names what the tool and the settings have."""
+"""docs/OPERATIONS.md lists all exit codes, commands and settings."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     return found
 
 
-def test_exit_codes() -> None:
+def test_the_page_lists_all_exit_codes() -> None:
     table = PAGE.partition("## Exit codes")[2].partition("## ")[0]
     listed = {int(code) for code in re.findall(r"^\| (\d) \|", table, re.MULTILINE)}
     assert listed == {code.value for code in ExitCode}
 
 
 @pytest.mark.parametrize("command", commands(app))
-def test_commands(command: str) -> None:
+def test_the_page_names_each_command(command: str) -> None:
     short = command.removeprefix("ebonyhold ")
     assert f"`{command}" in PAGE or f"`{short}" in PAGE
 
 
 @pytest.mark.parametrize("setting", [each.name for each in attrs.fields(Settings)])
-def test_settings(setting: str) -> None:
+def test_the_page_lists_each_setting(setting: str) -> None:
     table = PAGE.partition("## Settings")[2].partition("## ")[0]
     assert re.search(rf"`{setting}[`.]", table)
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -1,4 +1,4 @@
-"""The base of the HTTP listeners: paths, bounded bodies, pieces of responses."""
+"""Requests, endpoints and responses of the HTTP listeners."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.anyio
 
-MOST = 10
+MAX_BYTES = 10
 
 
 @pytest.fixture
@@ -33,11 +33,11 @@
 def request_of(
     messages: Iterable[Message], headers: dict[str, str] | None = None
 ) -> Request:
-    waiting = iter(messages)
+    remaining = iter(messages)
     pairs = [(n.encode(), v.encode()) for n, v in (headers or {}).items()]
 
     async def receive() -> Message:
-        return next(waiting)
+        return next(remaining)
 
     scope = {
         "method": "post",
@@ -68,7 +68,9 @@
         ("GET", "/", ()),
     ],
 )
-async def test_paths(method: str, path: str, expected: tuple[Any, ...]) -> None:
+async def test_endpoints_are_found_by_method_and_path(
+    method: str, path: str, expected: tuple[Any, ...]
+) -> None:
     endpoints: Endpoints[None] = Endpoints()
     for name, wanted, pattern in (
         ("list", "GET", "/files"),
@@ -101,30 +103,30 @@
         ([body(b"1", True), GONE], {}, CallerGoneError),
     ],
 )
-async def test_bodies_are_bounded(
+async def test_a_body_above_the_limit_is_refused(
     messages: list[Message],
     headers: dict[str, str],
     expected: bytes | type[Exception],
 ) -> None:
     request = request_of(messages, headers)
     if isinstance(expected, bytes):
-        assert await request.body(MOST) == expected
+        assert await request.body(MAX_BYTES) == expected
     else:
         with pytest.raises(expected):
-            await request.body(MOST)
+            await request.body(MAX_BYTES)
 
 
 @pytest.mark.parametrize(
     ("header", "key"),
     [("Bearer k", "k"), ("bearer  k ", "k"), ("Basic k", ""), ("k", ""), ("", "")],
 )
-async def test_bearer_keys(header: str, key: str) -> None:
+async def test_bearer_key_method_and_query_are_read(header: str, key: str) -> None:
     request = request_of([], {"authorization": header})
     assert request.bearer() == key
     assert (request.method, request.query("a"), request.query("b")) == ("POST", "2", "")
 
 
-async def test_a_response_in_pieces() -> None:
+async def test_a_response_is_sent_in_parts() -> None:
     sent: list[Message] = []
 
     async def send(message: Message) -> None:
@@ -138,7 +140,7 @@
     assert [each.get("more_body", False) for each in sent] == [False, True, False]
 
 
-async def test_lifespan_and_disconnect() -> None:
+async def test_lifespan_is_acknowledged_and_a_disconnect_ends_the_wait() -> None:
     sent: list[Message] = []
 
     async def send(message: Message) -> None:
--- a/tests/test_scans.py
+++ b/tests/test_scans.py
@@ -1,4 +1,4 @@
-"""Scans keep under the table's ceiling."""
+"""Scans of many rows at the table's rate limit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ebonyhold.scans import PAGE, scan_rows
 from ebonyhold.standins import MemoryTable
 
-READS_A_SECOND = 600.0
+READS_PER_SECOND = 600.0
 
 
 async def fill(table: MemoryTable, count: int) -> None:
@@ -22,14 +22,14 @@
 
 @pytest.mark.parametrize("count", [0, 1, PAGE - 1, PAGE, PAGE + 1, 20 * PAGE])
 def test_reads_every_row_once(count: int) -> None:
-    """Operators verify the bills of a busy fleet.
+    """Guards against a scan that fails at the table's rate limit.
 
-    ``bill verify`` answered 503 each time it was tried: it read page after page
-    without a pause, and ran into the table's ceiling on reads.
+    ``bill verify`` of a busy fleet reads so many pages that it exceeds the limit on
+    reads. If throttled reads are not retried, the operator gets status 503.
     """
 
     async def run() -> list[object]:
-        table = MemoryTable.limited(0, READS_A_SECOND)
+        table = MemoryTable.limited(0, READS_PER_SECOND)
         await fill(table, count)
         return [row.value async for row in scan_rows(table, "r/")]
 
@@ -39,13 +39,13 @@
 
 
 class FullTable(MemoryTable):
-    """A table whose ceiling others use up."""
+    """A table that refuses every scan for its rate limit."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 1000) -> list[Row]:
         raise ThrottledError("the rate ceiling is reached")
 
 
-def test_gives_up_in_the_end() -> None:
+def test_a_scan_that_is_always_throttled_fails() -> None:
     async def run() -> None:
         async for _ in scan_rows(FullTable(), "r/"):
             pass
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""Spans carry the caller's trace on, and the log exporter names the hop."""
+"""Spans: the caller's trace context, the log exporter and calls outside of traces."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("inside", [True, False])
-def test_inner_hops_are_recorded_inside_of_a_trace_only(inside: bool) -> None:
+def test_inner_hops_are_recorded_only_inside_a_trace(inside: bool) -> None:
     exporter = InMemorySpanExporter()
     provider = TracerProvider()
     provider.add_span_processor(SimpleSpanProcessor(exporter))
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""A clock that jumps: tests that wait take no time."""
+"""A fixture that runs tests on a virtual clock, so that waiting takes no time."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 @pytest.fixture
 def anyio_backend() -> tuple[str, dict[str, Any]]:
-    """Run on trio with a clock that jumps ahead whenever all tasks wait."""
+    """Run on trio with a clock that advances at once whenever all tasks wait."""
     return "trio", {"clock": trio.testing.MockClock(autojump_threshold=0)}
