--- a/ebonyhold/_asgi.py
+++ b/ebonyhold/_asgi.py
@@ -30,7 +30,7 @@
 """Time limit for reading the rest of a refused request's body."""
 
 MAX_DISCARDED = 8_388_608
-"""Bytes after which a refused request's body is read no further.
+"""Bytes after which reading of a refused request's body stops.
 
 Eight times the default limit on request bodies.
 """
@@ -40,7 +40,7 @@
 
 
 class BodyTooLargeError(EbonyholdError):
-    """The request's body is larger than the limit for it."""
+    """The request's body is larger than the accepted maximum."""
 
     code = "body_too_large"
 
--- a/ebonyhold/command/_document.py
+++ b/ebonyhold/command/_document.py
@@ -11,7 +11,7 @@
 import typer
 
 from ebonyhold.command._app import app
-from ebonyhold.command._exits import ExitCode, errors, reports_errors
+from ebonyhold.command._exits import ExitCode, error_console, reports_errors
 from ebonyhold.command._options import DEFAULT_SERVER, Key, Output, OutputForm, Server
 from ebonyhold.command._output import console, render_time, write_json, write_rows
 from ebonyhold.document import check_bytes, plain_to_yaml
@@ -143,7 +143,7 @@
     try:
         return file.read_bytes()
     except OSError as error:
-        errors.print(f"error: {file}: {error.strerror}", markup=False)
+        error_console.print(f"error: {file}: {error.strerror}", markup=False)
         raise typer.Exit(ExitCode.USAGE) from error
 
 
--- a/ebonyhold/command/_exits.py
+++ b/ebonyhold/command/_exits.py
@@ -16,7 +16,7 @@
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
-errors = Console(stderr=True, highlight=False, soft_wrap=True)
+error_console = Console(stderr=True, highlight=False, soft_wrap=True)
 
 
 class ExitCode(IntEnum):
@@ -53,13 +53,13 @@
 def print_error(error: EbonyholdError) -> None:
     """Print an error to standard error, with the changes and findings in its detail."""
     code = error.remote_code if isinstance(error, RemoteError) else error.code
-    errors.print(f"error: {error} [{code}]", markup=False)
+    error_console.print(f"error: {error} [{code}]", markup=False)
     detail = error.detail if isinstance(error, RemoteError) else {}
     for path in detail.get("changed", ()):
-        errors.print(f"  changed meanwhile: {path}", markup=False)
+        error_console.print(f"  changed meanwhile: {path}", markup=False)
     for each in detail.get("findings", ()):
         line = "  {line}:{column} {path}: {message} [{code}]".format(**each)
-        errors.print(line, markup=False)
+        error_console.print(line, markup=False)
 
 
 def reports_errors(
--- a/ebonyhold/command/_experiment.py
+++ b/ebonyhold/command/_experiment.py
@@ -9,7 +9,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TimeElapsedColumn
 
 from ebonyhold.command._app import add_group
-from ebonyhold.command._exits import ExitCode, errors, reports_errors
+from ebonyhold.command._exits import ExitCode, error_console, reports_errors
 from ebonyhold.command._options import Output, OutputForm
 from ebonyhold.command._output import console, write_json, write_rows
 
@@ -98,7 +98,7 @@
     specs = [find_scenario(name) for name in dict.fromkeys(scenarios)]
     live_names = [spec.name for spec in specs if spec.kind is Kind.LIVE]
     if live_names and not live:
-        errors.print(f"error: {', '.join(live_names)}: add --live", markup=False)
+        error_console.print(f"error: {', '.join(live_names)}: add --live", markup=False)
         raise typer.Exit(ExitCode.USAGE)
     seeds = list(dict.fromkeys(seed or DEFAULT_SEEDS))
     wishes = make_wishes(specs, policy or [], seeds)
@@ -112,7 +112,7 @@
     console().print(f"{len(done)} runs are in {out}", markup=False)
     violations = [line for each in done for line in each.result.broken]
     for line in violations:
-        errors.print(f"broken promise: {line}", markup=False)
+        error_console.print(f"broken promise: {line}", markup=False)
     if violations:
         raise typer.Exit(ExitCode.FAILED)
 
@@ -140,7 +140,7 @@
         if (error.name or "").partition(".")[0] != "matplotlib":
             raise
         # Installations for daemons lack matplotlib: it is not in requirements/run.in.
-        errors.print("error: plots need matplotlib: pip install matplotlib")
+        error_console.print("error: plots need matplotlib: pip install matplotlib")
         raise typer.Exit(ExitCode.FAILED) from error
 
     written = [str(path) for path in write_report(folder)]
@@ -156,7 +156,7 @@
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        errors.print(f"error: {out}: {error.strerror}", markup=False)
+        error_console.print(f"error: {out}: {error.strerror}", markup=False)
         raise typer.Exit(ExitCode.USAGE) from error
 
 
@@ -175,7 +175,7 @@
         MofNCompleteColumn(),
         TimeElapsedColumn(),
     )
-    with Progress(*columns, console=errors) as progress:
+    with Progress(*columns, console=error_console) as progress:
         task = progress.add_task("", total=len(wishes))
         for wish in wishes:
             progress.update(task, description=str(wish.key))
--- a/ebonyhold/command/_fleet.py
+++ b/ebonyhold/command/_fleet.py
@@ -64,7 +64,7 @@
 
 
 def router_row(router: dict[str, Any]) -> dict[str, Any]:
-    """Return a router's table row, with the sum of its grants and a readable age."""
+    """Return a router's table row, with grants summed and the last confirmation."""
     grants = router.get("grants", ())
     held = sum(each["available"] + each.get("held", 0) for each in grants)
     age = router.get("confirmed_age", -1.0)
--- a/ebonyhold/command/_money.py
+++ b/ebonyhold/command/_money.py
@@ -9,7 +9,7 @@
 import typer
 
 from ebonyhold.command._app import add_group
-from ebonyhold.command._exits import ExitCode, errors, reports_errors
+from ebonyhold.command._exits import ExitCode, error_console, reports_errors
 from ebonyhold.command._options import DEFAULT_SERVER, Key, Output, OutputForm, Server
 from ebonyhold.command._output import render_time, write_rows
 from ebonyhold.operators import OperatorsClient
@@ -154,5 +154,5 @@
     """
     name = repeat_key or uuid4().hex
     if not repeat_key:
-        errors.print(f"to repeat this change safely: --repeat-key {name}")
+        error_console.print(f"to repeat this change safely: --repeat-key {name}")
     return name
--- a/ebonyhold/fleet.py
+++ b/ebonyhold/fleet.py
@@ -24,9 +24,9 @@
         version: The document's version; 0 before there is one.
         domain: The failure domain of this router.
         leaving: Backend servers that the membership list marks as leaving.
-        reported: Backend servers that report themselves as leaving.
+        reported: Backend servers whose latest load report marks them as leaving.
         wall_clock: Returns the seconds since the epoch, for planned stops.
-        planned: The document's planned stops, with times in seconds since the epoch.
+        planned_stops: The document's planned stops; times in seconds since the epoch.
     """
 
     document: Document
@@ -35,17 +35,17 @@
     leaving: frozenset[BackendName] = frozenset()
     reported: set[BackendName] = field(factory=set)
     wall_clock: Callable[[], Seconds] = time.time
-    planned: tuple[PlannedStop, ...] = field(init=False, factory=tuple)
+    planned_stops: tuple[PlannedStop, ...] = field(init=False, factory=tuple)
 
     def __attrs_post_init__(self) -> None:
         """Set the planned stops of the first document."""
         self.adopt(self.document, self.version)
 
     def adopt(self, document: Document, version: int) -> None:
-        """Put a document into force, and forget reports of servers that it lacks."""
+        """Put a document into force, and drop `reported` servers that it lacks."""
         self.document = document
         self.version = version
-        self.planned = tuple(
+        self.planned_stops = tuple(
             PlannedStop(
                 stop.name,
                 stop.starts.timestamp(),
@@ -63,12 +63,12 @@
 
         Any of three sources excludes a server, since each may lag behind the others:
         the document's planned stops by this router's clock, the membership list, and
-        the server's own load reports and refusals.
+        the server's own load reports.
         """
         if backend.name in self.leaving or backend.name in self.reported:
             return False
         now = self.wall_clock()
-        return not is_stopped(self.planned, backend.name, backend.domain, now)
+        return not is_stopped(self.planned_stops, backend.name, backend.domain, now)
 
     def model(self, name: str) -> ModelRoute | None:
         """Return the route of a model, or None if the document has none."""
--- a/ebonyhold/metrics.py
+++ b/ebonyhold/metrics.py
@@ -18,7 +18,7 @@
 
 
 class Metrics:
-    """All metrics of one daemon; each instance has its own registry, for tests."""
+    """All metrics of one daemon, in a registry that no other instance shares."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/ebonyhold/scans.py
+++ b/ebonyhold/scans.py
@@ -10,17 +10,17 @@
 from ebonyhold.exceptions import ThrottledError
 from ebonyhold.types import Seconds
 
-PAGE = 100
+PAGE_SIZE = 100
 """Rows per read.
 
 A small part of what the table allows per second, so that a long scan leaves room for
 the reads that requests wait for.
 """
 
-PAUSE: Seconds = 0.1
+RETRY_DELAY: Seconds = 0.1
 """Delay after a read that the rate limit refused."""
 
-TRIES = 100
+MAX_TRIES = 100
 """Maximum reads of one page; the scan then fails, after ten seconds of delays."""
 
 
@@ -39,13 +39,13 @@
 
     Raises:
         UnavailableError: The table cannot be reached; a `ThrottledError` if the rate
-            limit refused a page `TRIES` times.
+            limit refused a page `MAX_TRIES` times.
     """
     while True:
         page = await read_page(table, prefix, after)
         for row in page:
             yield row
-        if len(page) < PAGE:
+        if len(page) < PAGE_SIZE:
             return
         after = page[-1].key
 
@@ -55,11 +55,11 @@
 
     Raises:
         UnavailableError: The table cannot be reached; a `ThrottledError` if the rate
-            limit refused a page `TRIES` times.
+            limit refused a page `MAX_TRIES` times.
     """
-    for _ in range(TRIES):
+    for _ in range(MAX_TRIES):
         try:
-            return await table.scan(prefix, after, PAGE)
+            return await table.scan(prefix, after, PAGE_SIZE)
         except ThrottledError:
-            await anyio.sleep(PAUSE)
+            await anyio.sleep(RETRY_DELAY)
     raise ThrottledError(f"no room to read {prefix}")
--- a/ebonyhold/types.py
+++ b/ebonyhold/types.py
@@ -9,19 +9,25 @@
 """The name of a workspace, unique in one document."""
 
 RouterId: TypeAlias = str
-"""One incarnation of a router, written ``name.boot``.
+"""The identifier of one incarnation of a router, written ``name.boot``.
 
 A router gets a new one when it restarts or finds that its journal was sealed.
 """
 
 HoldId: TypeAlias = str
-"""A hold of tokens for one request; unique among all incarnations of all routers."""
+"""The identifier of a hold of tokens for one request.
+
+Unique among all incarnations of all routers.
+"""
 
 RequestId: TypeAlias = str
-"""A request of a workspace: the caller's idempotency key, or a generated one."""
+"""The identifier of a request in its workspace.
+
+The caller's idempotency key, or a generated one.
+"""
 
 AttemptId: TypeAlias = str
-"""One attempt: a dispatch of a request to a backend server."""
+"""The identifier of an attempt: one dispatch of a request to a backend server."""
 
 BackendName: TypeAlias = str
 """The name of a backend server in the document."""
--- a/tests/test_scans.py
+++ b/tests/test_scans.py
@@ -8,7 +8,7 @@
 
 from ebonyhold.coordination import Absent, Put, Row, Transaction
 from ebonyhold.exceptions import ThrottledError
-from ebonyhold.scans import PAGE, scan_rows
+from ebonyhold.scans import PAGE_SIZE, scan_rows
 from ebonyhold.standins import MemoryTable
 
 READS_PER_SECOND = 600.0
@@ -20,7 +20,9 @@
         await table.commit(Transaction((Absent(key),), (Put(key, number),)))
 
 
-@pytest.mark.parametrize("count", [0, 1, PAGE - 1, PAGE, PAGE + 1, 20 * PAGE])
+@pytest.mark.parametrize(
+    "count", [0, 1, PAGE_SIZE - 1, PAGE_SIZE, PAGE_SIZE + 1, 20 * PAGE_SIZE]
+)
 def test_reads_every_row_once(count: int) -> None:
     """Guards against a scan that fails at the table's rate limit.
 
