--- a/ebonyhold/command/_experiment.py
+++ b/ebonyhold/command/_experiment.py
@@ -1,4 +1,4 @@
-"""Commands that compare policies on scenarios; they need no fleet."""
+"""Commands that run scenarios with several policies and compare the results."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TimeElapsedColumn
 
 from ebonyhold.command._app import add_group
-from ebonyhold.command._exits import ExitCode, errors, reports_errors
+from ebonyhold.command._exits import ExitCode, error_console, reports_errors
 from ebonyhold.command._options import Output, OutputForm
 from ebonyhold.command._output import console, write_json, write_rows
 
@@ -58,8 +58,8 @@
 ]
 Folder = Annotated[Path, typer.Argument(help="A directory that `run` has written.")]
 
-# The benches, HDR histograms and matplotlib are slow to import, so each command
-# imports them when it runs: `ebonyhold --help` must stay fast.
+# Each command imports benches, HDR histograms and matplotlib only when it runs: they
+# are slow to import, and `ebonyhold --help` must stay fast.
 
 
 @group.command("list")
@@ -96,9 +96,9 @@
     from ebonyhold.experiments._runs import make_wishes
 
     specs = [find_scenario(name) for name in dict.fromkeys(scenarios)]
-    lively = [spec.name for spec in specs if spec.kind is Kind.LIVE]
-    if lively and not live:
-        errors.print(f"error: {', '.join(lively)}: add --live", markup=False)
+    live_names = [spec.name for spec in specs if spec.kind is Kind.LIVE]
+    if live_names and not live:
+        error_console.print(f"error: {', '.join(live_names)}: add --live", markup=False)
         raise typer.Exit(ExitCode.USAGE)
     seeds = list(dict.fromkeys(seed or DEFAULT_SEEDS))
     wishes = make_wishes(specs, policy or [], seeds)
@@ -107,13 +107,13 @@
     try:
         run_with_progress(wishes, done)
     finally:
-        # A long run that is interrupted, or fails, keeps what it has finished.
+        # If a run fails or is interrupted, the results of the finished runs are kept.
         write_results(out, done)
     console().print(f"{len(done)} runs are in {out}", markup=False)
-    broken = [line for each in done for line in each.result.broken]
-    for line in broken:
-        errors.print(f"broken promise: {line}", markup=False)
-    if broken:
+    violations = [line for each in done for line in each.result.broken]
+    for line in violations:
+        error_console.print(f"broken promise: {line}", markup=False)
+    if violations:
         raise typer.Exit(ExitCode.FAILED)
 
 
@@ -139,9 +139,8 @@
     except ModuleNotFoundError as error:
         if (error.name or "").partition(".")[0] != "matplotlib":
             raise
-        # A daemon's installation goes without plots: requirements/run.in has no
-        # matplotlib.
-        errors.print("error: plots need matplotlib: pip install matplotlib")
+        # Installations for daemons lack matplotlib: it is not in requirements/run.in.
+        error_console.print("error: plots need matplotlib: pip install matplotlib")
         raise typer.Exit(ExitCode.FAILED) from error
 
     written = [str(path) for path in write_report(folder)]
@@ -153,20 +152,20 @@
 
 
 def make_folder(out: Path) -> None:
-    """Make the directory before a long run, or leave with a usage error."""
+    """Create the results' directory; if that fails, exit with a usage error."""
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        errors.print(f"error: {out}: {error.strerror}", markup=False)
+        error_console.print(f"error: {out}: {error.strerror}", markup=False)
         raise typer.Exit(ExitCode.USAGE) from error
 
 
 def run_with_progress(wishes: list[Wish], done: list[Finished]) -> None:
-    """Run everything, with a progress bar on standard error.
+    """Run scenarios one after the other, with a progress bar on standard error.
 
     Args:
-        wishes: The runs that are wanted.
-        done: Takes the finished ones.
+        wishes: The runs to do.
+        done: Each finished run is appended here, so that none is lost on a failure.
     """
     from ebonyhold.experiments._runs import run_wish
 
@@ -176,7 +175,7 @@
         MofNCompleteColumn(),
         TimeElapsedColumn(),
     )
-    with Progress(*columns, console=errors) as progress:
+    with Progress(*columns, console=error_console) as progress:
         task = progress.add_task("", total=len(wishes))
         for wish in wishes:
             progress.update(task, description=str(wish.key))
