--- a/ebonyhold/backends/_attempt_status.py
+++ b/ebonyhold/backends/_attempt_status.py
@@ -8,17 +8,17 @@
 import httpx
 
 from ebonyhold.backends._http import base_url
-from ebonyhold.coordination import AttemptState, AttemptTruth
+from ebonyhold.coordination import AttemptState, AttemptStatus
 from ebonyhold.document import Backend, BackendKind
 from ebonyhold.exceptions import UnavailableError
 from ebonyhold.types import AttemptId, Seconds
 
-UNKNOWN = AttemptTruth(AttemptState.UNKNOWN)
+UNKNOWN = AttemptStatus(AttemptState.UNKNOWN)
 
 
 async def close_at_engine(
     client: httpx.AsyncClient, backend: Backend, attempt: AttemptId, timeout: Seconds
-) -> AttemptTruth:
+) -> AttemptStatus:
     """Close an attempt and return its status, or `UNKNOWN` for a plain service.
 
     The engine cancels the attempt if it runs, and refuses it if it arrives later.
@@ -41,7 +41,7 @@
         ) from error
 
 
-def parse_status(body: bytes) -> AttemptTruth:
+def parse_status(body: bytes) -> AttemptStatus:
     """Parse the response to a request that closes an attempt.
 
     Raises:
@@ -54,6 +54,6 @@
     tokens = (value.get("prompt_tokens", 0), value.get("completion_tokens", 0))
     if any(type(number) is not int or number < 0 for number in tokens):
         raise ValueError("a number of tokens is not a nonnegative integer")
-    return AttemptTruth(
+    return AttemptStatus(
         AttemptState(value["state"]), *tokens, str(value.get("boot", ""))
     )
--- a/ebonyhold/backends/_engine.py
+++ b/ebonyhold/backends/_engine.py
@@ -73,13 +73,15 @@
             content=call.body,
             headers=call_headers(call),
         )
-        async with open_response(self.client, request, self.timeouts.first) as response:
+        async with open_response(
+            self.client, request, self.timeouts.headers
+        ) as response:
             check_attempt(response, call.attempt)
             if response.status_code != httpx.codes.OK:
                 await raise_for_status(response)
             yield response
 
-    async def whole(self, backend: Backend, call: EngineCall) -> Answer:
+    async def fetch_answer(self, backend: Backend, call: EngineCall) -> Answer:
         """Send an attempt and return its complete answer.
 
         Raises:
@@ -185,8 +187,8 @@
     status = response.status_code
     if status in RETRYABLE_STATUSES:
         body = await read_bounded(response, MAX_REFUSAL_BYTES)
-        raise RefusedError(status, body, final=False)
+        raise RefusedError(status, body, permanent=False)
     if 400 <= status < 500:
         body = await read_bounded(response, MAX_REFUSAL_BYTES)
-        raise RefusedError(status, body, final=True)
+        raise RefusedError(status, body, permanent=True)
     raise BackendError(f"the engine returned status {status}", ran=True)
--- a/ebonyhold/backends/_http.py
+++ b/ebonyhold/backends/_http.py
@@ -34,16 +34,16 @@
     Attributes:
         status: The HTTP status.
         body: The body of the server's response.
-        final: Whether other servers are expected to refuse the attempt too.
+        permanent: Whether other servers are expected to refuse the attempt too.
     """
 
     code = "backend_refused"
 
-    def __init__(self, status: int, body: bytes, *, final: bool) -> None:
+    def __init__(self, status: int, body: bytes, *, permanent: bool) -> None:
         super().__init__(f"the backend server answered {status}", ran=False)
         self.status = status
         self.body = body
-        self.final = final
+        self.permanent = permanent
 
 
 class UnreachableError(BackendError):
--- a/ebonyhold/backends/_messages.py
+++ b/ebonyhold/backends/_messages.py
@@ -86,13 +86,13 @@
 
     Attributes:
         connect: For opening a connection.
-        first: From the start of a request until all headers of its response arrive.
+        headers: From the start of a request until all headers of its response arrive.
         stall: Between two outputs of a stream; also for each read or write of a socket.
         close: For a request that closes an attempt.
     """
 
     connect: Seconds = 0.5
-    first: Seconds = 20.0
+    headers: Seconds = 20.0
     stall: Seconds = 10.0
     close: Seconds = 1.5
 
@@ -135,7 +135,7 @@
         headers: The caller's headers that are forwarded.
         body: The request body.
         timeout: The time limit for the complete answer, in seconds.
-        most_body: The maximum size of the answer's body, in bytes.
+        max_body: The maximum size of the answer's body, in bytes.
         key: The caller's idempotency key, or empty.
     """
 
@@ -145,7 +145,7 @@
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
     timeout: Seconds = 10.0
-    most_body: int = 1_048_576
+    max_body: int = 1_048_576
     key: str = ""
 
 
--- a/ebonyhold/backends/_placement.py
+++ b/ebonyhold/backends/_placement.py
@@ -20,8 +20,8 @@
     EngineOrder,
     EngineView,
     HeldLease,
+    LeaseObservation,
     LeasePlan,
-    LeaseSighting,
     OrderRow,
     Placement,
     Put,
@@ -29,12 +29,12 @@
     Transaction,
     from_json,
     lease_key,
+    observe_lease,
     order_key,
     order_prefix,
     plan_acquire,
     plan_renew,
     resolve_lease,
-    sight_lease,
     to_json,
 )
 from ebonyhold.document import BackendKind
@@ -81,7 +81,7 @@
     placement: Placement = field(factory=Placement)
     clock: Callable[[], Seconds] = time.time
     held: HeldLease | None = None
-    observation: LeaseSighting | None = None
+    observation: LeaseObservation | None = None
 
     async def run(self) -> None:
         """Run one round after another until cancelled; log rounds that fail."""
@@ -131,7 +131,7 @@
         (row,) = await self.table.read((lease_key(LEASE_NAME),))
         now = anyio.current_time()
         if row is not None:
-            self.observation = sight_lease(self.observation, row, now)
+            self.observation = observe_lease(self.observation, row, now)
         plan = plan_acquire(
             LEASE_NAME, self.router(), row, self.observation, LEASE_DURATION, now
         )
@@ -176,7 +176,7 @@
     async def pending_unloads(self) -> list[OrderRow]:
         """Return the unload orders that an engine may still execute.
 
-        Rows older than `doubt_for` seconds are deleted.  Rows that cannot be decoded
+        Rows older than `in_doubt_for` seconds are deleted.  Rows that cannot be decoded
         are logged and skipped.
 
         Raises:
@@ -189,7 +189,7 @@
                 found.append(from_json(row.value, OrderRow))
             except cattrs.BaseValidationError:
                 logger.warning("order row cannot be decoded", extra={"key": row.key})
-        oldest = self.clock() - self.placement.policy.doubt_for
+        oldest = self.clock() - self.placement.policy.in_doubt_for
         await self.delete_unloads([row for row in found if row.at < oldest])
         return [row for row in found if row.at >= oldest]
 
--- a/ebonyhold/backends/_poll.py
+++ b/ebonyhold/backends/_poll.py
@@ -69,4 +69,4 @@
         reported = from_bytes(body, CacheEvents)
     except (ValueError, cattrs.BaseValidationError):
         return
-    state.learn(reported.events)
+    state.apply_events(reported.events)
--- a/ebonyhold/backends/_service.py
+++ b/ebonyhold/backends/_service.py
@@ -69,7 +69,7 @@
         )
         async with open_response(self.client, request, call.timeout) as response:
             check_attempt(response, call.attempt)
-            body = await read_bounded(response, call.most_body)
+            body = await read_bounded(response, call.max_body)
             return Answer(
                 response.status_code,
                 response.headers.get("content-type", ""),
--- a/ebonyhold/backends/_sse.py
+++ b/ebonyhold/backends/_sse.py
@@ -75,7 +75,7 @@
         usage: The usage that the current attempt reported; None before it does.
         indexed: Whether the engine numbers its tokens; otherwise no attempt can resume
             the answer.
-        opened: Whether any event except usage was passed on to the caller.
+        has_output: Whether any event except usage was passed on to the caller.
         first_answer_id: The ``"id"`` member of the answer's JSON in the first attempt.
         answer_id: The ``"id"`` member of the answer's JSON in this attempt.
         skipped: Number of repeated tokens that were dropped.
@@ -87,7 +87,7 @@
     done: bool = False
     usage: Usage | None = None
     indexed: bool = True
-    opened: bool = False
+    has_output: bool = False
     first_answer_id: bytes = b""
     answer_id: bytes = b""
     skipped: int = 0
@@ -158,7 +158,7 @@
         if index > self.expected or self.finished:
             raise BrokenStreamError(f"token {index} received, {self.expected} expected")
         self.expected = index + 1
-        self.opened = True
+        self.has_output = True
         return event + EVENT_END
 
     def accept_done(self, event: bytes) -> bytes:
@@ -197,12 +197,12 @@
             if self.finished:
                 return b""
             self.finished = True
-        elif self.opened:
+        elif self.has_output:
             if self.expected > 0:
                 # The opening event of a resumed attempt; the caller has one already.
                 return b""
             self.indexed = False
-        self.opened = True
+        self.has_output = True
         return event + EVENT_END
 
     @property
--- a/ebonyhold/backends/_state.py
+++ b/ebonyhold/backends/_state.py
@@ -90,7 +90,7 @@
         engine = self.backend.kind is BackendKind.ENGINE
         self.window = max(1.0, slots * INITIAL_WINDOW) if engine else slots
 
-    def heard(self, report: LoadReport, now: Seconds) -> None:
+    def record_report(self, report: LoadReport, now: Seconds) -> None:
         """Store a load report and adjust the window, unless the report is outdated.
 
         A report is outdated if it has the boot identifier of the latest report and a
@@ -127,7 +127,7 @@
             growth = self.window * PROBING_GROWTH if self.probing else WINDOW_GROWTH
             self.window = min(float(self.backend.slots), self.window + growth)
 
-    def learn(self, events: Iterable[CacheEvent]) -> None:
+    def apply_events(self, events: Iterable[CacheEvent]) -> None:
         """Apply cache events in order to the prefix index; skip any applied before."""
         for event in sorted(events, key=lambda item: item.sequence):
             if event.sequence <= self.prefixes.sequence:
--- a/ebonyhold/backends/_table.py
+++ b/ebonyhold/backends/_table.py
@@ -17,13 +17,13 @@
 from ebonyhold.backends._service import ServiceClient
 from ebonyhold.backends._state import BackendState
 from ebonyhold.coordination import (
-    AttemptTruth,
+    AttemptStatus,
     ChoicePolicy,
+    DrainingServer,
     Ejector,
-    Holding,
     InProgress,
     Need,
-    holdings,
+    draining_servers,
     make_choice_policy,
     working_set,
 )
@@ -48,7 +48,7 @@
 A group is all engines that are configured with the same models.
 """
 
-CACHE_EVERY = 4
+CACHE_POLL_ROUNDS = 4
 """Number of poll rounds per request for cache events.
 
 Requesting them more often would gain little: cache events are out of date when they
@@ -74,7 +74,7 @@
         fleet: The current document, and which servers are leaving.
         rng: The random number generator.
         timeouts: The timeouts of calls to servers.
-        poll_every: The minimum mean time between two polls of one engine, and the
+        poll_interval: The minimum mean time between two polls of one engine, and the
             timeout of each request of a poll, in seconds.
         transport: Replaces the transport over TCP, in tests.
         client: The HTTP client of all calls.
@@ -87,13 +87,13 @@
         rounds: Number of rounds of polls that were started.
         working: The engines that this router polls and prefers.
         self_id: A random id, so that routers choose different working sets.
-        changed: Called when free slots may have changed: after each poll and attempt.
+        on_change: Called when free slots may have changed: after each poll and attempt.
     """
 
     fleet: FleetView
     rng: random.Random = field(factory=random.Random)
     timeouts: Timeouts = field(factory=Timeouts)
-    poll_every: Seconds = POLL_INTERVAL
+    poll_interval: Seconds = POLL_INTERVAL
     transport: httpx.AsyncBaseTransport | None = None
     client: httpx.AsyncClient = field(init=False)
     engines: EngineClient = field(init=False)
@@ -105,7 +105,7 @@
     rounds: int = 0
     working: frozenset[BackendName] = frozenset()
     self_id: str = field(init=False)
-    changed: Callable[[], None] = field(default=lambda: None)
+    on_change: Callable[[], None] = field(default=lambda: None)
 
     def __attrs_post_init__(self) -> None:
         """Draw the random id and create the clients."""
@@ -130,7 +130,7 @@
 
     def pause(self) -> Seconds:
         """Return the randomly varied pause before the next round of polls."""
-        period = max(self.poll_every, len(self.working) / MAX_POLL_RATE)
+        period = max(self.poll_interval, len(self.working) / MAX_POLL_RATE)
         return period * (1 + POLL_JITTER * (self.rng.random() - 0.5))
 
     async def poll(self, state: BackendState) -> None:
@@ -138,18 +138,18 @@
 
         A missing or invalid report counts as a failed connection to the engine.
         """
-        report = await poll_load(self.client, state.backend, self.poll_every)
+        report = await poll_load(self.client, state.backend, self.poll_interval)
         name = state.backend.name
         if report is None:
             self.ejector.lost(name, anyio.current_time())
-            self.changed()
+            self.on_change()
             return
         self.ejector.reached(name)
-        state.heard(report, anyio.current_time())
+        state.record_report(report, anyio.current_time())
         self.update_leaving(name, report.leaving)
-        if self.rounds % CACHE_EVERY == 0:
-            await poll_cache(self.client, state, self.poll_every)
-        self.changed()
+        if self.rounds % CACHE_POLL_ROUNDS == 0:
+            await poll_cache(self.client, state, self.poll_interval)
+        self.on_change()
 
     def update_leaving(self, name: BackendName, leaving: bool) -> None:
         """Record in the fleet view whether a server reports that it is leaving."""
@@ -227,7 +227,7 @@
             if state.backend.name not in ejected and state.backend.name not in tried
         ]
 
-    def free(self, kind: BackendKind, name: str) -> int:
+    def free_slots(self, kind: BackendKind, name: str) -> int:
         """Return the free slots of all usable servers of a model or service."""
         return sum(state.free_slots for state in self.usable(kind, name))
 
@@ -276,7 +276,7 @@
 
     async def close_attempt(
         self, backend: BackendName, attempt: AttemptId
-    ) -> AttemptTruth:
+    ) -> AttemptStatus:
         """Close an attempt permanently and return its status.
 
         The status is `UNKNOWN` for a plain service, for a server that is no longer in
@@ -292,14 +292,14 @@
         except UnavailableError:
             return UNKNOWN
 
-    def holdings(self) -> tuple[Holding, ...]:
+    def draining_servers(self) -> tuple[DrainingServer, ...]:
         """Return the leaving servers, each with this router's requests that it runs."""
         leaving = [
             state.backend.name
             for state in self.states.values()
             if not self.fleet.accepts(state.backend)
         ]
-        return holdings(leaving, self.in_progress())
+        return draining_servers(leaving, self.in_progress())
 
     def in_progress(self) -> Sequence[InProgress]:
         """Return the requests of all running attempts of this router."""
--- a/ebonyhold/callers/_app.py
+++ b/ebonyhold/callers/_app.py
@@ -20,10 +20,6 @@
     answer_lifespan,
 )
 from ebonyhold.backends import Backends
-from ebonyhold.callers._ask import (
-    Identity,
-    read_identity,
-)
 from ebonyhold.callers._codes import (
     BODY_TOO_LARGE,
     INTERNAL,
@@ -33,9 +29,13 @@
     Ran,
 )
 from ebonyhold.callers._endpoints import Call, endpoints
-from ebonyhold.callers._flight import LAST_PATIENCE, OpenRequest, stop_refusal
 from ebonyhold.callers._gate import Gate
 from ebonyhold.callers._keys import KeyRing
+from ebonyhold.callers._open_request import STOP_GRACE, OpenRequest, stop_refusal
+from ebonyhold.callers._parsing import (
+    Identity,
+    read_identity,
+)
 from ebonyhold.callers._refusals import SOON, Refusal, refusal_for
 from ebonyhold.callers._response import Response, refuse
 from ebonyhold.coordination import RetryBudget
@@ -49,8 +49,8 @@
 
 logger = logging.getLogger(__name__)
 
-INTERRUPT_WITHIN: Seconds = LAST_PATIENCE + 3.0
-"""How long `CallersApp.interrupt` waits: 3 s more than `LAST_PATIENCE`."""
+INTERRUPT_TIMEOUT: Seconds = STOP_GRACE + 3.0
+"""How long `CallersApp.interrupt` waits: 3 s more than `STOP_GRACE`."""
 
 
 @define
@@ -86,7 +86,7 @@
     def __attrs_post_init__(self) -> None:
         """Create the key ring, and call `pump` when a backend server changes."""
         self.keys = KeyRing(self.fleet)
-        self.backends.changed = self.pump
+        self.backends.on_change = self.pump
 
     @property
     def active(self) -> int:
@@ -181,7 +181,7 @@
             open_request.ended.set()
 
     async def interrupt(self) -> None:
-        """Interrupt all open requests; wait for them at most `INTERRUPT_WITHIN`.
+        """Interrupt all open requests; wait for them at most `INTERRUPT_TIMEOUT`.
 
         The stop of the router calls this before it files the last bills and returns
         the grants.  A request that continued would be cut when the listener closes:
@@ -191,7 +191,7 @@
         open_requests = tuple(self.open_requests)
         for open_request in open_requests:
             open_request.interrupt()
-        with anyio.move_on_after(INTERRUPT_WITHIN):
+        with anyio.move_on_after(INTERRUPT_TIMEOUT):
             for open_request in open_requests:
                 await open_request.ended.wait()
 
@@ -232,7 +232,7 @@
         """Return the gate of a model or a plain service, created at first use."""
         if (kind, name) not in self.gates:
             self.gates[kind, name] = Gate(
-                lambda: self.backends.free(kind, name),
+                lambda: self.backends.free_slots(kind, name),
                 lambda: bool(self.backends.usable(kind, name)),
             )
         return self.gates[kind, name]
--- a/ebonyhold/callers/_chat.py
+++ b/ebonyhold/callers/_chat.py
@@ -16,7 +16,7 @@
     Ran,
 )
 from ebonyhold.callers._disconnect import run_until_disconnect
-from ebonyhold.callers._flight import stop_deadline, stop_refusal
+from ebonyhold.callers._open_request import stop_deadline, stop_refusal
 from ebonyhold.callers._pipe import Pipe
 from ebonyhold.callers._refusals import Refusal, refusal_for
 from ebonyhold.callers._run import ChatRun, ReplayedError, read_answer_usage
@@ -93,7 +93,7 @@
 
     async def dispatch(self, state: BackendState, call: EngineCall) -> None:
         """Make one attempt and store its answer and usage."""
-        answer = await self.run.backends.engines.whole(state.backend, call)
+        answer = await self.run.backends.engines.fetch_answer(state.backend, call)
         self.run.usage = read_answer_usage(answer.body)
         self.answer = answer
 
--- a/ebonyhold/callers/_endpoints.py
+++ b/ebonyhold/callers/_endpoints.py
@@ -16,23 +16,23 @@
     header,
     send_json,
 )
-from ebonyhold.callers._ask import Identity, Urgency, read_chat, read_urgency
 from ebonyhold.callers._chat import StreamedChat, WholeChat
 from ebonyhold.callers._codes import (
     BODY_TIMEOUT,
     SERVICE_UNKNOWN,
 )
 from ebonyhold.callers._disconnect import run_until_disconnect
-from ebonyhold.callers._flight import OpenRequest
 from ebonyhold.callers._gate import Gate, Waiter
 from ebonyhold.callers._keys import Caller
+from ebonyhold.callers._open_request import OpenRequest
+from ebonyhold.callers._parsing import Identity, Urgency, read_chat, read_urgency
 from ebonyhold.callers._pipe import Pipe
 from ebonyhold.callers._refusals import Refusal
 from ebonyhold.callers._response import REQUEST_HEADER
 from ebonyhold.callers._run import ChatRun
 from ebonyhold.callers._services import ServiceRun, read_service
 from ebonyhold.callers._serving import Serving
-from ebonyhold.coordination import Share
+from ebonyhold.coordination import AdmissionLimits
 from ebonyhold.document import BackendKind, Workspace
 from ebonyhold.types import Json, Seconds
 
@@ -72,7 +72,7 @@
         """Report to the gate that a server is chosen; later calls do nothing."""
         if not self.reported:
             self.reported = True
-            self.gate.arrived()
+            self.gate.server_chosen()
 
 
 endpoints: Endpoints[Call] = Endpoints()
@@ -124,7 +124,7 @@
         yield admission
     finally:
         admission.server_chosen()
-        gate.left(waiter.ticket)
+        gate.finished(waiter.ticket)
 
 
 async def wait_for_admission(gate: Gate, call: Call, urgency: Urgency) -> Waiter:
@@ -139,7 +139,7 @@
         workspace.name,
         admission_limits(workspace),
         urgency.priority,
-        urgency.patience,
+        urgency.wait_timeout,
         urgency.shed_after,
     )
     if not waiter.event.is_set():
@@ -205,6 +205,6 @@
         raise Refusal(BODY_TIMEOUT) from error
 
 
-def admission_limits(workspace: Workspace) -> Share:
+def admission_limits(workspace: Workspace) -> AdmissionLimits:
     """Return the admission limits of a workspace."""
-    return Share(workspace.concurrency, workspace.queue, workspace.weight)
+    return AdmissionLimits(workspace.concurrency, workspace.queue, workspace.weight)
--- a/ebonyhold/callers/_gate.py
+++ b/ebonyhold/callers/_gate.py
@@ -15,7 +15,7 @@
     WORKSPACE_LIMIT,
 )
 from ebonyhold.callers._refusals import SOON, Refusal
-from ebonyhold.coordination import AdmissionQueue, Refused, Share, Ticket
+from ebonyhold.coordination import AdmissionLimits, AdmissionQueue, Refused, Ticket
 from ebonyhold.types import Seconds, WorkspaceName
 
 
@@ -58,7 +58,7 @@
     def offer(
         self,
         workspace: WorkspaceName,
-        share: Share,
+        share: AdmissionLimits,
         priority: int,
         wait_timeout: Seconds,
         shed_after: Seconds = math.inf,
@@ -66,8 +66,8 @@
         """Queue a request, and admit it at once if possible.
 
         After an immediate admission the event of the returned waiter is already set.
-        For each admitted request `arrived` must be called once, when its server is
-        chosen, and `left` at its end.
+        For each admitted request `server_chosen` must be called once, when its server
+        is chosen, and `finished` at its end.
 
         Args:
             workspace: The workspace that pays.
@@ -127,13 +127,13 @@
             self.queue.leave(waiter.ticket)
         elif waiter.refusal is None:
             self.pending -= 1
-            self.left(waiter.ticket)
+            self.finished(waiter.ticket)
 
-    def arrived(self) -> None:
+    def server_chosen(self) -> None:
         """Record that an admitted request is now counted at its backend server."""
         self.pending -= 1
 
-    def left(self, ticket: Ticket) -> None:
+    def finished(self, ticket: Ticket) -> None:
         """Record the end of an admitted request, and admit waiting ones if possible."""
         self.queue.finished(ticket, anyio.current_time())
         self.pump()
--- a/ebonyhold/callers/_flight.py
+++ b/ebonyhold/callers/_open_request.py
@@ -16,7 +16,7 @@
 from ebonyhold.callers._response import Response
 from ebonyhold.types import Seconds
 
-LAST_PATIENCE: Seconds = 5.0
+STOP_GRACE: Seconds = 5.0
 """How long a request whose answer is not streamed may still run after `interrupt`.
 
 Most such requests need less.  The caller of a request that is cut gets no answer, and
@@ -28,7 +28,7 @@
     """Work on a request; it can end early and then reports whether the request ran."""
 
     def interrupt(self) -> None:
-        """End with an answer, a refusal or an error event, within `LAST_PATIENCE`."""
+        """End with an answer, a refusal or an error event, within `STOP_GRACE`."""
         ...
 
 
@@ -79,7 +79,7 @@
 
 def stop_deadline() -> Seconds:
     """Return when to cancel a request without a stream that is interrupted now."""
-    return anyio.current_time() + LAST_PATIENCE
+    return anyio.current_time() + STOP_GRACE
 
 
 def stop_refusal(ran: Ran, retry_after: Seconds = SOON) -> Refusal:
--- a/ebonyhold/callers/_ask.py
+++ b/ebonyhold/callers/_parsing.py
@@ -76,13 +76,13 @@
 
     Attributes:
         priority: Requests with a larger priority start first.
-        patience: The longest wait, in seconds.
+        wait_timeout: The longest wait, in seconds.
         shed_after: The longest wait while the queue is standing, in seconds;
             infinite if the caller names a deadline.
     """
 
     priority: int
-    patience: Seconds
+    wait_timeout: Seconds
     shed_after: Seconds = math.inf
 
 
--- a/ebonyhold/callers/_run.py
+++ b/ebonyhold/callers/_run.py
@@ -19,7 +19,6 @@
     Usage,
     read_usage,
 )
-from ebonyhold.callers._ask import ChatRequest, Identity
 from ebonyhold.callers._codes import (
     ANSWER_INCOMPLETE,
     BACKEND_FAILED,
@@ -27,10 +26,11 @@
     NO_BACKEND,
     Ran,
 )
+from ebonyhold.callers._parsing import ChatRequest, Identity
 from ebonyhold.callers._refusals import SOON, Refusal
 from ebonyhold.coordination import (
     AttemptState,
-    AttemptTruth,
+    AttemptStatus,
     Backoff,
     Need,
     Outcome,
@@ -169,7 +169,7 @@
                 return
             finally:
                 state.ended(permit.attempt)
-                self.backends.changed()
+                self.backends.on_change()
 
     def count(self, state: BackendState, result: str) -> None:
         """Count an attempt by engine and result."""
@@ -196,7 +196,7 @@
         Its code depends on whether a part of the answer was sent to the caller and, if
         not, on whether an attempt may have run.
         """
-        if self.check.opened:
+        if self.check.has_output:
             return Refusal(ANSWER_INCOMPLETE)
         if self.unclosed:
             return Refusal(BACKEND_FAILED, retry_after=SOON)
@@ -235,7 +235,7 @@
             EbonyholdError: The attempt may not be dispatched.
         """
         if self.permit is not None:
-            return await self.money.again(self.permit, state.backend.name, boot)
+            return await self.money.retry(self.permit, state.backend.name, boot)
         self.retries.first_attempt()
         answer = await self.money.begin(self.order(state, boot))
         if isinstance(answer, Replay):
@@ -284,12 +284,16 @@
         self.report_error(state, error)
         if error.ran:
             self.add_unclosed(state, permit)
-        if isinstance(error, RefusedError) and error.final and not self.check.opened:
+        if (
+            isinstance(error, RefusedError)
+            and error.permanent
+            and not self.check.has_output
+        ):
             message = error.body.decode("utf-8", "replace")
             raise Refusal(BACKEND_REJECTED, engine_message(message)) from error
         if self.attempts >= MAX_ATTEMPTS or not self.may_repeat(error):
             raise self.refusal() from error
-        if error.ran and not self.check.opened:
+        if error.ran and not self.check.has_output:
             await anyio.sleep(
                 self.backoff.wait(self.attempts, self.backends.rng.random())
             )
@@ -316,7 +320,7 @@
         """
         if not error.ran:
             return True
-        if self.check.opened:
+        if self.check.has_output:
             return self.check.resumable
         return self.retries.take()
 
@@ -340,9 +344,9 @@
                 await self.money.finish(self.permit, self.outcome(statuses, ran))
         return ran
 
-    async def close_attempts(self) -> list[AttemptTruth]:
+    async def close_attempts(self) -> list[AttemptStatus]:
         """Close the recorded attempts concurrently; return the reported statuses."""
-        statuses: list[AttemptTruth] = []
+        statuses: list[AttemptStatus] = []
 
         async def close(item: UnclosedAttempt) -> None:
             status = await self.backends.close_attempt(item.backend, item.attempt)
@@ -353,7 +357,7 @@
                 group.start_soon(close, item)
         return statuses
 
-    def outcome(self, statuses: list[AttemptTruth], ran: Ran) -> Outcome:
+    def outcome(self, statuses: list[AttemptStatus], ran: Ran) -> Outcome:
         """Return the outcome of the request with its charge.
 
         The charge is at most the bounds of prompt and answer; tokens above them are
@@ -378,7 +382,7 @@
             prompt + completion - charge,
         )
 
-    def ran_tokens(self, statuses: list[AttemptTruth]) -> tuple[Tokens, Tokens]:
+    def ran_tokens(self, statuses: list[AttemptStatus]) -> tuple[Tokens, Tokens]:
         """Return the tokens of the prompt and of the answer that count for the bill.
 
         With usage, the engine's numbers count.  Without usage, the numbers in the
@@ -396,22 +400,22 @@
         completion = max((status.completion_tokens for status in statuses), default=0)
         if self.complete or self.aborted:
             return prompt, max(completion, self.check.expected)
-        return (prompt if self.check.opened else 0), self.check.expected
+        return (prompt if self.check.has_output else 0), self.check.expected
 
 
-def may_have_run(statuses: list[AttemptTruth]) -> bool:
+def may_have_run(statuses: list[AttemptStatus]) -> bool:
     """Return whether any attempt may have run: its status is not NEVER_RAN."""
     return any(status.state is not AttemptState.NEVER_RAN for status in statuses)
 
 
-def trusted_status(status: AttemptTruth, boot: str) -> AttemptTruth:
+def trusted_status(status: AttemptStatus, boot: str) -> AttemptStatus:
     """Return the status, or UNKNOWN if a restarted server reports NEVER_RAN.
 
     A restarted server has lost the record of what it ran.  It is recognised by a boot
     identifier other than `boot`, with which the attempt was sent.
     """
     if status.state is AttemptState.NEVER_RAN and status.boot != boot:
-        return AttemptTruth(AttemptState.UNKNOWN, boot=status.boot)
+        return AttemptStatus(AttemptState.UNKNOWN, boot=status.boot)
     return status
 
 
--- a/ebonyhold/callers/_services.py
+++ b/ebonyhold/callers/_services.py
@@ -18,7 +18,6 @@
     UnreachableError,
     request_headers,
 )
-from ebonyhold.callers._ask import Identity
 from ebonyhold.callers._chat import REQUEST_HEADER, send_kept, to_kept_answer
 from ebonyhold.callers._codes import (
     BACKEND_FAILED,
@@ -27,7 +26,8 @@
     PARAMETER_INVALID,
     Ran,
 )
-from ebonyhold.callers._flight import stop_deadline, stop_refusal
+from ebonyhold.callers._open_request import stop_deadline, stop_refusal
+from ebonyhold.callers._parsing import Identity
 from ebonyhold.callers._refusals import SOON, Refusal
 from ebonyhold.coordination import (
     Outcome,
@@ -268,7 +268,7 @@
         if self.is_free:
             return None
         if self.permit is not None:
-            self.permit = await self.money.again(
+            self.permit = await self.money.retry(
                 self.permit, state.backend.name, state.boot
             )
             return None
@@ -331,7 +331,7 @@
             self.backends.ejector.succeeded(name)
         finally:
             state.ended(call.attempt)
-            self.backends.changed()
+            self.backends.on_change()
 
     def check_repeat(self, error: BackendError) -> None:
         """Check whether another attempt may follow one that may have run.
--- a/ebonyhold/configuration/_publisher.py
+++ b/ebonyhold/configuration/_publisher.py
@@ -23,8 +23,8 @@
     CONFIG_HEAD,
     CONFIG_VERSION_PREFIX,
     INITIAL_TOPUP,
-    Fate,
     HeadRow,
+    PublicationResult,
     Row,
     Table,
     TopUp,
@@ -351,7 +351,7 @@
             return False
         key = config_version_key(version)
         history = (await self.keeper.table.read((key,)))[0]
-        if resolve_publication(history, self.publication) is Fate.ACCEPTED:
+        if resolve_publication(history, self.publication) is PublicationResult.ACCEPTED:
             return True
         await self.keeper.refresh_locked()
         await self.check_base(row)
--- a/ebonyhold/coordination/__init__.pyi
+++ b/ebonyhold/coordination/__init__.pyi
@@ -5,14 +5,14 @@
 """
 
 from ._admission import (
+    AdmissionLimits,
     AdmissionQueue,
     Refused,
-    Share,
     Ticket,
 )
 from ._attempts import (
     AttemptState,
-    AttemptTruth,
+    AttemptStatus,
     first_attempt,
     next_attempt,
     router_of,
@@ -21,11 +21,11 @@
 from ._bills import (
     Bill,
     Filed,
+    FilingDecision,
     LedgerChange,
     Settlement,
-    Verdict,
+    decide_filing,
     filed_row,
-    judge,
     make_bill,
     plan_settlement,
 )
@@ -36,7 +36,7 @@
 )
 from ._bucket import (
     AdaptiveRate,
-    FairTurns,
+    FairScheduler,
     TokenBucket,
 )
 from ._choice import (
@@ -49,14 +49,14 @@
     working_set,
 )
 from ._claims import (
-    MOST_REPEATS,
+    MAX_REPEATS,
     ClaimAnswer,
     ClaimDecision,
     claim_transaction,
     decide_claim,
 )
 from ._codec import (
-    DAMAGED,
+    DECODE_ERRORS,
     from_bytes,
     from_json,
     read_row,
@@ -65,8 +65,8 @@
 )
 from ._configuration import (
     INITIAL_TOPUP,
-    Fate,
     HeadRow,
+    PublicationResult,
     TopUp,
     head_of,
     may_adopt,
@@ -92,7 +92,7 @@
     Outgoing,
 )
 from ._journal import (
-    JournalReading,
+    JournalContents,
     append_transaction,
 )
 from ._keys import (
@@ -124,15 +124,15 @@
 )
 from ._leases import (
     HeldLease,
+    LeaseObservation,
     LeasePlan,
     LeaseRow,
-    LeaseSighting,
+    observe_lease,
     parse_lease,
     plan_acquire,
     plan_release,
     plan_renew,
     resolve_lease,
-    sight_lease,
 )
 from ._members import (
     Listed,
@@ -145,10 +145,14 @@
 from ._membership import (
     Membership,
 )
+from ._observed import (
+    Observed,
+    observe_row,
+)
 from ._operations import (
     plan_archive,
     plan_refund,
-    plan_ruling,
+    plan_resolution,
     plan_topup,
 )
 from ._orders import (
@@ -160,10 +164,10 @@
     PlacementPolicy,
 )
 from ._policies import (
-    AloneMixin,
     GrantPolicy,
     GrantSize,
     GrantView,
+    NoTransferMixin,
     find_grant_policy,
     grant_policies,
     grant_policy,
@@ -174,7 +178,7 @@
     prefix_hashes,
 )
 from ._recovery import (
-    Witness,
+    AttemptEvidence,
     close_grant,
     close_transaction,
     open_row,
@@ -208,18 +212,14 @@
     TransferRow,
     TransferState,
 )
-from ._seen import (
-    Seen,
-    seen,
-)
 from ._startup import (
     StartupPolicy,
 )
 from ._stops import (
-    Holding,
+    DrainingServer,
     InProgress,
     PlannedStop,
-    holdings,
+    draining_servers,
     is_stopped,
 )
 from ._transactions import (
@@ -250,10 +250,10 @@
     "BUDGET_PREFIX",
     "CONFIG_HEAD",
     "CONFIG_VERSION_PREFIX",
-    "DAMAGED",
+    "DECODE_ERRORS",
     "GRANT_PREFIX",
     "INITIAL_TOPUP",
-    "MOST_REPEATS",
+    "MAX_REPEATS",
     "REFUND_PREFIX",
     "REQUEST_PREFIX",
     "ROUTER_PREFIX",
@@ -262,12 +262,13 @@
     "Absent",
     "Action",
     "AdaptiveRate",
+    "AdmissionLimits",
     "AdmissionQueue",
-    "AloneMixin",
     "ArchiveRow",
     "AtVersion",
+    "AttemptEvidence",
     "AttemptState",
-    "AttemptTruth",
+    "AttemptStatus",
     "Backoff",
     "Beat",
     "BeatKind",
@@ -282,13 +283,14 @@
     "ClaimAnswer",
     "ClaimDecision",
     "Delete",
+    "DrainingServer",
     "EjectionPolicy",
     "Ejector",
     "EngineOrder",
     "EngineView",
-    "FairTurns",
-    "Fate",
+    "FairScheduler",
     "Filed",
+    "FilingDecision",
     "GrantLedger",
     "GrantPolicy",
     "GrantRow",
@@ -296,16 +298,15 @@
     "GrantView",
     "HeadRow",
     "HeldLease",
-    "Holding",
     "InProgress",
     "Intent",
+    "JournalContents",
     "JournalEntry",
-    "JournalReading",
     "JournalSegment",
     "KeptAnswer",
+    "LeaseObservation",
     "LeasePlan",
     "LeaseRow",
-    "LeaseSighting",
     "LedgerChange",
     "Listed",
     "Member",
@@ -315,7 +316,9 @@
     "Membership",
     "MembershipOptions",
     "Need",
+    "NoTransferMixin",
     "Objects",
+    "Observed",
     "OrderRow",
     "OutageCover",
     "Outcome",
@@ -324,6 +327,7 @@
     "PlacementPolicy",
     "PlannedStop",
     "PrefixIndex",
+    "PublicationResult",
     "Put",
     "RefundRow",
     "Refused",
@@ -335,9 +339,7 @@
     "RouterState",
     "Row",
     "Seal",
-    "Seen",
     "Settlement",
-    "Share",
     "StartupPolicy",
     "Table",
     "Ticket",
@@ -349,8 +351,6 @@
     "TransferOut",
     "TransferRow",
     "TransferState",
-    "Verdict",
-    "Witness",
     "Write",
     "announce_transfer",
     "append_transaction",
@@ -365,6 +365,8 @@
     "close_transaction",
     "config_version_key",
     "decide_claim",
+    "decide_filing",
+    "draining_servers",
     "filed_row",
     "find_grant_policy",
     "first_attempt",
@@ -376,16 +378,16 @@
     "grant_policy",
     "grant_prefix",
     "head_of",
-    "holdings",
     "is_stopped",
     "journal_prefix",
-    "judge",
     "lapse_transfer",
     "lease_key",
     "make_bill",
     "make_choice_policy",
     "may_adopt",
     "next_attempt",
+    "observe_lease",
+    "observe_row",
     "open_row",
     "order_key",
     "order_prefix",
@@ -399,7 +401,7 @@
     "plan_refund",
     "plan_release",
     "plan_renew",
-    "plan_ruling",
+    "plan_resolution",
     "plan_settlement",
     "plan_topup",
     "prefix_hashes",
@@ -415,11 +417,9 @@
     "router_of",
     "run_of",
     "seal_transaction",
-    "seen",
     "segment_key",
     "settle_run",
     "settle_transfer",
-    "sight_lease",
     "to_bytes",
     "to_json",
     "topup_key",
--- a/ebonyhold/coordination/_admission.py
+++ b/ebonyhold/coordination/_admission.py
@@ -24,7 +24,7 @@
 
 
 @frozen
-class Share:
+class AdmissionLimits:
     """Limits of one workspace at one router.
 
     Attributes:
@@ -89,7 +89,7 @@
         finish: Virtual finish time of the request that it started last.
     """
 
-    limits: Share
+    limits: AdmissionLimits
     running: int = 0
     waiting: dict[int, deque[Ticket]] = field(factory=dict)
     finish: float = 0.0
@@ -132,7 +132,9 @@
     last_completion: Seconds | None = None
     workspaces: dict[WorkspaceName, WorkspaceQueue] = field(factory=dict)
 
-    def offer(self, ticket: Ticket, limits: Share, now: Seconds) -> Refused | None:
+    def offer(
+        self, ticket: Ticket, limits: AdmissionLimits, now: Seconds
+    ) -> Refused | None:
         """Enqueue a request, or refuse it immediately.
 
         A request is refused if the number of waiting requests has reached a limit, or
@@ -245,7 +247,9 @@
         """Number of waiting requests in all workspaces."""
         return sum(entry.length for entry in self.workspaces.values())
 
-    def entry(self, workspace: WorkspaceName, limits: Share) -> WorkspaceQueue:
+    def entry(
+        self, workspace: WorkspaceName, limits: AdmissionLimits
+    ) -> WorkspaceQueue:
         """Return a workspace's entry with new limits; create it if there is none."""
         entry = self.workspaces.setdefault(workspace, WorkspaceQueue(limits))
         entry.limits = limits
--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -31,7 +31,7 @@
 
 
 @frozen
-class AttemptTruth:
+class AttemptStatus:
     """Status of a closed attempt, as reported by its backend server.
 
     Attributes:
--- a/ebonyhold/coordination/_bills.py
+++ b/ebonyhold/coordination/_bills.py
@@ -10,6 +10,7 @@
 from ebonyhold.coordination._attempts import run_of
 from ebonyhold.coordination._grants import change_budget, change_grant
 from ebonyhold.coordination._keys import request_key
+from ebonyhold.coordination._observed import Observed
 from ebonyhold.coordination._rows import (
     BudgetRow,
     GrantRow,
@@ -21,7 +22,6 @@
     RequestState,
     RouterRow,
 )
-from ebonyhold.coordination._seen import Seen
 from ebonyhold.coordination._transactions import Check, Transaction, Write
 from ebonyhold.types import (
     AttemptId,
@@ -46,7 +46,7 @@
 """
 
 
-class Verdict(Enum):
+class FilingDecision(Enum):
     """How filing a bill changes the request's row.
 
     Attributes:
@@ -89,12 +89,12 @@
 
     Attributes:
         bill: The bill.
-        verdict: How it changes the request's row.
+        decision: How it changes the request's row.
         paid: Tokens taken from the grant for it, from 0 to the charge.
     """
 
     bill: Bill
-    verdict: Verdict
+    decision: FilingDecision
     paid: Tokens
 
 
@@ -156,7 +156,7 @@
     )
 
 
-def judge(row: RequestRow | None, bill: Bill) -> Verdict:
+def decide_filing(row: RequestRow | None, bill: Bill) -> FilingDecision:
     """Decide how filing a bill changes the request's row.
 
     A request has a single row.  The first bill is filed in it.  A later bill replaces
@@ -164,17 +164,17 @@
     is then taken from the grant.
     """
     if row is None:
-        return Verdict.FILE
+        return FilingDecision.FILE
     if row.state is RequestState.RUNNING:
         # The claim may be that of another run, which has not ended and may still
         # execute the request.
         by_another_run = run_of(row.attempt) != run_of(bill.attempt)
         if by_another_run and bill.state is RequestState.NOT_RUN:
-            return Verdict.LEAVE
-        return Verdict.FILE
+            return FilingDecision.LEAVE
+        return FilingDecision.FILE
     if RANK[bill.state] > RANK[row.state]:
-        return Verdict.AMEND
-    return Verdict.LEAVE
+        return FilingDecision.AMEND
+    return FilingDecision.LEAVE
 
 
 def filed_row(
@@ -213,10 +213,10 @@
 
 def plan_settlement(
     owner: RouterId,
-    router: Seen[RouterRow],
-    budget: Seen[BudgetRow],
-    grant: Seen[GrantRow],
-    requests: Mapping[str, Seen[RequestRow]],
+    router: Observed[RouterRow],
+    budget: Observed[BudgetRow],
+    grant: Observed[GrantRow],
+    requests: Mapping[str, Observed[RequestRow]],
     change: LedgerChange,
     now: float,
 ) -> Settlement:
@@ -267,14 +267,14 @@
 
 
 def _post(
-    row: Seen[RequestRow], bill: Bill, owner: RouterId, held: Tokens, now: float
+    row: Observed[RequestRow], bill: Bill, owner: RouterId, held: Tokens, now: float
 ) -> _Posting:
-    verdict = judge(row.value, bill)
-    if verdict is Verdict.LEAVE:
-        return _Posting(Filed(bill, verdict, 0), 0, None)
+    decision = decide_filing(row.value, bill)
+    if decision is FilingDecision.LEAVE:
+        return _Posting(Filed(bill, decision, 0), 0, None)
     old = row.value.charge if row.value else 0
     refunded = row.value.refunded if row.value else 0
     charge = min(max(bill.charge, refunded), old + held)
     change = charge - old
     write = row.put(filed_row(row.value, bill, charge, owner, now))
-    return _Posting(Filed(bill, verdict, max(change, 0)), change, write)
+    return _Posting(Filed(bill, decision, max(change, 0)), change, write)
--- a/ebonyhold/coordination/_breaker.py
+++ b/ebonyhold/coordination/_breaker.py
@@ -30,7 +30,7 @@
 
     Attributes:
         window: How long a result is counted, in seconds.
-        least_calls: The minimum number of results in the window to open it.
+        min_calls: The minimum number of results in the window to open it.
         failure_ratio: The minimum share of failures in the window to open it.
         open_for: How long it stays open the first time, in seconds.
         max_open_for: The maximum of that time in seconds; the time doubles whenever a
@@ -41,7 +41,7 @@
     """
 
     window: Seconds = 10.0
-    least_calls: int = 5
+    min_calls: int = 5
     failure_ratio: float = 0.5
     open_for: Seconds = 0.5
     max_open_for: Seconds = 10.0
@@ -149,7 +149,7 @@
     def is_failing(self) -> bool:
         """Return whether the results in the window meet the policy for opening."""
         calls = len(self.results)
-        if calls < self.policy.least_calls:
+        if calls < self.policy.min_calls:
             return False
         failures = sum(1 for result in self.results if not result.ok)
         return failures >= calls * self.policy.failure_ratio
--- a/ebonyhold/coordination/_bucket.py
+++ b/ebonyhold/coordination/_bucket.py
@@ -123,7 +123,7 @@
 
 
 @define
-class FairTurns(Generic[K]):
+class FairScheduler(Generic[K]):
     """Chooses which class of calls goes next, by weight (start-time fair queueing).
 
     Attributes:
--- a/ebonyhold/coordination/_choice.py
+++ b/ebonyhold/coordination/_choice.py
@@ -56,12 +56,12 @@
 
     Attributes:
         prompt: Estimated length of its prompt, in tokens.
-        most: The maximum number of tokens to generate.
+        max_tokens: The maximum number of tokens to generate.
         priority: Requests with a larger value are served first.
     """
 
     prompt: Tokens = 0
-    most: Tokens = 0
+    max_tokens: Tokens = 0
     priority: int = 0
 
 
--- a/ebonyhold/coordination/_claims.py
+++ b/ebonyhold/coordination/_claims.py
@@ -6,6 +6,7 @@
 
 from attrs import evolve, frozen
 
+from ebonyhold.coordination._observed import Observed
 from ebonyhold.coordination._rows import (
     KeptAnswer,
     RequestKind,
@@ -13,11 +14,10 @@
     RequestState,
     RouterRow,
 )
-from ebonyhold.coordination._seen import Seen
 from ebonyhold.coordination._transactions import Transaction
 from ebonyhold.types import AttemptId, BackendName, RouterId
 
-MOST_REPEATS = 3
+MAX_REPEATS = 3
 """How often a request may run again after it has been billed."""
 
 
@@ -86,7 +86,7 @@
         return ClaimDecision(ClaimAnswer.UNKNOWN)
     if row.state is RequestState.RUNNING:
         return ClaimDecision(ClaimAnswer.RUN)
-    if row.repeats >= MOST_REPEATS:
+    if row.repeats >= MAX_REPEATS:
         return ClaimDecision(ClaimAnswer.REPEATED_TOO_OFTEN)
     if row.state is RequestState.COMPLETE:
         return ClaimDecision(ClaimAnswer.RUN_UNBILLED)
@@ -94,8 +94,8 @@
 
 
 def claim_transaction(
-    router: Seen[RouterRow],
-    request: Seen[RequestRow],
+    router: Observed[RouterRow],
+    request: Observed[RequestRow],
     owner: RouterId,
     attempt: AttemptId,
     backend: BackendName,
--- a/ebonyhold/coordination/_codec.py
+++ b/ebonyhold/coordination/_codec.py
@@ -16,7 +16,7 @@
 
 T = TypeVar("T")
 
-DAMAGED = (
+DECODE_ERRORS = (
     cattrs.BaseValidationError,
     ValueError,
     LookupError,
@@ -62,7 +62,7 @@
         raise DamagedRowError(f"{row.key}: {str(row.value)[:80]} is no object")
     try:
         return from_json(row.value, as_type)
-    except DAMAGED as error:
+    except DECODE_ERRORS as error:
         raise DamagedRowError(f"{row.key}: {error!r}") from error
 
 
--- a/ebonyhold/coordination/_configuration.py
+++ b/ebonyhold/coordination/_configuration.py
@@ -61,7 +61,7 @@
     publication: str
 
 
-class Fate(Enum):
+class PublicationResult(Enum):
     """The result of a publication whose outcome was unknown to the operator.
 
     Attributes:
@@ -169,7 +169,7 @@
     )
 
 
-def resolve_publication(history: Row | None, publication: str) -> Fate:
+def resolve_publication(history: Row | None, publication: str) -> PublicationResult:
     """Return the result of a publication, according to its version's history row.
 
     The head row is not enough: after another operator has published the next version,
@@ -181,8 +181,12 @@
     """
     found = head_of(history)
     if found is None:
-        return Fate.OPEN
-    return Fate.ACCEPTED if found.publication == publication else Fate.REFUSED
+        return PublicationResult.OPEN
+    return (
+        PublicationResult.ACCEPTED
+        if found.publication == publication
+        else PublicationResult.REFUSED
+    )
 
 
 def may_adopt(own: int, offered: int) -> bool:
--- a/ebonyhold/coordination/_cover.py
+++ b/ebonyhold/coordination/_cover.py
@@ -5,9 +5,9 @@
 import math
 
 from ebonyhold.coordination._policies import (
-    AloneMixin,
     GrantSize,
     GrantView,
+    NoTransferMixin,
     grant_policy,
 )
 from ebonyhold.types import Seconds, Tokens
@@ -42,7 +42,7 @@
 
 
 @grant_policy("outage_cover")
-class OutageCover(AloneMixin):
+class OutageCover(NoTransferMixin):
     """Sizes a grant to cover the demand of one outage, less as the budget runs out.
 
     A router that cannot reach the table can only serve from the tokens it holds, so
@@ -51,7 +51,7 @@
     All routers read the remaining tokens, and then reduce their grants in proportion.
     """
 
-    patience: Seconds = 0.25
+    wait_timeout: Seconds = 0.25
 
     ample_share = 0.4
     """The share of the unspent tokens that should stay in the budget.
--- a/ebonyhold/coordination/_ejection.py
+++ b/ebonyhold/coordination/_ejection.py
@@ -16,10 +16,10 @@
     Attributes:
         errors: Consecutive errors that make a server an outlier.
         lost: Consecutive failed connections that make a server unreachable.
-        first: Duration of the first ejection, in seconds.
-        most: Maximum duration of an ejection, in seconds.  The duration doubles with
-            each consecutive ejection.
-        most_lost: Maximum duration of the ejection of an unreachable server, in
+        first_duration: Duration of the first ejection, in seconds.
+        max_duration: Maximum duration of an ejection, in seconds.  The duration doubles
+            with each consecutive ejection.
+        max_unreachable: Maximum duration of the ejection of an unreachable server, in
             seconds.
         domain_share: The maximum share of a failure domain's servers that is ejected
             for errors.
@@ -30,9 +30,9 @@
 
     errors: int = 4
     lost: int = 2
-    first: Seconds = 1.0
-    most: Seconds = 30.0
-    most_lost: Seconds = 8.0
+    first_duration: Seconds = 1.0
+    max_duration: Seconds = 30.0
+    max_unreachable: Seconds = 8.0
     domain_share: float = 0.5
     fleet_share: float = 0.34
     panic_share: float = 0.67
@@ -80,7 +80,10 @@
         record = self.records.setdefault(name, ServerRecord())
         record.lost += 1
         ejections = max(0, record.lost - self.policy.lost)
-        wait = min(self.policy.most_lost, self.policy.first * 2.0 ** min(ejections, 16))
+        wait = min(
+            self.policy.max_unreachable,
+            self.policy.first_duration * 2.0 ** min(ejections, 16),
+        )
         record.unreachable_until = now + wait
 
     def reached(self, name: BackendName) -> None:
@@ -98,7 +101,9 @@
 
         The duration doubles with each ejection until the server succeeds.
         """
-        wait = min(self.policy.most, self.policy.first * 2.0**record.ejections)
+        wait = min(
+            self.policy.max_duration, self.policy.first_duration * 2.0**record.ejections
+        )
         record.ejected_until = now + wait
         record.ejections += 1
         record.errors = self.policy.errors - 1
--- a/ebonyhold/coordination/_grants.py
+++ b/ebonyhold/coordination/_grants.py
@@ -81,7 +81,7 @@
         )
 
     @property
-    def mine(self) -> Tokens:
+    def own_tokens(self) -> Tokens:
         """Tokens that this router must still bill or return."""
         return self.available + self.held + self.unfiled
 
@@ -115,7 +115,7 @@
         self.received += amount
 
     @property
-    def spare(self) -> Tokens:
+    def returnable(self) -> Tokens:
         """Tokens that may be returned to the budget.
 
         Received tokens are left out, because they are added to this grant's row only
--- a/ebonyhold/coordination/_heartbeats.py
+++ b/ebonyhold/coordination/_heartbeats.py
@@ -16,7 +16,7 @@
 
     Attributes:
         period: The time from one probe to the next, in seconds.
-        answer_within: How long to wait for an answer before other routers are asked to
+        answer_timeout: How long to wait for an answer before other routers are asked to
             relay the probe, in seconds.
         relays: The maximum number of routers that are asked to relay a probe.
         suspicion_periods: Length of a suspicion, in periods for each doubling of the
@@ -39,7 +39,7 @@
     """
 
     period: Seconds = 1.0
-    answer_within: Seconds = 0.4
+    answer_timeout: Seconds = 0.4
     relays: int = 3
     suspicion_periods: float = 2.0
     unlisted_factor: float = 0.3
--- a/ebonyhold/coordination/_journal.py
+++ b/ebonyhold/coordination/_journal.py
@@ -10,6 +10,7 @@
 from ebonyhold.coordination._bills import Bill, make_bill
 from ebonyhold.coordination._codec import to_json
 from ebonyhold.coordination._keys import segment_key
+from ebonyhold.coordination._observed import Observed
 from ebonyhold.coordination._rows import (
     Intent,
     JournalEntry,
@@ -20,14 +21,13 @@
     TransferIn,
     TransferOut,
 )
-from ebonyhold.coordination._seen import Seen
 from ebonyhold.coordination._transactions import Absent, Delete, Put, Transaction
 from ebonyhold.types import RouterId
 
 
 def append_transaction(
     owner: RouterId,
-    router: Seen[RouterRow],
+    router: Observed[RouterRow],
     number: int,
     segment: JournalSegment,
     settled: Sequence[int] = (),
@@ -45,7 +45,7 @@
 
 
 @define
-class JournalReading:
+class JournalContents:
     """The merged entries of one incarnation's journal, from table and object store.
 
     An append of unknown outcome is repeated, so the same entry may be in both of them
--- a/ebonyhold/coordination/_leases.py
+++ b/ebonyhold/coordination/_leases.py
@@ -47,7 +47,7 @@
 
 
 @frozen
-class LeaseSighting:
+class LeaseObservation:
     """A version of a lease's row, and when this router first read it."""
 
     version: int
@@ -106,16 +106,16 @@
         raise ValueError(f"{row.key} does not hold a lease") from error
 
 
-def sight_lease(
-    previous: LeaseSighting | None, row: Row, now: Seconds
-) -> LeaseSighting:
+def observe_lease(
+    previous: LeaseObservation | None, row: Row, now: Seconds
+) -> LeaseObservation:
     """Return the observation of a row, timed from the version's first reading."""
     if previous is not None and previous.version == row.version:
         return previous
-    return LeaseSighting(row.version, now)
+    return LeaseObservation(row.version, now)
 
 
-def has_expired(row: Row, observation: LeaseSighting | None, now: Seconds) -> bool:
+def has_expired(row: Row, observation: LeaseObservation | None, now: Seconds) -> bool:
     """Return whether another router may take a lease.
 
     It may if the lease was released, or if this version of the row was first read at
@@ -133,7 +133,7 @@
     name: str,
     router: RouterId,
     row: Row | None,
-    observation: LeaseSighting | None,
+    observation: LeaseObservation | None,
     length: Seconds,
     now: Seconds,
 ) -> LeasePlan | None:
--- a/ebonyhold/coordination/_members.py
+++ b/ebonyhold/coordination/_members.py
@@ -88,21 +88,21 @@
 
     Attributes:
         update: The update that is currently valid.
-        heard_at: When its last message to this router's current incarnation arrived, or
-            None.
-        silent_at: Since when it has been suspected, without pauses of this process, or
-            None.
+        last_message_at: When its last message to this router's current incarnation
+            arrived, or None.
+        suspected_at: Since when it has been suspected, without pauses of this process,
+            or None.
         gone_at: When it was declared gone here, or None.
-        unmet: Whether it is unconfirmed: known only from its row in the table, while
-            no router is known to have received a message from it.  It is probed, but
-            gets no requests.
+        unconfirmed: Whether it is known only from its row in the table, while no router
+            is known to have received a message from it.  It is probed, but gets no
+            requests.
     """
 
     update: MemberUpdate
-    heard_at: Seconds | None = None
-    silent_at: Seconds | None = None
+    last_message_at: Seconds | None = None
+    suspected_at: Seconds | None = None
     gone_at: Seconds | None = None
-    unmet: bool = False
+    unconfirmed: bool = False
 
     @property
     def present(self) -> bool:
@@ -117,7 +117,7 @@
         If these counted, it would consider itself connected and recover all the other
         routers.
         """
-        return self.present and not self.unmet
+        return self.present and not self.unconfirmed
 
 
 StatusChange = Callable[["Member", MemberStatus | None], None]
@@ -191,15 +191,15 @@
         same = self.by_name.get(update.name, [])
         if update.router in self.members or any(other.present for other in same):
             return
-        member = self.add(Member(update, unmet=True))
+        member = self.add(Member(update, unconfirmed=True))
         self.on_change(member, None)
         self.supersede_older(update, now)
 
     def confirm(self, member: Member) -> None:
         """Record that some router has received a message from a member."""
-        if not member.unmet:
+        if not member.unconfirmed:
             return
-        member.unmet = False
+        member.unconfirmed = False
         self.present_count += member.counted
         self.on_change(member, member.update.status)
 
@@ -215,14 +215,14 @@
         return member
 
     def change(self, member: Member, update: MemberUpdate, now: Seconds) -> None:
-        """Replace a member's update, and adapt `silent_at` and `gone_at` to it."""
+        """Replace a member's update, and adapt `suspected_at` and `gone_at` to it."""
         self.present_count -= member.counted
         member.update = update
         self.present_count += member.counted
         if update.status is MemberStatus.ALIVE:
-            member.silent_at = None
-        elif update.status is MemberStatus.SUSPECT and member.silent_at is None:
-            member.silent_at = now
+            member.suspected_at = None
+        elif update.status is MemberStatus.SUSPECT and member.suspected_at is None:
+            member.suspected_at = now
         gone_at = now if member.gone_at is None else member.gone_at
         member.gone_at = None if member.present else gone_at
 
--- a/ebonyhold/coordination/_membership.py
+++ b/ebonyhold/coordination/_membership.py
@@ -40,7 +40,7 @@
     """One router's state machine of the membership protocol.
 
     Attributes:
-        me: The router's update about itself.
+        own_update: The router's update about itself.
         view: The router's view of the others.
         options: The protocol's parameters.
         wake_at: When `tick` must be called next.
@@ -50,18 +50,18 @@
 
     def __init__(
         self,
-        me: MemberUpdate,
+        own_update: MemberUpdate,
         rng: random.Random,
         now: Seconds,
         options: MembershipOptions | None = None,
         seeds: Iterable[str] = (),
     ) -> None:
-        self.me = me
+        self.own_update = own_update
         self.rng = rng
         self.options = options or MembershipOptions()
         self.view = MemberView()
-        self.judge = RecoveryEligibility(me, self.view, self.options)
-        self.seeds = set(seeds) - {me.address}
+        self.eligibility = RecoveryEligibility(own_update, self.view, self.options)
+        self.seeds = set(seeds) - {own_update.address}
         self.wake_at = now + rng.random() * self.options.period
         self.probe: Probe | None = None
         self.next_probe_at = self.wake_at
@@ -70,14 +70,16 @@
         self.rumours = Rumours(self.options.max_updates, self.options.repeats)
         self.relayed: dict[int, RelayedProbe] = {}
         join_until = now + JOIN_PERIODS * self.options.period
-        self.joining = Joining(self.view, self.options.page_size, me.router, join_until)
-        self.suspected = Suspicions(self.view, self.judge, self.options)
+        self.joining = Joining(
+            self.view, self.options.page_size, own_update.router, join_until
+        )
+        self.suspected = Suspicions(self.view, self.eligibility, self.options)
         self.pauses = 0
 
     # Queries by the router.
 
     @property
-    def suspicions(self) -> int:
+    def suspicion_count(self) -> int:
         """The number of suspicions raised by this router."""
         return self.suspected.raised
 
@@ -89,7 +91,7 @@
         return tuple(
             member.update.router
             for member in self.view.members.values()
-            if not member.unmet and self.status_of(member) is MemberStatus.ALIVE
+            if not member.unconfirmed and self.status_of(member) is MemberStatus.ALIVE
         )
 
     def status_of(self, member: Member) -> MemberStatus:
@@ -105,9 +107,9 @@
             return MemberStatus.LEAVING
         return status
 
-    def gone(self, now: Seconds) -> tuple[RouterId, ...]:
+    def recoverable(self, now: Seconds) -> tuple[RouterId, ...]:
         """Return the incarnations that may be recovered."""
-        return self.judge.recoverable(now)
+        return self.eligibility.recoverable(now)
 
     def may_recover(self, router: RouterId, unknown_for: Seconds, now: Seconds) -> bool:
         """Return whether an incarnation with an open row may be recovered.
@@ -118,26 +120,26 @@
                 not alive in this router's view, in seconds.
             now: The time, in seconds.
         """
-        return self.judge.may_recover(router, unknown_for, now)
+        return self.eligibility.may_recover(router, unknown_for, now)
 
     # Input from the platform.
 
-    def read_list(self, listed: Iterable[Listed]) -> None:
+    def update_list(self, listed: Iterable[Listed]) -> None:
         """Store the platform's membership list, without this router's own entry."""
         entries = {entry.name: entry for entry in listed}
-        entries.pop(self.me.name, None)
+        entries.pop(self.own_update.name, None)
         self.view.listed = entries
 
     # Input from the table.
 
-    def read_row(self, update: MemberUpdate, now: Seconds) -> None:
+    def add_row(self, update: MemberUpdate, now: Seconds) -> None:
         """Add an incarnation that has an open row in the table.
 
         A router may start, serve and crash before any other has received a message from
         it.  Once its row is read, it is probed like all members, so its failure is
         detected in the same way.  Rows with this router's own name are ignored.
         """
-        if update.name != self.me.name:
+        if update.name != self.own_update.name:
             self.view.add_unconfirmed(update, now)
 
     def introduce(self) -> list[Outgoing]:
@@ -145,7 +147,7 @@
         addresses = {
             member.update.address
             for member in self.view.members.values()
-            if member.unmet
+            if member.unconfirmed
         }
         count = min(self.options.relays, len(addresses))
         chosen = self.rng.sample(sorted(addresses), count)
@@ -153,23 +155,25 @@
 
     # Changes of the router itself.
 
-    def become(self, router: RouterId, started: int) -> None:
+    def start_incarnation(self, router: RouterId, started: int) -> None:
         """Continue as a new incarnation of the same name, and gossip its update."""
-        self.me = evolve(
-            self.me,
+        self.own_update = evolve(
+            self.own_update,
             router=router,
             started=started,
             revision=0,
             status=MemberStatus.ALIVE,
         )
-        self.judge.own_update = self.me
-        self.spread(self.me)
+        self.eligibility.own_update = self.own_update
+        self.spread(self.own_update)
 
     def leave(self) -> list[Outgoing]:
         """Mark this router as leaving; return probes that notify a few peers."""
-        revision = self.me.revision + 1
-        self.me = evolve(self.me, status=MemberStatus.LEAVING, revision=revision)
-        self.spread(self.me)
+        revision = self.own_update.revision + 1
+        self.own_update = evolve(
+            self.own_update, status=MemberStatus.LEAVING, revision=revision
+        )
+        self.spread(self.own_update)
         peers = self.sample(self.options.relays, "")
         return [
             self.send_probe(peer.update.router, peer.update.address) for peer in peers
@@ -189,7 +193,7 @@
             self.expire(now)
             out += self.start_probe()
             self.next_probe_at = now + self.probe_interval(now)
-            self.wake_at = min(now + self.options.answer_within, self.next_probe_at)
+            self.wake_at = min(now + self.options.answer_timeout, self.next_probe_at)
         else:
             out += self.request_relays(now)
             self.wake_at = self.next_probe_at
@@ -222,12 +226,12 @@
             return
         update = self.suspected.suspect(probe.target, now)
         if update is not None:
-            self.learn(update, now)
+            self.merge_update(update, now)
 
     def expire(self, now: Seconds) -> None:
         """Declare members gone whose suspicion timed out; drop old relayed probes."""
         for gone in self.suspected.expire(now):
-            self.learn(gone, now)
+            self.merge_update(gone, now)
         for sequence, relayed in list(self.relayed.items()):
             if now > relayed.until:
                 del self.relayed[sequence]
@@ -243,7 +247,7 @@
         self.probe = Probe(router, address, self.sequence)
         # A probe of an unconfirmed router is not addressed to its incarnation: a later
         # one may run at the same address.
-        receiver = "" if member is None or member.unmet else router
+        receiver = "" if member is None or member.unconfirmed else router
         return [self.make_probe(receiver, address, self.sequence)]
 
     def next_address(self) -> str | None:
@@ -263,9 +267,9 @@
         known = {
             member.update.address
             for member in self.view.members.values()
-            if not self.judge.is_superseded(member)
+            if not self.eligibility.is_superseded(member)
         }
-        return sorted((found | known | self.seeds) - {self.me.address})
+        return sorted((found | known | self.seeds) - {self.own_update.address})
 
     def request_relays(self, now: Seconds) -> list[Outgoing]:
         """Return relay requests for an unanswered probe, at most once per probe."""
@@ -283,7 +287,12 @@
     # Messages.
 
     def receive(
-        self, sender: RouterId, beat: Beat, now: Seconds, *, fresh: bool = True
+        self,
+        sender: RouterId,
+        beat: Beat,
+        now: Seconds,
+        *,
+        to_this_incarnation: bool = True,
     ) -> list[Outgoing]:
         """Handle a heartbeat; return the heartbeats to send.
 
@@ -293,9 +302,9 @@
             sender: The incarnation that sent it, authenticated by the envelope.
             beat: The heartbeat.
             now: The time, in seconds.
-            fresh: Whether it was addressed to this incarnation.  Otherwise it may be a
-                replay of a heartbeat from before this incarnation started, and is no
-                evidence that the sender is alive.
+            to_this_incarnation: Whether it was addressed to this incarnation.
+                Otherwise it may be a replay of a heartbeat from before this incarnation
+                started, and is no evidence that the sender is alive.
         """
         for update in beat.updates:
             self.receive_update(update, now)
@@ -303,8 +312,8 @@
         if member is None:
             return []
         self.view.confirm(member)
-        if fresh:
-            member.heard_at = now
+        if to_this_incarnation:
+            member.last_message_at = now
         if beat.kind is BeatKind.PROBE:
             return [self.answer_probe(member.update, beat)]
         if beat.kind is BeatKind.RELAY:
@@ -344,10 +353,10 @@
 
     def receive_update(self, update: MemberUpdate, now: Seconds) -> None:
         """Handle an update from a peer; refute a false one about this router."""
-        if update.router == self.me.router:
+        if update.router == self.own_update.router:
             self.refute(update)
             return
-        self.learn(update, now)
+        self.merge_update(update, now)
         if update.status is MemberStatus.ALIVE:
             self.view.confirm(self.view.members[update.router])
 
@@ -358,12 +367,15 @@
         """
         if update.revision >= FINAL_REVISION:
             return
-        if update.status is self.me.status or update.order <= self.me.order:
+        if (
+            update.status is self.own_update.status
+            or update.order <= self.own_update.order
+        ):
             return
-        self.me = evolve(self.me, revision=update.revision + 1)
-        self.spread(self.me)
+        self.own_update = evolve(self.own_update, revision=update.revision + 1)
+        self.spread(self.own_update)
 
-    def learn(self, update: MemberUpdate, now: Seconds) -> None:
+    def merge_update(self, update: MemberUpdate, now: Seconds) -> None:
         """Merge an update, and gossip it if it changed the view."""
         if self.view.merge(update, now):
             self.spread(update)
@@ -388,7 +400,7 @@
         """Return a heartbeat with this router's update and those due for gossip."""
         known = self.view.present_count
         rumours = self.rumours.next_updates(to, known)
-        updates = (self.me, *self.update_about(to), *rumours)
+        updates = (self.own_update, *self.update_about(to), *rumours)
         return Beat(kind, sequence, updates, known=known)
 
     def update_about(self, to: RouterId) -> tuple[MemberUpdate, ...]:
--- a/ebonyhold/coordination/_seen.py
+++ b/ebonyhold/coordination/_observed.py
@@ -13,7 +13,7 @@
 
 
 @frozen
-class Seen(Generic[T]):
+class Observed(Generic[T]):
     """One key of the table as last read, with its typed value.
 
     Attributes:
@@ -38,12 +38,12 @@
         return Put(self.key, to_json(value))
 
 
-def seen(key: str, row: Row | None, as_type: type[T]) -> Seen[T]:
+def observe_row(key: str, row: Row | None, as_type: type[T]) -> Observed[T]:
     """Return a row as read, with its value converted to a type.
 
     Raises:
         cattrs.BaseValidationError: The value does not match the type.
     """
     if row is None:
-        return Seen(key)
-    return Seen(key, row.version, from_json(row.value, as_type))
+        return Observed(key)
+    return Observed(key, row.version, from_json(row.value, as_type))
--- a/ebonyhold/coordination/_operations.py
+++ b/ebonyhold/coordination/_operations.py
@@ -6,6 +6,7 @@
 
 from attrs import evolve
 
+from ebonyhold.coordination._observed import Observed
 from ebonyhold.coordination._rows import (
     ArchiveRow,
     BudgetRow,
@@ -14,12 +15,11 @@
     RequestState,
     TopUpRow,
 )
-from ebonyhold.coordination._seen import Seen
 from ebonyhold.coordination._transactions import Delete, Transaction
 
 
 def plan_topup(
-    topup: Seen[TopUpRow], budget: Seen[BudgetRow], requested: TopUpRow
+    topup: Observed[TopUpRow], budget: Observed[BudgetRow], requested: TopUpRow
 ) -> Transaction | None:
     """Plan the addition of prepaid tokens; None if the key's top-up already exists.
 
@@ -41,9 +41,9 @@
 
 
 def plan_refund(
-    refund: Seen[RefundRow],
-    budget: Seen[BudgetRow],
-    request: Seen[RequestRow],
+    refund: Observed[RefundRow],
+    budget: Observed[BudgetRow],
+    request: Observed[RequestRow],
     requested: RefundRow,
 ) -> Transaction | None:
     """Plan the refund of a part of one bill; None if the key's refund already exists.
@@ -71,8 +71,8 @@
     )
 
 
-def plan_ruling(
-    request: Seen[RequestRow], budget: Seen[BudgetRow], *, ran: bool
+def plan_resolution(
+    request: Observed[RequestRow], budget: Observed[BudgetRow], *, ran: bool
 ) -> Transaction | None:
     """Plan to settle a request of unknown outcome as an operator decided.
 
@@ -103,7 +103,9 @@
 
 
 def plan_archive(
-    archive: Seen[ArchiveRow], requests: Sequence[Seen[RequestRow]], before: float
+    archive: Observed[ArchiveRow],
+    requests: Sequence[Observed[RequestRow]],
+    before: float,
 ) -> Transaction | None:
     """Plan to delete a workspace's bills filed before a time, and keep their totals.
 
--- a/ebonyhold/coordination/_orders.py
+++ b/ebonyhold/coordination/_orders.py
@@ -10,8 +10,8 @@
 - An unload in the table that was not answered may still be executed at any time.  So
   later lease holders do not count that engine as serving the model.  If the engine
   checks fencing numbers, they send it a load with a higher number, after which it
-  refuses the unload and counts again.  Otherwise it counts again after `doubt_for`; an
-  unload executed even later has the same effect as an engine that restarts without
+  refuses the unload and counts again.  Otherwise it counts again after `in_doubt_for`;
+  an unload executed even later has the same effect as an engine that restarts without
   models.
 - Orders are derived repeatedly from the engines' reports.  The effect of a late order
   appears in the next report and is corrected by the next order.
@@ -95,8 +95,8 @@
     """When models are loaded and unloaded.
 
     Attributes:
-        least: The minimum number of engines for each model, spread over the failure
-            domains.
+        min_engines: The minimum number of engines for each model, spread over the
+            failure domains.
         load_above: The load per slot above which one more engine loads a model.
         unload_below: The load per slot below which one engine unloads it.
         up_after: How long the load must stay above `load_above`, in seconds.
@@ -106,10 +106,10 @@
         max_loading: The maximum number of models loading at the same time; they share
             the bandwidth of the weight store.
         max_models: The maximum number of models on one engine.
-        doubt_for: How long an unanswered unload may still be executed, in seconds.
+        in_doubt_for: How long an unanswered unload may still be executed, in seconds.
     """
 
-    least: int = 2
+    min_engines: int = 2
     load_above: float = 0.8
     unload_below: float = 0.25
     up_after: Seconds = 10.0
@@ -117,7 +117,7 @@
     load_time: Seconds = 120.0
     max_loading: int = 1
     max_models: int = 2
-    doubt_for: Seconds = 3600.0
+    in_doubt_for: Seconds = 3600.0
 
 
 @define
@@ -197,9 +197,11 @@
             self.policy.down_after,
             now,
         )
-        if len(confirmed) + loading < self.policy.least or (scale_up and not loading):
+        if len(confirmed) + loading < self.policy.min_engines or (
+            scale_up and not loading
+        ):
             return self.load(model, engines, confirmed, now)
-        if scale_down and len(confirmed) > self.policy.least:
+        if scale_down and len(confirmed) > self.policy.min_engines:
             return self.unload(model, confirmed)
         return None
 
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -59,12 +59,12 @@
 
     Attributes:
         asks_peers: Whether routers that lack tokens request them from peers.
-        patience: How long a request waits for tokens that other routers may return,
+        wait_timeout: How long a request waits for tokens that other routers may return,
             while the table can be read, in seconds.
     """
 
     asks_peers: bool
-    patience: Seconds
+    wait_timeout: Seconds
 
     def size(self, view: GrantView) -> GrantSize:
         """Return how much to draw from the budget or to return to it."""
@@ -100,11 +100,11 @@
     return grant_policies[name]
 
 
-class AloneMixin:
+class NoTransferMixin:
     """Base for policies without transfers between routers."""
 
     asks_peers = False
-    patience: Seconds = 0.0
+    wait_timeout: Seconds = 0.0
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
         """Return 0, because this policy makes no transfers."""
@@ -113,7 +113,7 @@
 
 
 @grant_policy("table_call")
-class TableCall(AloneMixin):
+class TableCall(NoTransferMixin):
     """Draws the tokens of each request from the table, and returns unused ones."""
 
     def size(self, view: GrantView) -> GrantSize:
@@ -124,7 +124,7 @@
 
 
 @grant_policy("static_split")
-class StaticSplit(AloneMixin):
+class StaticSplit(NoTransferMixin):
     """Draws an equal share of the prepaid tokens at the first request, and keeps it."""
 
     def size(self, view: GrantView) -> GrantSize:
@@ -140,7 +140,7 @@
 
 
 @grant_policy("fixed_grant")
-class FixedGrant(AloneMixin):
+class FixedGrant(NoTransferMixin):
     """Draws multiples of a fixed amount."""
 
     def size(self, view: GrantView) -> GrantSize:
@@ -152,7 +152,7 @@
 
 
 @grant_policy("adaptive")
-class Adaptive(AloneMixin):
+class Adaptive(NoTransferMixin):
     """Sizes a grant to cover the expected demand, less as the budget runs out.
 
     While the budget is ample, idle tokens in grants cost nothing, and they serve
@@ -161,7 +161,7 @@
     waiting requests need.
     """
 
-    patience: Seconds = 2.0
+    wait_timeout: Seconds = 2.0
 
     refill_below = 0.8
     """A grant is refilled when it falls below this share of the wanted grant."""
--- a/ebonyhold/coordination/_recovery.py
+++ b/ebonyhold/coordination/_recovery.py
@@ -6,9 +6,10 @@
 
 from attrs import evolve, frozen
 
-from ebonyhold.coordination._attempts import AttemptState, AttemptTruth
+from ebonyhold.coordination._attempts import AttemptState, AttemptStatus
 from ebonyhold.coordination._bills import Bill, make_bill
 from ebonyhold.coordination._keys import router_key
+from ebonyhold.coordination._observed import Observed
 from ebonyhold.coordination._rows import (
     BudgetRow,
     GrantRow,
@@ -19,20 +20,19 @@
     RouterRow,
     RouterState,
 )
-from ebonyhold.coordination._seen import Seen
 from ebonyhold.coordination._transactions import Delete, Transaction
 from ebonyhold.types import RouterId, Tokens
 
 
 @frozen
-class Witness:
+class AttemptEvidence:
     """One attempt of a run, and its status as its backend server reports it."""
 
     intent: Intent
-    truth: AttemptTruth
+    status: AttemptStatus
 
 
-def seal_transaction(router: Seen[RouterRow], by: RouterId) -> Transaction | None:
+def seal_transaction(router: Observed[RouterRow], by: RouterId) -> Transaction | None:
     """Return the transaction that seals an incarnation; None if it is not open.
 
     Every transaction of an incarnation checks that its router row still has its first
@@ -45,18 +45,20 @@
     return Transaction((router.check,), (router.put(sealed),))
 
 
-def proves_not_run(evidence: Witness) -> bool:
+def proves_not_run(evidence: AttemptEvidence) -> bool:
     """Return whether the reported status proves that an attempt never ran.
 
     A restarted server has lost its record of earlier attempts.  Its report therefore
     counts only if it has the same boot identifier as the intent.
     """
-    if evidence.truth.state is not AttemptState.NEVER_RAN:
+    if evidence.status.state is not AttemptState.NEVER_RAN:
         return False
-    return bool(evidence.intent.boot) and evidence.intent.boot == evidence.truth.boot
+    return bool(evidence.intent.boot) and evidence.intent.boot == evidence.status.boot
 
 
-def settle_run(evidence: Sequence[Witness], *, charge_unknown: bool) -> Bill | None:
+def settle_run(
+    evidence: Sequence[AttemptEvidence], *, charge_unknown: bool
+) -> Bill | None:
     """Return the bill of a run without an outcome; None to wait for more evidence.
 
     The caller received at most one answer, so only one of the attempts that ran is
@@ -79,20 +81,20 @@
     return make_bill(intent, _ended(intent, RequestState.UNKNOWN, intent.hold))
 
 
-def _ran(evidence: Witness) -> bool:
-    return evidence.truth.state in (AttemptState.FINISHED, AttemptState.CANCELLED)
+def _ran(evidence: AttemptEvidence) -> bool:
+    return evidence.status.state in (AttemptState.FINISHED, AttemptState.CANCELLED)
 
 
-def _progress(evidence: Witness) -> tuple[bool, Tokens]:
-    finished = evidence.truth.state is AttemptState.FINISHED
-    return finished, evidence.truth.completion_tokens
+def _progress(evidence: AttemptEvidence) -> tuple[bool, Tokens]:
+    finished = evidence.status.state is AttemptState.FINISHED
+    return finished, evidence.status.completion_tokens
 
 
-def _outcome(evidence: Witness) -> Outcome:
-    truth = evidence.truth
+def _outcome(evidence: AttemptEvidence) -> Outcome:
+    status = evidence.status
     intent = evidence.intent
-    finished = truth.state is AttemptState.FINISHED
-    charge = truth.prompt_tokens + truth.completion_tokens
+    finished = status.state is AttemptState.FINISHED
+    charge = status.prompt_tokens + status.completion_tokens
     if intent.kind is not RequestKind.CHAT:
         charge = intent.hold
     return Outcome(
@@ -101,8 +103,8 @@
         attempt=intent.attempt,
         state=RequestState.COMPLETE if finished else RequestState.INTERRUPTED,
         charge=charge,
-        prompt_tokens=truth.prompt_tokens,
-        completion_tokens=truth.completion_tokens,
+        prompt_tokens=status.prompt_tokens,
+        completion_tokens=status.completion_tokens,
     )
 
 
@@ -111,9 +113,9 @@
 
 
 def close_grant(
-    router: Seen[RouterRow],
-    budget: Seen[BudgetRow],
-    grant: Seen[GrantRow],
+    router: Observed[RouterRow],
+    budget: Observed[BudgetRow],
+    grant: Observed[GrantRow],
     stranded: Tokens,
 ) -> Transaction | None:
     """Plan to return a settled grant's tokens to the budget, except stranded ones.
@@ -152,7 +154,9 @@
     return evolve(row, outstanding=row.outstanding - back)
 
 
-def close_transaction(router: Seen[RouterRow], now: float = 0.0) -> Transaction | None:
+def close_transaction(
+    router: Observed[RouterRow], now: float = 0.0
+) -> Transaction | None:
     """Return the transaction that closes an incarnation; None if closed or absent."""
     row = router.value
     if row is None or row.state is RouterState.CLOSED:
--- a/ebonyhold/coordination/_stops.py
+++ b/ebonyhold/coordination/_stops.py
@@ -72,7 +72,7 @@
 
 
 @frozen
-class Holding:
+class DrainingServer:
     """A leaving backend server and the requests that it must still finish.
 
     Attributes:
@@ -84,15 +84,15 @@
     requests: tuple[InProgress, ...]
 
 
-def holdings(
+def draining_servers(
     leaving: Sequence[BackendName], running: Iterable[InProgress]
-) -> tuple[Holding, ...]:
+) -> tuple[DrainingServer, ...]:
     """Return each leaving backend server with the requests that it must finish."""
     by_backend: dict[BackendName, list[InProgress]] = {name: [] for name in leaving}
     for request in running:
         if request.backend in by_backend:
             by_backend[request.backend].append(request)
     return tuple(
-        Holding(name, tuple(sorted(requests, key=lambda item: item.since)))
+        DrainingServer(name, tuple(sorted(requests, key=lambda item: item.since)))
         for name, requests in by_backend.items()
     )
--- a/ebonyhold/coordination/_suspicions.py
+++ b/ebonyhold/coordination/_suspicions.py
@@ -36,8 +36,8 @@
     def postpone(self, late: Seconds) -> None:
         """Extend all suspicions by the length of a pause of this process."""
         for member in self.view.members.values():
-            if member.silent_at is not None:
-                member.silent_at += late
+            if member.suspected_at is not None:
+                member.suspected_at += late
 
     def suspect(self, router: RouterId, now: Seconds) -> MemberUpdate | None:
         """Suspect a member that did not answer.
@@ -49,8 +49,8 @@
         member = self.view.members.get(router)
         if member is None or not member.present:
             return None
-        if member.silent_at is None:
-            member.silent_at = now
+        if member.suspected_at is None:
+            member.suspected_at = now
             self.raised += 1
         if member.update.status is not MemberStatus.ALIVE:
             return None
@@ -64,7 +64,7 @@
         for member in list(self.view.members.values()):
             if member.gone_at is not None:
                 self.forget(member, member.gone_at, now)
-            elif member.silent_at is not None and self.has_expired(member, now):
+            elif member.suspected_at is not None and self.has_expired(member, now):
                 yield evolve(member.update, status=MemberStatus.GONE)
 
     def forget(self, member: Member, gone_at: Seconds, now: Seconds) -> None:
@@ -81,10 +81,13 @@
         If a message of the member arrived after the suspicion began, the suspicion ends
         instead.
         """
-        assert member.silent_at is not None
-        if now < member.silent_at + self.eligibility.suspicion_length(member):
+        assert member.suspected_at is not None
+        if now < member.suspected_at + self.eligibility.suspicion_length(member):
             return False
-        if member.heard_at is not None and member.heard_at > member.silent_at:
-            member.silent_at = None
+        if (
+            member.last_message_at is not None
+            and member.last_message_at > member.suspected_at
+        ):
+            member.suspected_at = None
             return False
         return True
--- a/ebonyhold/coordination/_transfers.py
+++ b/ebonyhold/coordination/_transfers.py
@@ -10,6 +10,7 @@
 from attrs import evolve
 
 from ebonyhold.coordination._keys import grant_key, transfer_key
+from ebonyhold.coordination._observed import Observed
 from ebonyhold.coordination._rows import (
     BudgetRow,
     GrantRow,
@@ -18,7 +19,6 @@
     TransferRow,
     TransferState,
 )
-from ebonyhold.coordination._seen import Seen
 from ebonyhold.coordination._transactions import Transaction
 from ebonyhold.types import RouterId, Tokens, WorkspaceName
 
@@ -45,10 +45,10 @@
 
 
 def settle_transfer(
-    transfer: Seen[TransferRow],
-    router: Seen[RouterRow],
-    source: Seen[GrantRow],
-    receiver: Seen[GrantRow],
+    transfer: Observed[TransferRow],
+    router: Observed[RouterRow],
+    source: Observed[GrantRow],
+    receiver: Observed[GrantRow],
     workspace: WorkspaceName,
     amount: Tokens,
 ) -> Transaction | None:
@@ -89,7 +89,7 @@
 
 
 def announce_transfer(
-    transfer: Seen[TransferRow], workspace: WorkspaceName, amount: Tokens
+    transfer: Observed[TransferRow], workspace: WorkspaceName, amount: Tokens
 ) -> Transaction | None:
     """Plan to write a pending row for a transfer, before its giver is closed.
 
@@ -103,10 +103,10 @@
 
 
 def lapse_transfer(
-    transfer: Seen[TransferRow],
-    receiver: Seen[RouterRow],
-    source: Seen[GrantRow],
-    budget: Seen[BudgetRow],
+    transfer: Observed[TransferRow],
+    receiver: Observed[RouterRow],
+    source: Observed[GrantRow],
+    budget: Observed[BudgetRow],
 ) -> Transaction | None:
     """Plan to return the tokens of a lost transfer to the budget.
 
@@ -135,9 +135,9 @@
 
 
 def revoke_transfer(
-    giver: Seen[RouterRow],
-    transfer: Seen[TransferRow],
-    receiver: Seen[RouterRow],
+    giver: Observed[RouterRow],
+    transfer: Observed[TransferRow],
+    receiver: Observed[RouterRow],
     workspace: WorkspaceName,
     amount: Tokens,
 ) -> Transaction | None:
--- a/ebonyhold/daemon/__init__.py
+++ b/ebonyhold/daemon/__init__.py
@@ -32,7 +32,7 @@
         check_listener("callers", settings.callers)
         check_listener("operators", settings.operators)
         daemon = Daemon(settings)
-        router = daemon.network.membership.me.router
+        router = daemon.network.membership.own_update.router
         configure_logs(settings.log_level, router)
         provider = configure_tracing(settings.tracing, router)
     except SettingsError as error:
--- a/ebonyhold/daemon/_daemon.py
+++ b/ebonyhold/daemon/_daemon.py
@@ -14,7 +14,7 @@
 from ebonyhold.backends import Backends, PlacementHolder
 from ebonyhold.callers import CallersApp
 from ebonyhold.configuration import ConfigurationKeeper, make_keeper
-from ebonyhold.daemon._door import RequestCounter
+from ebonyhold.daemon._connections import RequestCounter
 from ebonyhold.daemon._lifecycle import Lifecycle
 from ebonyhold.daemon._members import MemberFeed
 from ebonyhold.daemon._messages import StatusRequest
@@ -29,12 +29,12 @@
 from ebonyhold.fleet import FleetView
 from ebonyhold.metrics import Metrics
 from ebonyhold.misc import new_incarnation
-from ebonyhold.money import Incarnations, Recovery, Treasury, Upkeep
+from ebonyhold.money import GrantManager, Incarnations, Recovery, Upkeep
 from ebonyhold.operators import (
+    BillingTable,
     OperatorKeys,
     OperatorsApp,
     OperatorsContext,
-    TableAccounts,
 )
 from ebonyhold.routers import KeyRing, PeerNetwork
 from ebonyhold.settings import Settings
@@ -61,7 +61,9 @@
 start together after a power cut don't all retry at the same time.
 """
 
-AT_START = GuardPolicy(writes=Limits().table_writes, reads=Limits().table_reads)
+INITIAL_GUARD_POLICY = GuardPolicy(
+    writes=Limits().table_writes, reads=Limits().table_reads
+)
 """Rate limits of platform calls.
 
 They apply to the table until the first document is in force, and to the object store
@@ -127,8 +129,10 @@
         platform = self.settings.platform
         self.table_client = TableClient(platform.table, platform.timeout)
         self.objects_client = ObjectClient(platform.objects, platform.timeout)
-        self.table_guard = GuardedTable(self.table_client, Guard(AT_START))
-        self.objects_guard = GuardedObjects(self.objects_client, Guard(AT_START))
+        self.table_guard = GuardedTable(self.table_client, Guard(INITIAL_GUARD_POLICY))
+        self.objects_guard = GuardedObjects(
+            self.objects_client, Guard(INITIAL_GUARD_POLICY)
+        )
         self.table = ClassifiedTable(self.table_guard)
         self.objects = ClassifiedObjects(self.objects_guard)
         self.fleet = FleetView(EMPTY_DOCUMENT, domain=self.settings.domain)
@@ -154,23 +158,23 @@
             metrics=self.metrics,
         )
         self.placement = PlacementHolder(
-            lambda: self.money.current.me, self.table, self.backends
+            lambda: self.money.current.router, self.table, self.backends
         )
         self.recoveries = Recoveries(
             self.table,
             self.make_recovery,
-            lambda: self.money.current.me,
+            lambda: self.money.current.router,
             self.network.alive,
-            self.network.gone,
+            self.network.recoverable,
             self.network.may_recover,
-            self.network.read_row,
+            self.network.add_row,
         )
         self.upkeep = Upkeep(
             self.table,
             self.objects,
             self.make_recovery,
             lambda: self.policy().keep_bills,
-            lambda: self.money.current.me,
+            lambda: self.money.current.router,
             self.network.alive,
         )
         self.lifecycle = Lifecycle(
@@ -192,20 +196,20 @@
         """Return the policy of the document in force."""
         return self.fleet.document.policy
 
-    def make_grant_manager(self, router: RouterId) -> Treasury:
+    def make_grant_manager(self, router: RouterId) -> GrantManager:
         """Return the grant manager of an incarnation.
 
         The peer network uses the id of that incarnation from then on.
         """
-        if self.network.membership.me.router != router:
-            self.network.become(router)
-        return Treasury(
+        if self.network.membership.own_update.router != router:
+            self.network.start_incarnation(router)
+        return GrantManager(
             router,
             self.table,
             self.objects,
             self.policy,
             peers=self.network,
-            backend_truth=self.backends,
+            attempt_lookup=self.backends,
             address=self.settings.peers,
             domain=self.settings.domain,
         )
@@ -215,7 +219,7 @@
         return Recovery(
             self.table,
             self.objects,
-            self.money.current.me,
+            self.money.current.router,
             self.backends,
             self.policy,
         )
@@ -241,7 +245,7 @@
         self.network.handle(StatusRequest, status.answer)
         keys = OperatorKeys(Path(self.settings.operator_keys))
         keys.reload()
-        accounts = TableAccounts(self.table)
+        accounts = BillingTable(self.table)
         return OperatorsApp(
             OperatorsContext(
                 keys,
--- a/ebonyhold/daemon/_servers.py
+++ b/ebonyhold/daemon/_servers.py
@@ -11,7 +11,7 @@
 from attrs import define
 from hypercorn.config import Config
 
-from ebonyhold.daemon._door import AsgiApp, ConnectionServer, RequestCounter
+from ebonyhold.daemon._connections import AsgiApp, ConnectionServer, RequestCounter
 from ebonyhold.exceptions import SettingsError
 from ebonyhold.settings import Listener, TlsSettings
 from ebonyhold.types import Seconds
--- a/ebonyhold/daemon/_settlements.py
+++ b/ebonyhold/daemon/_settlements.py
@@ -89,7 +89,7 @@
         state = RequestState.NOT_RUN if charge is None else RequestState.INTERRUPTED
         recovery = self.make_recovery()
         try:
-            await recovery.rule(router, attempt, state, charge or 0)
+            await recovery.rule_on_run(router, attempt, state, charge or 0)
         except ValueError as error:
             raise BudgetError(str(error)) from error
         await recovery.recover(router)
--- a/ebonyhold/daemon/_status.py
+++ b/ebonyhold/daemon/_status.py
@@ -76,7 +76,7 @@
     def own_status(self) -> StatusReply:
         """Return the status of this router, also before it is registered."""
         return StatusReply(
-            router=self.money.current.me,
+            router=self.money.current.router,
             domain=self.domain,
             version=self.keeper.version,
             stopping=self.lifecycle.leaving,
--- a/ebonyhold/experiments/_beat_fleet.py
+++ b/ebonyhold/experiments/_beat_fleet.py
@@ -95,7 +95,7 @@
         )
         rng = random.Random(self.rng.random())
         node = Node(Membership(me, rng, self.now, self.options))
-        node.membership.read_list(listed)
+        node.membership.update_list(listed)
         self.nodes[address] = node
         self.at(node.membership.wake_at, lambda: self.tick(address, node))
         return node
@@ -124,7 +124,7 @@
 
     def send(self, address: str, node: Node, beats: list[Outgoing]) -> None:
         """Put heartbeats on their way."""
-        sender = node.membership.me.router
+        sender = node.membership.own_update.router
         for out in beats:
             size = len(encode(Frame(Purpose.NOTICE, 0, Gossip(out.beat))))
             node.sent += 1
@@ -147,10 +147,10 @@
             if self.now < node.paused_until:
                 self.at(node.paused_until, deliver)
                 return
-            if out.to not in ("", node.membership.me.router):
+            if out.to not in ("", node.membership.own_update.router):
                 return
             answers = node.membership.receive(
-                sender, out.beat, self.now, fresh=bool(out.to)
+                sender, out.beat, self.now, to_this_incarnation=bool(out.to)
             )
             self.send(out.address, node, answers)
 
--- a/ebonyhold/experiments/_memory_fleet.py
+++ b/ebonyhold/experiments/_memory_fleet.py
@@ -11,7 +11,7 @@
 
 from ebonyhold.coordination import (
     AttemptState,
-    AttemptTruth,
+    AttemptStatus,
     BudgetRow,
     Outcome,
     RequestKind,
@@ -22,12 +22,12 @@
 from ebonyhold.document import Policy
 from ebonyhold.exceptions import PeerError
 from ebonyhold.money import (
+    GrantManager,
     MoneyOptions,
     Order,
     Permit,
     Recovery,
     RecoveryReport,
-    Treasury,
     top_up,
 )
 from ebonyhold.routers import Handler, PeerMessage
@@ -147,7 +147,7 @@
     """
 
     boot: str = "boot-1"
-    attempts: dict[AttemptId, AttemptTruth] = field(factory=dict)
+    attempts: dict[AttemptId, AttemptStatus] = field(factory=dict)
     closed: set[AttemptId] = field(factory=set)
     down: bool = False
     ran: dict[AttemptId, int] = field(factory=dict)
@@ -161,7 +161,7 @@
         if attempt in self.closed or (boot and boot != self.boot):
             return False
         self.ran[attempt] = self.ran.get(attempt, 0) + 1
-        self.attempts[attempt] = AttemptTruth(
+        self.attempts[attempt] = AttemptStatus(
             AttemptState.CANCELLED, prompt, 0, self.boot
         )
         return True
@@ -182,13 +182,13 @@
 
     async def close_attempt(
         self, backend: BackendName, attempt: AttemptId
-    ) -> AttemptTruth:
+    ) -> AttemptStatus:
         """Cancel an attempt, forbid its later start, and learn what it came to."""
         del backend
         if self.down:
-            return AttemptTruth(AttemptState.UNKNOWN)
+            return AttemptStatus(AttemptState.UNKNOWN)
         self.closed.add(attempt)
-        never = AttemptTruth(AttemptState.NEVER_RAN, boot=self.boot)
+        never = AttemptStatus(AttemptState.NEVER_RAN, boot=self.boot)
         return self.attempts.get(attempt, never)
 
 
@@ -196,7 +196,7 @@
 class Router:
     """One router of the fleet: its money and the scope that ends it."""
 
-    treasury: Treasury
+    treasury: GrantManager
     scope: anyio.CancelScope
 
     def die(self) -> None:
@@ -222,9 +222,9 @@
         name: RouterId,
         table: MemoryTable | None = None,
         objects: MemoryObjects | None = None,
-    ) -> Treasury:
+    ) -> GrantManager:
         """Start a router; a table or store of its own view may be given."""
-        treasury = Treasury(
+        manager = GrantManager(
             name,
             table or self.table,
             objects or self.objects,
@@ -233,17 +233,17 @@
             self.engine,
             options=self.options,
         )
-        await treasury.open()
+        await manager.open()
         scope = anyio.CancelScope()
-        self.routers[name] = Router(treasury, scope)
+        self.routers[name] = Router(manager, scope)
 
         async def run() -> None:
             with scope:
-                await treasury.run()
+                await manager.run()
 
         self.tasks.start_soon(run)
         await anyio.wait_all_tasks_blocked()
-        return treasury
+        return manager
 
     def kill(self, name: RouterId) -> None:
         """End a router without a word to anybody."""
--- a/ebonyhold/experiments/_runs.py
+++ b/ebonyhold/experiments/_runs.py
@@ -166,8 +166,8 @@
 
 def available(slot: Slot) -> Tokens:
     """Return the tokens that lie unused in a router's grants."""
-    accounts = slot.treasury.accounts.values()
-    return sum(account.ledger.available for account in accounts)
+    grants = slot.treasury.grants.values()
+    return sum(grant.ledger.available for grant in grants)
 
 
 def money_result(
--- a/ebonyhold/experiments/budget_holders.py
+++ b/ebonyhold/experiments/budget_holders.py
@@ -1,6 +1,6 @@
 """Budgets at fleets of several sizes: drawn by every router, or by a few holders.
 
-Run ``python -m ebonyhold.experiments.budget_holders``.  Routers with real accounts
+Run ``python -m ebonyhold.experiments.budget_holders``.  Routers with real grants
 share the budgets of some workspaces over a store in memory, on a virtual clock;
 requests, their sizes and the routers that they come to are drawn from the seed.  An
 all-knowing router would refuse a request only if the unspent tokens of its budget do
@@ -26,12 +26,12 @@
 from ebonyhold.gateway import Renewals
 from ebonyhold.prepaid import (
     Committed,
+    GrantManager,
     HolderTable,
     HoldOutcome,
-    LentHolds,
     Offer,
-    RequestPurse,
-    Treasury,
+    RemoteHolds,
+    RequestHold,
     WantedHold,
 )
 from ebonyhold.standins import MemoryRows, RowHistory
@@ -104,7 +104,11 @@
 
     def others(self, workspace: WorkspaceName) -> list[str]:
         """Return which others may have tokens of a workspace, some of many."""
-        names = self.fleet.routers[self.router].treasury.table.holders(workspace).names
+        names = (
+            self.fleet.routers[self.router]
+            .treasury.holder_table.holders(workspace)
+            .names
+        )
         able = [name for name in names if name != self.router]
         return self.fleet.random.sample(able, min(len(able), MOST_OFFERS))
 
@@ -113,10 +117,8 @@
         asked = self.others(workspace)
         self.fleet.counts.messages += len(asked)
         await anyio.sleep(MESSAGE)
-        accounts = (
-            (p, self.fleet.routers[p].treasury.account(workspace)) for p in asked
-        )
-        return [Offer(peer, a.offer) for peer, a in accounts if a is not None]
+        grants = ((p, self.fleet.routers[p].treasury.grant(workspace)) for p in asked)
+        return [Offer(peer, a.offer) for peer, a in grants if a is not None]
 
     async def transfer(
         self, peer: str, workspace: WorkspaceName, amount: Tokens
@@ -124,8 +126,8 @@
         """Have one of them pass tokens on."""
         self.fleet.counts.messages += 1
         await anyio.sleep(MESSAGE)
-        account = self.fleet.routers[peer].treasury.account(workspace)
-        return await account.give(amount) if account is not None else 0
+        grant = self.fleet.routers[peer].treasury.grant(workspace)
+        return await grant.give(amount) if grant is not None else 0
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
         """Have a holder set tokens aside."""
@@ -143,9 +145,9 @@
 class ModelRouter:
     """One router of a model."""
 
-    treasury: Treasury
+    treasury: GrantManager
     renewals: Renewals
-    lent: LentHolds
+    lent: RemoteHolds
 
 
 @define(eq=False)
@@ -169,7 +171,7 @@
     prepaid: dict[WorkspaceName, Tokens] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Give each router a treasury."""
+        """Give each router a grant manager."""
         for number in range(WORKSPACES):
             self.prepaid[f"w{number}"] = PREPAID[number % len(PREPAID)]
         self.unspent.update(self.prepaid)
@@ -183,13 +185,13 @@
         """Return one router."""
         store = SlowRows(self.history, counts=self.counts)
         renewals = Renewals(
-            store, name, name, f"{name}.a", lambda: treasury.wanted_limits()
+            store, name, name, f"{name}.a", lambda: manager.wanted_limits()
         )
         peers = ModelPeers(self, name)
         if not self.holders:
             holders.choose = lambda workspace, fleet: list(fleet)
         holders.update(domains)
-        treasury = Treasury(
+        manager = GrantManager(
             f"{name}.a",
             store,
             lambda workspace: (1, self.prepaid[workspace]),
@@ -197,14 +199,12 @@
             lambda: self.size,
             renewals.limits,
             renewals.renew_now,
-            renewals.in_touch,
+            renewals.is_store_reachable,
             peers,
             peers,
             holders,
         )
-        return ModelRouter(
-            treasury, renewals, LentHolds(treasury.account, lambda: False)
-        )
+        return ModelRouter(manager, renewals, RemoteHolds(manager.grant, lambda: False))
 
     async def play(self) -> Counts:
         """Play requests; return what was counted."""
@@ -224,8 +224,8 @@
 
     def held_by(self, router: ModelRouter) -> Tokens:
         """Return the tokens that are free at one router."""
-        accounts = router.treasury.accounts.values()
-        return sum(account.grant.ledger.available for account in accounts)
+        grants = router.treasury.grants.values()
+        return sum(grant.state.ledger.available for grant in grants)
 
     async def request(self) -> None:
         """Play one request."""
@@ -235,10 +235,10 @@
         most = prompt + MOST_ANSWER
         self.counts.requests += 1
         covered = self.unspent[workspace] >= most
-        purse = router.treasury.purse(workspace)
-        assert isinstance(purse, RequestPurse)
+        hold = router.treasury.open_hold(workspace)
+        assert isinstance(hold, RequestHold)
         try:
-            await purse.hold(most, "r")
+            await hold.hold(most, "r")
         except (BudgetError, PlatformError):
             self.counts.refused += 1
             self.counts.needless += covered and self.unspent[workspace] >= most
@@ -247,7 +247,7 @@
         self.unspent[workspace] -= most
         await anyio.sleep(self.random.expovariate(1 / LASTS))
         self.unspent[workspace] += most - charge
-        purse.settle(most, charge)
+        hold.settle(most, charge)
 
 
 @frozen
--- a/ebonyhold/experiments/capacity.py
+++ b/ebonyhold/experiments/capacity.py
@@ -261,11 +261,11 @@
         fleet.table.faults.delay = 0.002
         for number in range(10):
             await fleet.top_up(f"w{number}", 10_000_000, "t")
-        treasury = await fleet.start("a.1")
+        manager = await fleet.start("a.1")
         async with anyio.create_task_group() as callers:
             for number in range(runs):
                 wish = order(f"w{number % 10}", f"r{number}")
-                callers.start_soon(treasury.begin, wish)
+                callers.start_soon(manager.begin, wish)
         fleet.kill("a.1")
         written = fleet.table.writes.used
         began, processor = anyio.current_time(), time.process_time()
--- a/ebonyhold/experiments/choice/_run.py
+++ b/ebonyhold/experiments/choice/_run.py
@@ -12,11 +12,11 @@
 from attrs import define, field, frozen
 
 from ebonyhold.backends import Backends, BackendState
-from ebonyhold.backends._table import CACHE_EVERY
+from ebonyhold.backends._table import CACHE_POLL_ROUNDS
 from ebonyhold.callers import Refusal
-from ebonyhold.callers._ask import read_urgency
 from ebonyhold.callers._gate import Gate
-from ebonyhold.coordination import Need, Share
+from ebonyhold.callers._parsing import read_urgency
+from ebonyhold.coordination import AdmissionLimits, Need
 from ebonyhold.document import (
     Backend,
     BackendKind,
@@ -93,7 +93,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Open the gate."""
-        self.gate = Gate(lambda: self.backends.free(BackendKind.ENGINE, MODEL))
+        self.gate = Gate(lambda: self.backends.free_slots(BackendKind.ENGINE, MODEL))
 
     async def poll(self) -> None:
         """Ask all engines now and then, as the product does."""
@@ -106,9 +106,9 @@
                     self.backends.ejector.lost(name, anyio.current_time())
                     continue
                 self.backends.ejector.reached(name)
-                state.heard(engine.report(self.sequence), anyio.current_time())
-                if self.sequence % CACHE_EVERY == 0:
-                    state.learn(engine.news(state.prefixes.sequence))
+                state.record_report(engine.report(self.sequence), anyio.current_time())
+                if self.sequence % CACHE_POLL_ROUNDS == 0:
+                    state.apply_events(engine.news(state.prefixes.sequence))
             self.gate.pump()
 
     async def serve(self, ask: Ask) -> None:
@@ -119,9 +119,9 @@
         try:
             waiter = self.gate.offer(
                 ask.workspace,
-                Share(10_000, 10_000),
+                AdmissionLimits(10_000, 10_000),
                 urgency.priority,
-                urgency.patience,
+                urgency.wait_timeout,
                 urgency.shed_after,
             )
             if not waiter.event.is_set():
@@ -130,7 +130,7 @@
             self.tally.refused += 1
             return
         await self.answer(ask, urgency.priority, arrived)
-        self.gate.left(waiter.ticket)
+        self.gate.finished(waiter.ticket)
 
     async def answer(self, ask: Ask, priority: int, arrived: Seconds) -> None:
         """Make attempts until the answer is whole, as the product does."""
@@ -139,7 +139,7 @@
         for attempt in range(MOST_ATTEMPTS):
             state = self.choose(ask, tried)
             if attempt == 0:
-                self.gate.arrived()
+                self.gate.server_chosen()
             if state is None:
                 break
             tried.add(state.backend.name)
--- a/ebonyhold/experiments/membership.py
+++ b/ebonyhold/experiments/membership.py
@@ -124,7 +124,7 @@
 def measure_death(fleet: BeatFleet, number: int, *, unlisted: bool) -> Death:
     """Stop one router and measure when the others notice."""
     victim = fleet.nodes[f"10.0.0.{number}:7300"]
-    router = victim.membership.me.router
+    router = victim.membership.own_update.router
     victim.up = False
     if unlisted:
         drop_from_lists(fleet, str(number))
@@ -150,7 +150,7 @@
     for node in fleet.running():
         listed = node.membership.view.listed or {}
         entries = [entry for entry in listed.values() if entry.name != name]
-        node.membership.read_list(entries)
+        node.membership.update_list(entries)
 
 
 def mean_death(deaths: list[Death]) -> Death:
@@ -205,7 +205,7 @@
     """Run a fleet in trouble and count what it believes wrongly."""
     fleet = start_fleet(size, trouble.network, MembershipOptions(), SEED)
     fleet.run(60.0)
-    before = sum(node.membership.suspicions for node in fleet.running())
+    before = sum(node.membership.suspicion_count for node in fleet.running())
     rng = random.Random(SEED)
     verdicts: set[tuple[RouterId, int]] = set()
     end = fleet.now + 600.0
@@ -217,7 +217,7 @@
             next_pause += trouble.every
         fleet.run(fleet.now + 1.0)
         verdicts |= gone_verdicts(fleet.running())
-    raised = sum(node.membership.suspicions for node in fleet.running()) - before
+    raised = sum(node.membership.suspicion_count for node in fleet.running()) - before
     left = len(gone_verdicts(fleet.running()))
     return f"{raised * 6 / size:.1f}", str(len(verdicts)), str(left)
 
@@ -248,9 +248,9 @@
 async def measure_processor() -> tuple[float, float]:
     """Return processor microseconds for a notice and for a question answered."""
     ring = KeyRing((PeerKey("k1", b"1" * 32),))
-    quiet = MembershipOptions(period=0.05, answer_within=0.02)
+    quiet = MembershipOptions(period=0.05, answer_timeout=0.02)
     one = PeerNetwork("a.1", "d", free_address(), ring, None, options=quiet)
-    seeds = (one.membership.me.address,)
+    seeds = (one.membership.own_update.address,)
     two = PeerNetwork("b.1", "d", free_address(), ring, None, seeds, options=quiet)
     heard = anyio.Event()
     count = 0
@@ -298,7 +298,7 @@
     ring = KeyRing((PeerKey("k1", b"1" * 32),))
     before = resident()
     first = PeerNetwork("0.1", "d", free_address(), ring, None)
-    seeds = (first.membership.me.address,)
+    seeds = (first.membership.own_update.address,)
     rest = [
         PeerNetwork(f"{number}.1", "d", free_address(), ring, None, seeds)
         for number in range(1, size)
@@ -338,7 +338,7 @@
     (out,) = other.membership.leave()[:1]
     start = time.process_time()
     for number in range(rounds):
-        target.receive(other.membership.me.router, out.beat, fleet.now + number)
+        target.receive(other.membership.own_update.router, out.beat, fleet.now + number)
     return tick * 1e6, (time.process_time() - start) / rounds * 1e6
 
 
--- a/ebonyhold/experiments/money_costs.py
+++ b/ebonyhold/experiments/money_costs.py
@@ -20,7 +20,7 @@
 from ebonyhold.experiments._counting import CountingTable, Writes
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
 from ebonyhold.experiments.money_policies import TABLE_DELAY, percentile
-from ebonyhold.money import Permit, Treasury
+from ebonyhold.money import GrantManager, Permit
 from ebonyhold.standins import Faults
 
 IDLE_BUDGETS = 130_000
@@ -84,14 +84,14 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def one(treasury: Treasury, workspace: str, name: str, lasts: float) -> float:
+async def one(manager: GrantManager, workspace: str, name: str, lasts: float) -> float:
     """Carry one request and return what the money added to its latency."""
     started = anyio.current_time()
-    permit = await treasury.begin(order(workspace, name))
+    permit = await manager.begin(order(workspace, name))
     added = anyio.current_time() - started
     assert isinstance(permit, Permit)
     await anyio.sleep(lasts)
-    await treasury.finish(permit, ended(permit, 40))
+    await manager.finish(permit, ended(permit, 40))
     return added
 
 
@@ -103,16 +103,16 @@
         for number in range(IDLE_BUDGETS):
             key = budget_key(f"w{number}")
             fleet.table.put(key, to_json(BudgetRow(1_000_000)))
-        treasury = await fleet.start("a.1")
+        manager = await fleet.start("a.1")
         gc.collect()
         tracemalloc.start()
         for number in range(in_use):
-            await one(treasury, f"w{number}", "r", 0.0)
+            await one(manager, f"w{number}", "r", 0.0)
         await anyio.sleep(30)
         rows = _table_bytes()
         growth = _traced() - rows
         await anyio.sleep(2 * fleet.options.evict_after)
-        assert not treasury.accounts
+        assert not manager.grants
         after = _traced() - _table_bytes()
         tracemalloc.stop()
         found.append(MemoryCost(in_use, IDLE_BUDGETS, growth, after))
@@ -156,12 +156,12 @@
             shared.order,
             counter=counter,
         )
-        treasury = await fleet.start("a.1", table)
+        manager = await fleet.start("a.1", table)
         latencies: list[float] = []
 
         async def request(number: int) -> None:
             workspace = f"w{number % WORKSPACES}"
-            latencies.append(await one(treasury, workspace, f"r{number}", 3.0))
+            latencies.append(await one(manager, workspace, f"r{number}", 3.0))
 
         counter.rows = 0
         started = anyio.current_time()
@@ -171,9 +171,9 @@
                 await anyio.sleep(chance.expovariate(rate))
         lasted = anyio.current_time() - started
         await anyio.sleep(FILED_WITHIN)
-        assert treasury.status().unfiled == 0
-        assert treasury.journal is not None
-        segments = sum(treasury.journal.segments.values()) / lasted
+        assert manager.status().unfiled == 0
+        assert manager.journal is not None
+        segments = sum(manager.journal.segments.values()) / lasted
         p95 = percentile(latencies, 0.95)
         found.append(WriteCost(rate, counter.rows / requests * rate, segments, p95))
 
--- a/ebonyhold/experiments/money_policies.py
+++ b/ebonyhold/experiments/money_policies.py
@@ -29,7 +29,7 @@
     Scenario,
     scenarios,
 )
-from ebonyhold.money import MoneyOptions, Permit, Treasury, top_up, verify_bills
+from ebonyhold.money import GrantManager, MoneyOptions, Permit, top_up, verify_bills
 from ebonyhold.standins import Faults, MemoryObjects
 from ebonyhold.types import Seconds, Tokens, WorkspaceName
 
@@ -119,7 +119,7 @@
     """One place behind the balancer, and the router that fills it now."""
 
     number: int
-    treasury: Treasury
+    treasury: GrantManager
     table: CountingTable
     objects: MemoryObjects
     lives: int = 1
@@ -176,8 +176,8 @@
         objects = MemoryObjects(
             Faults(delay=OBJECTS_DELAY), objects=self.fleet.objects.objects
         )
-        treasury = await self.fleet.start(f"r{number}.{life}", table, objects)
-        return Slot(number, treasury, table, objects, life)
+        manager = await self.fleet.start(f"r{number}.{life}", table, objects)
+        return Slot(number, manager, table, objects, life)
 
     async def request(self, one: Arrival) -> None:
         """Carry one request through the router that the balancer chose."""
@@ -202,7 +202,7 @@
         self.overspend = max(self.overspend, truth.spent - truth.prepaid)
         rest = one.charge - one.charge // 2
         self.fleet.engine.progress(permit.attempt, rest, last=True)
-        if slot.treasury.me in self.fleet.routers:
+        if slot.treasury.router in self.fleet.routers:
             await slot.treasury.finish(permit, ended(permit, one.charge))
 
     def refuse(self, one: Arrival, truth: Truth) -> None:
@@ -251,12 +251,12 @@
         for slot in unlucky:
             slot.cut = slot.table.faults.down = True
             for other in lucky:
-                self.fleet.network.part(slot.treasury.me, other.treasury.me)
+                self.fleet.network.part(slot.treasury.router, other.treasury.router)
 
     async def die(self, slot: Slot) -> None:
         """End a router without notice, recover it, and start another."""
         slot.up = False
-        name = slot.treasury.me
+        name = slot.treasury.router
         self.fleet.kill(name)
         await anyio.sleep(DEATH_NOTICED)
         await self.fleet.recover(name, by="survivor")
@@ -268,12 +268,12 @@
         await anyio.sleep(LONGEST_REQUEST)
         with suppress(EbonyholdError), anyio.move_on_after(30):
             await slot.treasury.drain()
-        self.fleet.kill(slot.treasury.me)
+        self.fleet.kill(slot.treasury.router)
         self.slots[slot.number] = await self.slot(slot.number, slot.lives + 1)
 
 
-def _available(treasury: Treasury) -> Tokens:
-    return sum(account.ledger.available for account in treasury.accounts.values())
+def _available(manager: GrantManager) -> Tokens:
+    return sum(grant.ledger.available for grant in manager.grants.values())
 
 
 def percentile(values: list[float], part: float) -> float:
--- a/ebonyhold/forwarding/__init__.py
+++ b/ebonyhold/forwarding/__init__.py
@@ -5,13 +5,6 @@
 from ebonyhold.forwarding._calls import CallNotSentError, HttpCalls
 from ebonyhold.forwarding._channel import AnswerHead, Channel, Outbound
 from ebonyhold.forwarding._choice import choose
-from ebonyhold.forwarding._departure import (
-    Departure,
-    LateRequest,
-    RouteTimes,
-    Stage,
-    accepts_late,
-)
 from ebonyhold.forwarding._dialect import Dialect
 from ebonyhold.forwarding._events import EventSplitter, StreamEvent
 from ebonyhold.forwarding._exchange import WholeAnswer
@@ -19,7 +12,7 @@
 from ebonyhold.forwarding._listener import CallerListener
 from ebonyhold.forwarding._pool import ChannelPool
 from ebonyhold.forwarding._refusals import Refusal, own_answer
-from ebonyhold.forwarding._retries import FleetRetries, RetryRules
+from ebonyhold.forwarding._retries import FleetRetryBudget, RetryRules
 from ebonyhold.forwarding._routes import (
     Match,
     NoRouteError,
@@ -28,6 +21,13 @@
     find_route,
     match_request,
 )
+from ebonyhold.forwarding._shutdown import (
+    LateRequest,
+    RouteTimes,
+    Shutdown,
+    Stage,
+    accepts_late,
+)
 from ebonyhold.forwarding._types import (
     AnswerFacts,
     Backend,
@@ -62,11 +62,10 @@
     "CallerRequest",
     "Channel",
     "ChannelPool",
-    "Departure",
     "Dialect",
     "Dispatch",
     "EventSplitter",
-    "FleetRetries",
+    "FleetRetryBudget",
     "Forwarder",
     "Guard",
     "Headers",
@@ -87,6 +86,7 @@
     "Service",
     "ServiceName",
     "ServiceShare",
+    "Shutdown",
     "Stage",
     "StreamEvent",
     "TaskStarter",
--- a/ebonyhold/forwarding/_backends.py
+++ b/ebonyhold/forwarding/_backends.py
@@ -21,7 +21,9 @@
 grace period, a long outage would remove all running servers at once.
 """
 
-EJECTION = EjectionPolicy(errors=4, lost=1, first=0.5, most=4.0, most_lost=2.0)
+EJECTION = EjectionPolicy(
+    errors=4, lost=1, first_duration=0.5, max_duration=4.0, max_unreachable=2.0
+)
 """One failed connection is enough for an ejection, and ejections are shorter than by
 default.
 
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -237,7 +237,7 @@
             sent, and no bytes are left unread.
         """
         done = self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
-        if not done or self.writing or not self.is_quiet():
+        if not done or self.writing or not self.is_idle():
             return False
         if self.parser.trailing_data[0]:
             return False
@@ -246,7 +246,7 @@
         self.usable_until = now + idle_time(head.headers)
         return True
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the connection is open and has no unread bytes."""
         return not (self.inbox.waiting or self.inbox.ended or self.closed)
 
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -109,13 +109,13 @@
         """
         if not self.may_have_run:
             return 0
-        output = min(self.events * self.event_tokens, self.caller.most_output)
+        output = min(self.events * self.event_tokens, self.caller.max_output)
         return self.caller.prompt_tokens + output
 
     @property
     def attempts_left(self) -> bool:
         """Whether the request was sent less often than its route allows."""
-        return self.sends < self.match.route.most_attempts
+        return self.sends < self.match.route.max_attempts
 
     async def deliver(self, answer: WholeAnswer) -> None:
         """Pass on a complete answer, without the fields of the server's connection."""
--- a/ebonyhold/forwarding/_forwarder.py
+++ b/ebonyhold/forwarding/_forwarder.py
@@ -19,18 +19,18 @@
 from ebonyhold.forwarding._backends import BackendEntry, BackendTable
 from ebonyhold.forwarding._caller import CallerConnection, RequestHead
 from ebonyhold.forwarding._choice import choose
-from ebonyhold.forwarding._departure import Departure
 from ebonyhold.forwarding._dialect import Dialect
 from ebonyhold.forwarding._exchange import AttemptEnd, AttemptResult, Exchange
 from ebonyhold.forwarding._pool import ChannelPool
 from ebonyhold.forwarding._refusals import Refusal, own_answer
-from ebonyhold.forwarding._retries import FleetRetries
+from ebonyhold.forwarding._retries import FleetRetryBudget
 from ebonyhold.forwarding._routes import (
     Match,
     NoRouteError,
     UnknownKeyError,
     match_request,
 )
+from ebonyhold.forwarding._shutdown import Shutdown
 from ebonyhold.forwarding._types import CallerRequest, Headers, Ruleset
 from ebonyhold.types import RequestId, Seconds, Tokens, WorkspaceName
 
@@ -95,28 +95,29 @@
         pool: The connections to servers.
         retries: The retry budget.
         rules: Returns the current rules, or None until some were read.
-        purse: Opens a hold on a workspace's budget; None if the workspace has no limit.
-        ended: Called at the end of each request with its route, outcome and duration
+        open_hold: Opens a hold on a workspace's budget; None if the workspace has no
+            limit.
+        on_end: Called at the end of each request with its route, outcome and duration
             in seconds, for metrics.
         ages: Returns the age of each cached input in seconds, for logs.
-        departure: Decides which requests are accepted during a shutdown.
+        shutdown: Decides which requests are accepted during a shutdown.
     """
 
     domain: str
     dialect: Dialect
     backends: BackendTable
     pool: ChannelPool
-    retries: FleetRetries
+    retries: FleetRetryBudget
     rules: Callable[[], Ruleset | None]
-    purse: Callable[[WorkspaceName], RequestHold | None]
-    ended: Callable[[str, str, Seconds], None]
+    open_hold: Callable[[WorkspaceName], RequestHold | None]
+    on_end: Callable[[str, str, Seconds], None]
     ages: Callable[[], dict[str, Seconds]] = dict
-    departure: Departure = field(factory=Departure)
+    shutdown: Shutdown = field(factory=Shutdown)
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
-        """Forward or refuse one request, and report its end to `ended`.
+        """Forward or refuse one request, and report its end to `on_end`.
 
         A request whose headers are malformed is refused without a report. The outcome
         is "left" if the caller disconnects, which cancels this call, or if an
@@ -138,9 +139,9 @@
             await self.refuse(connection, caller, error.refusal, route)
         finally:
             duration = anyio.current_time() - started
-            self.ended(route, outcome, duration)
+            self.on_end(route, outcome, duration)
             if outcome == DELIVERED:
-                self.departure.times.record(route, duration)
+                self.shutdown.times.record(route, duration)
             if outcome == "left":
                 fields = {"request": caller.request_id, "route": route}
                 log.info("caller left", extra=fields)
@@ -184,7 +185,7 @@
         Raises:
             Refused: It is not accepted, and has not run.
         """
-        accepted = self.departure.admits(
+        accepted = self.shutdown.admits(
             exchange.caller.request_id,
             exchange.match.route,
             priced,
@@ -206,7 +207,7 @@
         """
         workspace = exchange.match.workspace
         max_charge = exchange.caller.max_charge
-        hold = self.purse(workspace.name) if workspace and max_charge else None
+        hold = self.open_hold(workspace.name) if workspace and max_charge else None
         self.check_shutdown(exchange, priced=hold is not None)
         if hold is None:
             return await self.forward_in_time(exchange)
@@ -229,7 +230,7 @@
         """
         outcome = ""
         cutoff = exchange.deadline + ANSWER_MARGIN
-        with self.departure.bounded(cutoff):
+        with self.shutdown.bounded(cutoff):
             outcome = await self.forward(exchange)
         if not outcome:
             refusal = (
@@ -256,7 +257,7 @@
             if result.end is AttemptEnd.DELIVERED:
                 return DELIVERED
             self.record_failure(exchange, entry.backend.name, result)
-            refusal = self.verdict(exchange, result)
+            refusal = self.check_retry(exchange, result)
             if refusal is not None:
                 return await self.give_up(exchange, refusal)
 
@@ -308,7 +309,7 @@
             exchange.connects += 1
             exchange.tried.append(backend)
 
-    def verdict(self, exchange: Exchange, result: AttemptResult) -> Refusal | None:
+    def check_retry(self, exchange: Exchange, result: AttemptResult) -> Refusal | None:
         """Return None if another server may be tried, or else the refusal.
 
         Another try uses the retry budget, unless no connection could be made.
@@ -398,6 +399,6 @@
 def deadline_of(head: RequestHead, caller: CallerRequest, match: Match) -> Seconds:
     """Return the deadline: the earlier of the caller's time limit and the route's."""
     time_limit = match.route.timeout
-    if caller.patience is not None:
-        time_limit = min(time_limit, caller.patience)
+    if caller.time_limit is not None:
+        time_limit = min(time_limit, caller.time_limit)
     return head.arrived_at + time_limit
--- a/ebonyhold/forwarding/_listener.py
+++ b/ebonyhold/forwarding/_listener.py
@@ -60,8 +60,8 @@
         draining: Whether connections close after their next answers, for a shutdown.
         shedding: Whether connections close after their next answers, to shed load.
         working: Number of requests being answered.
-        begun: Number of requests being read or answered.
-        idle: Set when `begun` falls to 0, then replaced.
+        open_requests: Number of requests being read or answered.
+        idle: Set when `open_requests` falls to 0, then replaced.
         empty: Set when the last connection has ended, then replaced.
         arriving: Number of connections accepted but not yet in `connections`.
         accepting: Cancel scope of accepting connections.
@@ -76,7 +76,7 @@
     draining: bool = False
     shedding: bool = False
     working: int = 0
-    begun: int = 0
+    open_requests: int = 0
     idle: anyio.Event = field(factory=anyio.Event)
     empty: anyio.Event = field(factory=anyio.Event)
     arriving: int = 0
@@ -196,12 +196,12 @@
     @contextmanager
     def under_way(self) -> Iterator[None]:
         """Count a request from its first byte to the end of its answer."""
-        self.begun += 1
+        self.open_requests += 1
         try:
             yield
         finally:
-            self.begun -= 1
-            if not self.begun:
+            self.open_requests -= 1
+            if not self.open_requests:
                 self.idle.set()
                 self.idle = anyio.Event()
 
@@ -239,7 +239,7 @@
 
     async def until_idle(self) -> None:
         """Return when no request is being read or answered."""
-        while self.begun:
+        while self.open_requests:
             await self.idle.wait()
 
     async def until_empty(self) -> None:
--- a/ebonyhold/forwarding/_pool.py
+++ b/ebonyhold/forwarding/_pool.py
@@ -16,7 +16,7 @@
 from ebonyhold.tasks import TaskStarter
 from ebonyhold.types import BackendName, Seconds
 
-SWEEP: Seconds = 1.0
+SWEEP_INTERVAL: Seconds = 1.0
 """Time between two sweeps that close expired and ended connections."""
 
 MAX_UNUSED = 16
@@ -32,7 +32,7 @@
 
     Attributes:
         tasks: Starts the tasks that read connections.
-        connected: Called with the server's name and whether a new connection was made
+        on_connect: Called with the server's name and whether a new connection was made
             (True) or timed out (False); not called if it was refused.
         connect_timeout: Maximum time to wait for a new connection.
         unused: The unused connections of each server, the most recently used one last.
@@ -40,7 +40,7 @@
     """
 
     tasks: TaskStarter
-    connected: Callable[[BackendName, bool], None] = lambda name, made: None
+    on_connect: Callable[[BackendName, bool], None] = lambda name, made: None
     connect_timeout: Seconds = CONNECT_TIMEOUT
     unused: dict[BackendName, list[Channel]] = field(factory=dict)
     opened: int = 0
@@ -58,9 +58,9 @@
         try:
             channel = await open_channel(address, self.tasks, self.connect_timeout)
         except ConnectTimeoutError:
-            self.connected(name, False)
+            self.on_connect(name, False)
             raise
-        self.connected(name, True)
+        self.on_connect(name, True)
         return channel
 
     def take(self, name: BackendName, address: tuple[str, int]) -> Channel | None:
@@ -74,7 +74,7 @@
         channels = self.unused.get(name, [])
         while channels:
             channel = channels.pop()
-            usable = channel.is_quiet() and now < channel.usable_until
+            usable = channel.is_idle() and now < channel.usable_until
             if usable and channel.address == address:
                 return channel
             self.tasks.start_soon(channel.close)
@@ -91,7 +91,7 @@
     async def sweep(self) -> None:
         """Close expired and ended connections periodically; never return."""
         while True:
-            await anyio.sleep(SWEEP)
+            await anyio.sleep(SWEEP_INTERVAL)
             # Requests use the pool while a connection is being closed here. The
             # connections are therefore removed from the pool first, without awaiting.
             # Otherwise a request could take one of them, and removing it later would
@@ -105,7 +105,7 @@
         for name, channels in list(self.unused.items()):
             kept: list[Channel] = []
             for channel in channels:
-                usable = channel.is_quiet() and now < channel.usable_until
+                usable = channel.is_idle() and now < channel.usable_until
                 (kept if usable else removed).append(channel)
             if kept:
                 self.unused[name] = kept
--- a/ebonyhold/forwarding/_retries.py
+++ b/ebonyhold/forwarding/_retries.py
@@ -48,7 +48,7 @@
 
 
 @define
-class FleetRetries:
+class FleetRetryBudget:
     """Decides whether a request may be retried, without contacting other routers.
 
     Each router may use the retries that its own requests earn, and an equal part of
--- a/ebonyhold/forwarding/_departure.py
+++ b/ebonyhold/forwarding/_shutdown.py
@@ -152,7 +152,7 @@
 
 
 @define(eq=False)
-class Departure:
+class Shutdown:
     """Admission of requests while a router shuts down.
 
     The load balancer still sends callers here while fewer than half of the failure
@@ -165,7 +165,8 @@
         stage: The current stage.
         last_answer_at: When the last answer must have been sent.
         times: Durations of recent requests.
-        judged: Called for each late request with whether it was accepted, for metrics.
+        on_late_request: Called for each late request with whether it was accepted, for
+            metrics.
         scopes: The cancel scopes of the current requests; a shutdown limits their
             deadlines to `last_answer_at`.
         taken: Number of late requests that were accepted.
@@ -175,7 +176,7 @@
     stage: Stage = Stage.SERVING
     last_answer_at: Seconds = math.inf
     times: RouteTimes = field(factory=RouteTimes)
-    judged: Callable[[bool], None] = lambda taken: None
+    on_late_request: Callable[[bool], None] = lambda taken: None
     scopes: set[anyio.CancelScope] = field(factory=set)
     taken: int = 0
     refused: int = 0
@@ -233,7 +234,7 @@
         """Count a late request, and log the decision with the data it is based on."""
         self.taken += taken
         self.refused += not taken
-        self.judged(taken)
+        self.on_late_request(taken)
         log.info(
             "request while stopping",
             extra={
--- a/ebonyhold/forwarding/_types.py
+++ b/ebonyhold/forwarding/_types.py
@@ -55,7 +55,7 @@
         kind: Which of its requests may be repeated.
         timeout: Maximum duration of a request, in seconds.
         target: Target latency, in seconds.
-        most_attempts: How many backend servers one request may be sent to.
+        max_attempts: How many backend servers one request may be sent to.
         priority: The priority of its requests; 0 is the most urgent.
         anonymous: Whether requests need no key.
         resumable: Whether a broken stream may be resumed at another server.
@@ -68,7 +68,7 @@
     kind: RouteKind
     timeout: Seconds
     target: Seconds
-    most_attempts: int = 1
+    max_attempts: int = 1
     priority: int = 5
     anonymous: bool = False
     resumable: bool = False
@@ -192,10 +192,10 @@
     Attributes:
         request_id: Identifies the caller's attempt; it is sent unchanged to the server.
         key: The key presented; empty if none.
-        patience: How long the caller waits for an answer, in seconds; None if not
+        time_limit: How long the caller waits for an answer, in seconds; None if not
             stated.
         prompt_tokens: The length of the prompt; 0 if the request generates no text.
-        most_output: Maximum number of tokens to generate.
+        max_output: Maximum number of tokens to generate.
         prompt_parts: The parts of the prompt, in order.
         resume_after: The number of the last event that the caller has; None for a new
             stream.
@@ -203,16 +203,16 @@
 
     request_id: str
     key: str = ""
-    patience: Seconds | None = None
+    time_limit: Seconds | None = None
     prompt_tokens: Tokens = 0
-    most_output: Tokens = 0
+    max_output: Tokens = 0
     prompt_parts: tuple[PromptPart, ...] = ()
     resume_after: int | None = None
 
     @property
     def max_charge(self) -> Tokens:
         """The maximum number of tokens that the request can cost."""
-        return self.prompt_tokens + self.most_output
+        return self.prompt_tokens + self.max_output
 
 
 @frozen
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -82,7 +82,7 @@
         key = sharing_key(request)
         size = prompt_size(request)
         cached = shared_tokens(request) if key and self.has_cached(key, now) else 0
-        work = RequestWork(self, max(0, size - cached), size + request.most_output)
+        work = RequestWork(self, max(0, size - cached), size + request.max_output)
         self.unread += work.unread
         self.resident += work.resident
         if key:
--- a/ebonyhold/gateway/__init__.py
+++ b/ebonyhold/gateway/__init__.py
@@ -33,7 +33,7 @@
     Changes,
     GatewaySettings,
     GatewayStore,
-    Peers,
+    PlatformAdapter,
     RawRow,
     Snapshot,
 )
@@ -57,7 +57,7 @@
     "GuardedTasks",
     "ListenError",
     "PeerHandler",
-    "Peers",
+    "PlatformAdapter",
     "Policy",
     "Presence",
     "RateLimit",
--- a/ebonyhold/gateway/__main__.py
+++ b/ebonyhold/gateway/__main__.py
@@ -20,7 +20,7 @@
     block_signals,
     configure_output,
 )
-from ebonyhold.platform import platform_peers  # noqa: E402
+from ebonyhold.platform import platform_adapter  # noqa: E402
 
 EXIT_SETTINGS = 2
 
@@ -29,7 +29,7 @@
     """Run one gateway and exit with its status, or with 2 for invalid settings."""
     block_signals()
     try:
-        peers = platform_peers()
+        peers = platform_adapter()
     except SettingsError as error:
         sys.stderr.write(f"{error.code}: {error}\n")
         sys.exit(EXIT_SETTINGS)
--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -16,15 +16,15 @@
     CallerLimits,
     CallerListener,
     ChannelPool,
-    Departure,
-    FleetRetries,
+    FleetRetryBudget,
     Forwarder,
     RequestHead,
     Ruleset,
+    Shutdown,
 )
 from ebonyhold.gateway._holds import GatewayHolders, PeerHandler
 from ebonyhold.gateway._listening import listen
-from ebonyhold.gateway._meters import GatewayMeters
+from ebonyhold.gateway._metrics import GatewayMetrics
 from ebonyhold.gateway._presence import Presence
 from ebonyhold.gateway._pressure import PressureMonitor
 from ebonyhold.gateway._renewals import Renewals
@@ -37,10 +37,10 @@
     GatewayPeers,
     TransferHandler,
 )
-from ebonyhold.gateway._types import Peers
+from ebonyhold.gateway._types import PlatformAdapter
 from ebonyhold.gateway._watcher import Watcher
 from ebonyhold.misc import new_incarnation
-from ebonyhold.prepaid import HolderTable, LentHolds, Treasury
+from ebonyhold.prepaid import GrantManager, HolderTable, RemoteHolds
 from ebonyhold.types import Seconds
 
 log = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
         draining: Whether the stop has begun.
     """
 
-    platform: Peers
+    platform: PlatformAdapter
     began_at: Seconds
     incarnation: str = field(init=False)
     routing: RoutingState = field(init=False)
@@ -76,13 +76,13 @@
     peers: GatewayPeers = field(init=False)
     holders: GatewayHolders = field(init=False)
     renewals: Renewals = field(init=False)
-    treasury: Treasury = field(init=False)
+    treasury: GrantManager = field(init=False)
     rules_watcher: Watcher = field(init=False)
     servers_watcher: Watcher = field(init=False)
     listener: CallerListener = field(init=False)
     pressure: PressureMonitor = field(init=False)
-    departure: Departure = field(init=False)
-    metrics: GatewayMeters = field(factory=GatewayMeters)
+    departure: Shutdown = field(init=False)
+    metrics: GatewayMetrics = field(factory=GatewayMetrics)
     pool: ChannelPool | None = None
     draining: bool = False
 
@@ -91,7 +91,7 @@
         store = platform.store
         self.incarnation = new_incarnation(platform.settings.name)
         self.routing = RoutingState(platform)
-        self.departure = Departure(judged=self.metrics.count_late)
+        self.departure = Shutdown(on_late_request=self.metrics.count_late)
         name = platform.settings.name
         port = platform.settings.peers_port
         own_address = f"{platform.settings.host}:{port}" if port else ""
@@ -116,7 +116,7 @@
             lambda: self.treasury.wanted_limits(),
             self.began_at,
         )
-        self.treasury = Treasury(
+        self.treasury = GrantManager(
             self.incarnation,
             store,
             self.routing.prepaid,
@@ -124,7 +124,7 @@
             self.presence.count,
             self.renewals.limits,
             self.renewals.renew_now,
-            self.renewals.in_touch,
+            self.renewals.is_store_reachable,
             self.peers,
             self.holders,
             table,
@@ -192,19 +192,19 @@
             dialect=self.platform.dialect,
             backends=self.routing.backends,
             pool=self.pool,
-            retries=FleetRetries(settings.retry_rules, self.presence.count),
+            retries=FleetRetryBudget(settings.retry_rules, self.presence.count),
             rules=self.current_rules,
-            purse=self.treasury.purse,
-            ended=self.metrics.count_request,
+            open_hold=self.treasury.open_hold,
+            on_end=self.metrics.count_request,
             ages=self.ages,
-            departure=self.departure,
+            shutdown=self.departure,
         )
         guard = partial(supervisor.guard, "caller connection")
         self.listener = CallerListener(
             forwarder.serve, self.routing.limits, guard, forwarder.identify
         )
         self.pressure = PressureMonitor(self.listener.shed)
-        self.pool.connected = self.pressure.record_connect
+        self.pool.on_connect = self.pressure.record_connect
         supervisor.start("pressure", self.pressure.run)
         readiness = CallerListener(self.answer_readiness, CallerLimits, guard)
         metrics = CallerListener(self.answer_metrics, CallerLimits, guard)
@@ -214,8 +214,8 @@
         supervisor.start("readiness", listen, readiness, settings.readiness, tasks)
         supervisor.start("metrics", listen, metrics, metrics_address, tasks)
         if settings.peers_port:
-            remote_holds = LentHolds(self.treasury.account, lambda: self.draining)
-            handler = PeerHandler(TransferHandler(self.treasury.account), remote_holds)
+            remote_holds = RemoteHolds(self.treasury.grant, lambda: self.draining)
+            handler = PeerHandler(TransferHandler(self.treasury.grant), remote_holds)
             peer_listener = CallerListener(handler.serve, lambda: PEER_LIMITS, guard)
             address = (settings.host, settings.peers_port)
             supervisor.start("transfers", listen, peer_listener, address, tasks)
@@ -273,13 +273,13 @@
         for entry in self.routing.backends.entries.values():
             backend = entry.backend
             self.metrics.servers.labels(backend.service, backend.state.value).inc()
-        for account in self.treasury.accounts.values():
-            ledger = account.grant.ledger
-            name = account.workspace
+        for grant in self.treasury.grants.values():
+            ledger = grant.state.ledger
+            name = grant.workspace
             self.metrics.tokens.labels(name, "available").set(ledger.available)
             self.metrics.tokens.labels(name, "held").set(ledger.held)
             self.metrics.tokens.labels(name, "unfiled").set(ledger.unfiled)
-            self.metrics.tokens.labels(name, "charged").set(account.grant.charged)
+            self.metrics.tokens.labels(name, "charged").set(grant.state.charged)
         self.metrics.loop_delay.set(self.pressure.detector.mean_delay)
         if self.pool is not None:
             self.metrics.connections.set(self.pool.opened)
--- a/ebonyhold/gateway/_holds.py
+++ b/ebonyhold/gateway/_holds.py
@@ -25,7 +25,7 @@
     GatewayPeers,
     TransferHandler,
 )
-from ebonyhold.prepaid import HoldOutcome, LentHolds, WantedHold
+from ebonyhold.prepaid import HoldOutcome, RemoteHolds, WantedHold
 from ebonyhold.types import HoldId, Seconds, Tokens
 
 log = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
 
 
 @frozen
-class Settled:
+class SettlementsAnswer:
     """A holder's confirmation of settlements."""
 
 
@@ -170,7 +170,11 @@
             return
         charges = {hold: one.charge for hold, one in sent.items()}
         answer = await self.peers.post(
-            peer, SETTLEMENTS_TARGET, Settlements(charges), Settled, SETTLEMENT_TIMEOUT
+            peer,
+            SETTLEMENTS_TARGET,
+            Settlements(charges),
+            SettlementsAnswer,
+            SETTLEMENT_TIMEOUT,
         )
         if answer is None:
             return
@@ -209,13 +213,13 @@
     """
 
     transfers: TransferHandler
-    remote_holds: LentHolds
+    remote_holds: RemoteHolds
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
     ) -> None:
         """Answer one message according to its target; a malformed one gets 400."""
-        answer: HoldAnswer | Settled
+        answer: HoldAnswer | SettlementsAnswer
         try:
             if head.target == HOLDS_TARGET:
                 answer = await self.hold(body)
@@ -235,11 +239,11 @@
         """Hold tokens for a request of another gateway, and return the outcome."""
         return HoldAnswer(await self.remote_holds.hold(read_message(body, WantedHold)))
 
-    def settle(self, body: bytes) -> Settled:
+    def settle(self, body: bytes) -> SettlementsAnswer:
         """End the holds that a settlement message names, with the charges in it."""
         for hold, charge in read_message(body, Settlements).charges.items():
             self.remote_holds.settle(hold, charge)
-        return Settled()
+        return SettlementsAnswer()
 
     async def expire(self) -> None:
         """Charge expired holds in full, at regular intervals, until cancelled."""
--- a/ebonyhold/gateway/_messages.py
+++ b/ebonyhold/gateway/_messages.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from ebonyhold.coordination import DAMAGED, from_json
+from ebonyhold.coordination import DECODE_ERRORS, from_json
 from ebonyhold.exceptions import MalformedMessageError
 
 T = TypeVar("T")
@@ -23,5 +23,5 @@
         if not isinstance(raw, Mapping):
             raise MalformedMessageError(f"{body[:80]!r} is not a JSON object")
         return from_json(raw, as_type)
-    except DAMAGED as error:
+    except DECODE_ERRORS as error:
         raise MalformedMessageError(f"{body[:80]!r}: {error!r}") from error
--- a/ebonyhold/gateway/_meters.py
+++ b/ebonyhold/gateway/_metrics.py
@@ -20,7 +20,7 @@
 """Maximum number of routes with their own label; all others count as "other"."""
 
 
-class GatewayMeters:
+class GatewayMetrics:
     """All metrics of a gateway, in their own registry."""
 
     def __init__(self) -> None:
--- a/ebonyhold/gateway/_presence.py
+++ b/ebonyhold/gateway/_presence.py
@@ -17,7 +17,7 @@
     to_json,
 )
 from ebonyhold.exceptions import DamagedRowError, PlatformError
-from ebonyhold.gateway._pace import scale_interval
+from ebonyhold.gateway._intervals import scale_interval
 from ebonyhold.gateway._types import GatewayStore
 from ebonyhold.prepaid import Fleet
 from ebonyhold.types import RouterId, Seconds
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -27,7 +27,13 @@
     UnknownOutcomeError,
 )
 from ebonyhold.gateway._types import GatewayStore
-from ebonyhold.prepaid import Committed, LimitBook, Limits, Predecessor, SpendingLimit
+from ebonyhold.prepaid import (
+    Committed,
+    Limits,
+    LimitTracker,
+    Predecessor,
+    SpendingLimit,
+)
 from ebonyhold.types import RouterId, Seconds, WorkspaceName
 
 log = logging.getLogger(__name__)
@@ -163,7 +169,7 @@
     incarnation: str
     wanted: Callable[[], Limits]
     began_at: Seconds = field(factory=anyio.current_time)
-    limits: LimitBook = field(factory=LimitBook)
+    limits: LimitTracker = field(factory=LimitTracker)
     previous_row: LimitsRow | None = None
     unreclaimed: tuple[Predecessor, ...] = ()
     started: anyio.Event = field(factory=anyio.Event)
@@ -186,7 +192,7 @@
         unused = confirmed is not None and not confirmed.limits and not self.misses
         return UNUSED_RENEWAL_INTERVAL if unused else RENEWAL_INTERVAL
 
-    def in_touch(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Return whether the VM's row is taken over and the store seems reachable.
 
         One unanswered renewal is tolerated.
@@ -205,9 +211,9 @@
             renewal_ended, self.renewal_ended = self.renewal_ended, anyio.Event()
             try:
                 await self.step()
-                self.note_renewed()
+                self.record_success()
             except PlatformError as error:
-                self.note_missed(error)
+                self.record_failure(error)
             finally:
                 renewal_ended.set()
             with anyio.move_on_after(self.interval):
@@ -223,13 +229,13 @@
         self.requested.set()
         await renewal_ended.wait()
 
-    def note_renewed(self) -> None:
+    def record_success(self) -> None:
         """Reset the count of failed renewals, and log that they succeed again."""
         if self.misses:
             log.info("limits renewed again", extra={"life": self.incarnation})
         self.misses = 0
 
-    def note_missed(self, error: PlatformError) -> None:
+    def record_failure(self, error: PlatformError) -> None:
         """Count a failed renewal, and log the first failure in a row.
 
         A renewal that certainly failed, for example by a conflict, makes the store
@@ -251,7 +257,7 @@
         if not self.started.is_set():
             await self.start()
         else:
-            if self.limits.doubtful or self.misses:
+            if self.limits.in_doubt or self.misses:
                 await self.read_own_row()
             await self.write(AtVersion(self.key, self.version))
 
--- a/ebonyhold/gateway/_routing_state.py
+++ b/ebonyhold/gateway/_routing_state.py
@@ -10,7 +10,7 @@
 
 from ebonyhold.exceptions import ConfigurationError, MalformedEntryError
 from ebonyhold.forwarding import Backend, BackendTable, CallerLimits, Ruleset
-from ebonyhold.gateway._types import Peers, RawRow
+from ebonyhold.gateway._types import PlatformAdapter, RawRow
 from ebonyhold.types import BackendName, Tokens, WorkspaceName
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
         backends: The listed backend servers.
     """
 
-    platform: Peers
+    platform: PlatformAdapter
     rules: Ruleset | None = None
     backends: BackendTable = field(factory=BackendTable)
 
--- a/ebonyhold/gateway/_stop.py
+++ b/ebonyhold/gateway/_stop.py
@@ -10,7 +10,7 @@
 import anyio.lowlevel
 from attrs import define, frozen
 
-from ebonyhold.forwarding import CallerListener, Departure, Stage
+from ebonyhold.forwarding import CallerListener, Shutdown, Stage
 from ebonyhold.types import Seconds
 
 log = logging.getLogger(__name__)
@@ -115,7 +115,7 @@
     """
 
     listener: CallerListener
-    departure: Departure
+    departure: Shutdown
     grants: Grants
     leave: Callable[[], Awaitable[None]]
 
@@ -154,7 +154,7 @@
         with anyio.move_on_after(LAST_ANSWERS_TIMEOUT):
             await self.listener.until_idle()
         fields = {
-            "left": self.listener.begun,
+            "left": self.listener.open_requests,
             "late_taken": self.departure.taken,
             "late_refused": self.departure.refused,
         }
@@ -167,7 +167,7 @@
         a successor can reclaim only grants that the rows name.
         """
         returned = await self.grants.close(times.return_deadline - anyio.current_time())
-        if returned and not self.listener.begun:
+        if returned and not self.listener.open_requests:
             with anyio.move_on_after(LEAVE_TIMEOUT):
                 await self.leave()
 
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -28,7 +28,7 @@
     TaskStarter,
 )
 from ebonyhold.gateway._messages import read_message
-from ebonyhold.prepaid import Account, Offer
+from ebonyhold.prepaid import Offer, WorkspaceGrant
 from ebonyhold.types import Seconds, Tokens, WorkspaceName
 
 log = logging.getLogger(__name__)
@@ -299,7 +299,7 @@
             budget.
     """
 
-    account: Callable[[WorkspaceName], Account | None]
+    account: Callable[[WorkspaceName], WorkspaceGrant | None]
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
@@ -322,12 +322,12 @@
 
         The answer contains 0 for both if this gateway has no grant of the workspace.
         """
-        account = self.account(request.workspace)
-        if account is None:
+        grant = self.account(request.workspace)
+        if grant is None:
             return TransferAnswer()
         given = 0
         if request.amount > 0:
-            given = await account.give(request.amount)
+            given = await grant.give(request.amount)
             fields = {"workspace": request.workspace, "asked": request.amount}
             log.info("tokens given", extra={**fields, "given": given})
-        return TransferAnswer(given, account.offer)
+        return TransferAnswer(given, grant.offer)
--- a/ebonyhold/gateway/_types.py
+++ b/ebonyhold/gateway/_types.py
@@ -130,7 +130,7 @@
 
 
 @frozen
-class Peers:
+class PlatformAdapter:
     """The adapter to a platform: everything in which a gateway depends on it.
 
     Attributes:
--- a/ebonyhold/gateway/_watcher.py
+++ b/ebonyhold/gateway/_watcher.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from ebonyhold.exceptions import HistoryLostError, PlatformError
-from ebonyhold.gateway._pace import scale_interval
+from ebonyhold.gateway._intervals import scale_interval
 from ebonyhold.gateway._types import GatewayStore, RawRow
 from ebonyhold.types import Seconds
 
--- a/ebonyhold/models/_replay.py
+++ b/ebonyhold/models/_replay.py
@@ -13,7 +13,15 @@
 
 from attrs import define, field, frozen
 
-from ebonyhold.coordination import Absent, Check, Put, Row, Seen, Transaction, seen
+from ebonyhold.coordination import (
+    Absent,
+    Check,
+    Observed,
+    Put,
+    Row,
+    Transaction,
+    observe_row,
+)
 from ebonyhold.models._checking import Model, Transition, transitions
 from ebonyhold.types import Json
 
@@ -67,9 +75,9 @@
             return row is None
         return row is not None and row.version == check.version
 
-    def seen(self, key: str, as_type: type[T]) -> Seen[T]:
+    def seen(self, key: str, as_type: type[T]) -> Observed[T]:
         """Return a row as one reader sees it now."""
-        return seen(key, self.rows.get(key), as_type)
+        return observe_row(key, self.rows.get(key), as_type)
 
     def value(self, key: str, as_type: type[T]) -> T | None:
         """Return what a row holds, or None."""
--- a/ebonyhold/models/_replay_claims.py
+++ b/ebonyhold/models/_replay_claims.py
@@ -7,8 +7,9 @@
 from attrs import evolve, frozen
 
 from ebonyhold.coordination import (
+    AttemptEvidence,
     AttemptState,
-    AttemptTruth,
+    AttemptStatus,
     ClaimAnswer,
     Intent,
     KeptAnswer,
@@ -17,7 +18,6 @@
     RequestKind,
     RequestState,
     Transaction,
-    Witness,
     claim_transaction,
     decide_claim,
     first_attempt,
@@ -209,9 +209,9 @@
     def recover(self, concrete: ClaimConcrete, place: int) -> ClaimConcrete:
         """Settle a sealed router's open run; the service says nothing of it."""
         runs = concrete.fleet.reading(place).open_runs()
-        truth = AttemptTruth(AttemptState.UNKNOWN)
-        witnesses = [Witness(intent, truth) for intent in runs[-1]]
-        bill = settle_run(witnesses, charge_unknown=True)
+        status = AttemptStatus(AttemptState.UNKNOWN)
+        evidence = [AttemptEvidence(intent, status) for intent in runs[-1]]
+        bill = settle_run(evidence, charge_unknown=True)
         assert bill is not None
         settlement = concrete.fleet.settlement(place, LedgerChange((bill,)))
         settled = replaced(concrete.settled, place, concrete.settled[place] + 1)
--- a/ebonyhold/models/_replay_configuration.py
+++ b/ebonyhold/models/_replay_configuration.py
@@ -8,8 +8,8 @@
 
 from ebonyhold.coordination import (
     CONFIG_HEAD,
-    Fate,
     HeadRow,
+    PublicationResult,
     Transaction,
     config_version_key,
     head_of,
@@ -115,7 +115,7 @@
     @actions.on("finds nothing")
     def find_nothing(self, concrete: ConfigConcrete, place: int) -> ConfigConcrete:
         """Read back before anything is decided."""
-        if self.fate(concrete, place) is not Fate.OPEN:
+        if self.fate(concrete, place) is not PublicationResult.OPEN:
             raise ReplayError("the publication is decided")
         return concrete
 
@@ -125,7 +125,7 @@
         fate = self.fate(concrete, place)
         return evolve(concrete, told=replaced(concrete.told, place, fate.value))
 
-    def fate(self, concrete: ConfigConcrete, place: int) -> Fate:
+    def fate(self, concrete: ConfigConcrete, place: int) -> PublicationResult:
         """Return what the history says of an operator's publication."""
         key = config_version_key(concrete.based_on[place] + 1)
         return resolve_publication(concrete.table.rows.get(key), NAMES[place])
--- a/ebonyhold/models/_replay_fleet.py
+++ b/ebonyhold/models/_replay_fleet.py
@@ -7,16 +7,16 @@
 from ebonyhold.coordination import (
     BudgetRow,
     GrantRow,
+    JournalContents,
     JournalEntry,
-    JournalReading,
     JournalSegment,
     LedgerChange,
+    Observed,
     RequestRow,
     RouterRow,
     RouterState,
     Row,
     Seal,
-    Seen,
     Settlement,
     append_transaction,
     budget_key,
@@ -69,11 +69,11 @@
     chains: tuple[tuple[JournalSegment, ...], ...] = ((), ())
     numbers: tuple[int, ...] = (0, 0)
 
-    def opened(self, place: int) -> Seen[RouterRow]:
+    def opened(self, place: int) -> Observed[RouterRow]:
         """Return a router's row as the router saw it when it opened."""
-        return Seen(router_place(place), 1, OPEN)
+        return Observed(router_place(place), 1, OPEN)
 
-    def router(self, place: int) -> Seen[RouterRow]:
+    def router(self, place: int) -> Observed[RouterRow]:
         """Return a router's row as it is now."""
         return self.table.seen(router_place(place), RouterRow)
 
@@ -120,9 +120,9 @@
         chain = (*self.chains[place], JournalSegment((Seal("survivor"),)))
         return evolve(self, chains=replaced(self.chains, place, chain))
 
-    def reading(self, place: int) -> JournalReading:
+    def reading(self, place: int) -> JournalContents:
         """Read a journal from both places."""
-        reading = JournalReading()
+        reading = JournalContents()
         prefix = journal_prefix(ROUTERS[place])
         for key in sorted(self.table.rows):
             if key.startswith(prefix):
@@ -161,6 +161,6 @@
         row = self.table.value(grant_place(place), GrantRow)
         return row.held if row else 0
 
-    def request(self, request: str = REQUEST) -> Seen[RequestRow]:
+    def request(self, request: str = REQUEST) -> Observed[RequestRow]:
         """Return a request's row."""
         return self.table.seen(request_key(WORKSPACE, request), RequestRow)
--- a/ebonyhold/models/_replay_grants.py
+++ b/ebonyhold/models/_replay_grants.py
@@ -7,8 +7,9 @@
 from attrs import evolve, field, frozen
 
 from ebonyhold.coordination import (
+    AttemptEvidence,
     AttemptState,
-    AttemptTruth,
+    AttemptStatus,
     Bill,
     BudgetRow,
     GrantLedger,
@@ -22,7 +23,6 @@
     TransferOut,
     TransferRow,
     TransferState,
-    Witness,
     announce_transfer,
     close_grant,
     close_transaction,
@@ -48,8 +48,8 @@
 BOOT = "boot-1"
 TRANSFER = transfer_name(*ROUTERS, 1)
 TRANSFER_KEY = transfer_key(TRANSFER)
-NEVER_RAN = AttemptTruth(AttemptState.NEVER_RAN, boot=BOOT)
-FINISHED = AttemptTruth(AttemptState.FINISHED, completion_tokens=1, boot=BOOT)
+NEVER_RAN = AttemptStatus(AttemptState.NEVER_RAN, boot=BOOT)
+FINISHED = AttemptStatus(AttemptState.FINISHED, completion_tokens=1, boot=BOOT)
 
 actions: Actions[GrantConcrete] = Actions()
 
@@ -301,11 +301,11 @@
     return Outcome(WORKSPACE, intent.request, intent.attempt, state, 1)
 
 
-def judged(concrete: GrantConcrete, place: int, truth: AttemptTruth) -> Bill:
+def judged(concrete: GrantConcrete, place: int, status: AttemptStatus) -> Bill:
     """Return the bill of a sealed router's only open run."""
     (attempts,) = concrete.fleet.reading(place).open_runs()
-    witnesses = [Witness(intent, truth) for intent in attempts]
-    bill = settle_run(witnesses, charge_unknown=False)
+    evidence = [AttemptEvidence(intent, status) for intent in attempts]
+    bill = settle_run(evidence, charge_unknown=False)
     if bill is None:
         raise ReplayError("the run waits for evidence")
     return bill
--- a/ebonyhold/models/_replay_leases.py
+++ b/ebonyhold/models/_replay_leases.py
@@ -8,9 +8,9 @@
 
 from ebonyhold.coordination import (
     HeldLease,
+    LeaseObservation,
     LeasePlan,
     LeaseRow,
-    LeaseSighting,
     lease_key,
     plan_acquire,
     plan_release,
@@ -40,7 +40,7 @@
     def plan(self, place: int) -> LeasePlan:
         """Plan to take the lease, long after its row was last seen to change."""
         row = self.table.rows.get(KEY)
-        sighting = None if row is None else LeaseSighting(row.version, 0.0)
+        sighting = None if row is None else LeaseObservation(row.version, 0.0)
         plan = plan_acquire(NAME, NAMES[place], row, sighting, LENGTH, LONG_AFTER)
         if plan is None:
             raise ReplayError("the lease cannot be taken")
--- a/ebonyhold/money/_claims.py
+++ b/ebonyhold/money/_claims.py
@@ -7,16 +7,16 @@
 from ebonyhold.coordination import (
     ClaimAnswer,
     ClaimDecision,
+    Observed,
     RequestKind,
     RequestRow,
     RouterRow,
-    Seen,
     Table,
     claim_transaction,
     decide_claim,
+    observe_row,
     request_key,
     router_key,
-    seen,
 )
 from ebonyhold.exceptions import (
     ClaimUnavailableError,
@@ -38,7 +38,7 @@
 class ClaimReading:
     """A request's row as read, and the decision whether the request may run."""
 
-    request: Seen[RequestRow]
+    request: Observed[RequestRow]
     decision: ClaimDecision
 
 
@@ -53,7 +53,7 @@
         table: The table.
     """
 
-    router: Seen[RouterRow]
+    router: Observed[RouterRow]
     table: Table
 
     async def read(self, order: Order) -> ClaimReading:
@@ -66,7 +66,7 @@
         """
         key = request_key(order.workspace, order.request)
         (row,) = await self.table.read((key,))
-        request = seen(key, row, RequestRow)
+        request = observe_row(key, row, RequestRow)
         decision = decide(order, request.value)
         raise_refusal(decision, order)
         return ClaimReading(request, decision)
@@ -123,7 +123,7 @@
         router, row = await self.table.read((self.router.key, key))
         if router is None or router.version != self.router.version:
             raise SealedError(f"{self.router.key} was sealed")
-        request = seen(key, row, RequestRow)
+        request = observe_row(key, row, RequestRow)
         claim = request.value
         if claim is not None and claim.attempt == attempt:
             return None
--- a/ebonyhold/money/_exchange.py
+++ b/ebonyhold/money/_exchange.py
@@ -18,7 +18,7 @@
 from ebonyhold.exceptions import PeerError
 from ebonyhold.money._journal import Journal
 from ebonyhold.money._options import MoneyOptions
-from ebonyhold.money._transfer_book import GivenTransfer
+from ebonyhold.money._unsettled_transfers import GivenTransfer
 from ebonyhold.money._workspace_grant import WorkspaceGrant
 from ebonyhold.routers import PeerLink, PeerMessage, TransferGiven, TransferRequest
 from ebonyhold.types import RouterId, Tokens, WorkspaceName
@@ -33,7 +33,7 @@
         peers: The link to the other routers; None if there is none.
         grants: The grants of the workspaces in use.
         grant_of: Returns a workspace's grant, and creates one if needed.
-        over: Returns whether this incarnation is sealed or draining, and so neither
+        closed: Returns whether this incarnation is sealed or draining, and so neither
             gives nor receives tokens.
         received: Names of all transfers received, so that a repeated one is ignored.
         serial: Number of transfers given; numbers their names.
@@ -46,7 +46,7 @@
     options: MoneyOptions
     grants: dict[WorkspaceName, WorkspaceGrant]
     grant_of: Callable[[WorkspaceName], WorkspaceGrant]
-    over: Callable[[], bool]
+    closed: Callable[[], bool]
     received: set[str] = field(factory=set)
     serial: int = 0
 
@@ -54,7 +54,7 @@
         """Register the handlers for requests and transfers of other routers."""
         if self.peers is not None:
             self.peers.handle(TransferRequest, self.answer_request)
-            self.peers.handle(TransferGiven, self.take_given)
+            self.peers.handle(TransferGiven, self.receive_transfer)
 
     def count_routers(self) -> int:
         """Return the number of routers believed alive, including this one."""
@@ -92,7 +92,7 @@
             )
         except PeerError:
             return
-        await self.take_given(peer, given)
+        await self.receive_transfer(peer, given)
 
     async def answer_request(
         self, peer: RouterId, message: PeerMessage
@@ -107,7 +107,7 @@
         """
         assert isinstance(message, TransferRequest)
         grant = self.grants.get(message.workspace)
-        if grant is None or self.over():
+        if grant is None or self.closed():
             return TransferGiven(message.workspace, "", 0)
         given = self._unreceived_transfer(grant, peer, message.have) or self._give(
             grant, peer, message
@@ -149,7 +149,7 @@
         append = self.journal.enqueue(entry)
         return grant.transfers.give(transfer, amount, append)
 
-    async def take_given(
+    async def receive_transfer(
         self, peer: RouterId, message: PeerMessage
     ) -> PeerMessage | None:
         """Journal a transfer from another router, then add its tokens to the grant.
@@ -163,7 +163,7 @@
             return None
         # A transfer to another incarnation is ignored. The router that recovers that
         # incarnation settles the transfer, or the giver gets the tokens back.
-        if transfer_ends(transfer) != (peer, self.self_id) or self.over():
+        if transfer_ends(transfer) != (peer, self.self_id) or self.closed():
             return None
         self.received.add(transfer)
         entry = TransferIn(message.workspace, transfer, peer, message.amount)
--- a/ebonyhold/money/_treasury.py
+++ b/ebonyhold/money/_grant_manager.py
@@ -47,12 +47,12 @@
     claimed: bool = False
 
 
-class Treasury:
+class GrantManager:
     """Manages holds, claims, the journal and bills of one incarnation.
 
     Attributes:
-        me: Identifier of the incarnation.
-        accounts: The grants of the workspaces in use; idle ones are discarded.
+        router: Identifier of the incarnation.
+        grants: The grants of the workspaces in use; idle ones are discarded.
         runs: Runs of requests that have a hold and have not ended, by name.
         journal: The journal; None until `open` has registered the incarnation.
         draining: Whether `drain` was called; new requests are refused.
@@ -66,21 +66,21 @@
         objects: Objects,
         policy: Callable[[], Policy],
         peers: PeerLink | None = None,
-        backend_truth: AttemptLookup | None = None,
+        attempt_lookup: AttemptLookup | None = None,
         address: str = "",
         domain: str = "",
         options: MoneyOptions | None = None,
     ) -> None:
-        self.me = router
+        self.router = router
         self.table = table
         self.objects = objects
         self.policy = policy
         self.peers = peers
-        self.backend_truth = backend_truth
+        self.attempt_lookup = attempt_lookup
         self.address = address
         self.domain = domain
         self.options = options or MoneyOptions()
-        self.accounts: dict[WorkspaceName, WorkspaceGrant] = {}
+        self.grants: dict[WorkspaceName, WorkspaceGrant] = {}
         self.runs: dict[str, _Run] = {}
         self.journal: Journal | None = None
         self.claims: Claims | None = None
@@ -103,16 +103,18 @@
         Raises:
             PlatformError: The table could not be written.
         """
-        router = await register(self.table, self.me, self.domain, self.address)
-        self.journal = Journal(self.me, self.table, self.objects, self.options, router)
+        router = await register(self.table, self.router, self.domain, self.address)
+        self.journal = Journal(
+            self.router, self.table, self.objects, self.options, router
+        )
         self.claims = Claims(router, self.table)
         self.exchange = TokenExchange(
-            self.me,
+            self.router,
             self.peers,
             self.journal,
             self.policy,
             self.options,
-            self.accounts,
+            self.grants,
             self._grant,
             lambda: self.sealed or self.draining,
         )
@@ -130,7 +132,7 @@
             async with anyio.create_task_group() as tasks:
                 self.tasks = tasks
                 tasks.start_soon(journal.run)
-                for grant in self.accounts.values():
+                for grant in self.grants.values():
                     tasks.start_soon(self._run_grant, grant)
                 task_status.started()
                 await journal.sealed.wait()
@@ -142,18 +144,18 @@
         self._fail_all()
 
     def _fail_all(self) -> None:
-        error = SealedError(f"{self.me} was sealed")
-        for grant in self.accounts.values():
+        error = SealedError(f"{self.router} was sealed")
+        for grant in self.grants.values():
             grant.fail(error)
 
     def _journal(self) -> Journal:
         if self.journal is None:
-            raise UnavailableError(f"{self.me} is not registered yet")
+            raise UnavailableError(f"{self.router} is not registered yet")
         return self.journal
 
     def _exchange(self) -> TokenExchange:
         if self.exchange is None:
-            raise UnavailableError(f"{self.me} is not registered yet")
+            raise UnavailableError(f"{self.router} is not registered yet")
         return self.exchange
 
     async def begin(self, order: Order) -> Permit | Replay:
@@ -171,9 +173,9 @@
             SealedError: Another router has recovered this incarnation.
         """
         if self.sealed:
-            raise SealedError(f"{self.me} was sealed")
+            raise SealedError(f"{self.router} was sealed")
         if self.draining:
-            raise UnavailableError(f"{self.me} is stopping")
+            raise UnavailableError(f"{self.router} is stopping")
         self._journal()
         reading = await self._read_claim(order)
         if reading is not None and reading.decision.kept is not None:
@@ -198,7 +200,7 @@
         self, order: Order, reading: ClaimReading | None, hold: Tokens, unbilled: bool
     ) -> Permit | Replay:
         self.serial += 1
-        attempt = first_attempt(self.me, self.serial)
+        attempt = first_attempt(self.router, self.serial)
         intent = Intent(
             workspace=order.workspace,
             request=order.request,
@@ -244,7 +246,7 @@
         )
         self._end(permit, outcome)
 
-    async def again(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
+    async def retry(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
         """Make the intent of a further attempt durable, under the same hold.
 
         Raises:
@@ -253,7 +255,7 @@
         """
         run = self.runs.get(run_of(permit.attempt))
         if run is None or self.sealed:
-            raise SealedError(f"{permit.attempt} is no attempt of {self.me}")
+            raise SealedError(f"{permit.attempt} is no attempt of {self.router}")
         attempt = next_attempt(permit.attempt)
         intent = evolve(run.intent, attempt=attempt, backend=backend, boot=boot)
         await self._journal().enqueue(intent, retry=False).wait()
@@ -299,7 +301,7 @@
         return append
 
     def _grant(self, workspace: WorkspaceName) -> WorkspaceGrant:
-        grant = self.accounts.get(workspace)
+        grant = self.grants.get(workspace)
         if grant is not None:
             return grant
         grant = WorkspaceGrant(
@@ -312,15 +314,15 @@
             self._exchange().ask_peers,
         )
         grant.closing = self.draining
-        self.accounts[workspace] = grant
+        self.grants[workspace] = grant
         if self.tasks is not None and not self.sealed:
             self.tasks.start_soon(self._run_grant, grant)
         return grant
 
     async def _run_grant(self, grant: WorkspaceGrant) -> None:
         await grant.run()
-        if self.accounts.get(grant.workspace) is grant and not self.sealed:
-            del self.accounts[grant.workspace]
+        if self.grants.get(grant.workspace) is grant and not self.sealed:
+            del self.grants[grant.workspace]
 
     async def drain(self) -> None:
         """File all bills, return all unspent tokens and close the incarnation.
@@ -335,12 +337,12 @@
         self.draining = True
         journal = self._journal()
         await journal.flush()
-        for grant in list(self.accounts.values()):
+        for grant in list(self.grants.values()):
             grant.closing = True
             grant.notify(urgent=True)
-        while self.accounts:
+        while self.grants:
             if self.sealed:
-                raise SealedError(f"{self.me} was sealed")
+                raise SealedError(f"{self.router} was sealed")
             await anyio.sleep(self.options.min_retry_delay)
         await unregister(self.table, journal)
 
@@ -351,12 +353,12 @@
             UnavailableError: The incarnation is not registered yet.
         """
         journal = self._journal()
-        grants = tuple(grant_status(grant) for grant in self.accounts.values())
+        grants = tuple(grant_status(grant) for grant in self.grants.values())
         return MoneyStatus(
-            router=self.me,
+            router=self.router,
             sealed=self.sealed,
             target=journal.target,
-            unfiled=sum(len(one.unfiled) for one in self.accounts.values()),
+            unfiled=sum(len(one.unfiled) for one in self.grants.values()),
             running=len(self.runs),
             segments=len(journal.pins),
             grants=grants,
--- a/ebonyhold/money/_grant_writer.py
+++ b/ebonyhold/money/_grant_writer.py
@@ -12,15 +12,15 @@
     BudgetRow,
     GrantRow,
     LedgerChange,
+    Observed,
     RequestRow,
-    Seen,
     Settlement,
     Table,
     budget_key,
     grant_key,
+    observe_row,
     plan_settlement,
     router_key,
-    seen,
 )
 from ebonyhold.exceptions import ConflictError, SealedError, UnknownOutcomeError
 from ebonyhold.money._journal import Journal
@@ -31,9 +31,9 @@
 class GrantRows:
     """The rows that one settlement reads."""
 
-    budget: Seen[BudgetRow]
-    grant: Seen[GrantRow]
-    requests: dict[str, Seen[RequestRow]]
+    budget: Observed[BudgetRow]
+    grant: Observed[GrantRow]
+    requests: dict[str, Observed[RequestRow]]
 
 
 @define(eq=False)
@@ -82,10 +82,10 @@
         if router is None or router.version != self.journal.router.version:
             raise SealedError(f"{owner} was sealed")
         rows = GrantRows(
-            seen(keys[1], budget, BudgetRow),
-            seen(keys[2], grant, GrantRow),
+            observe_row(keys[1], budget, BudgetRow),
+            observe_row(keys[2], grant, GrantRow),
             {
-                key: seen(key, row, RequestRow)
+                key: observe_row(key, row, RequestRow)
                 for key, row in zip(keys[3:], requests, strict=True)
             },
         )
--- a/ebonyhold/money/_incarnations.py
+++ b/ebonyhold/money/_incarnations.py
@@ -9,8 +9,8 @@
 
 from ebonyhold.coordination import Outcome
 from ebonyhold.exceptions import PlatformError, SealedError, UnavailableError
+from ebonyhold.money._grant_manager import GrantManager
 from ebonyhold.money._interface import Order, Permit, Replay
-from ebonyhold.money._treasury import Treasury
 from ebonyhold.types import BackendName, RouterId, Seconds
 
 RENEW_TIMEOUT: Seconds = 5.0
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, new_id: Callable[[], RouterId], make: Callable[[RouterId], Treasury]
+        self, new_id: Callable[[], RouterId], make: Callable[[RouterId], GrantManager]
     ) -> None:
         """Create the first incarnation.
 
@@ -88,7 +88,7 @@
 
         Raises:
             UnavailableError: No new incarnation was registered within `RENEW_TIMEOUT`.
-            EbonyholdError: As `Treasury.begin` does.
+            EbonyholdError: As `GrantManager.begin` does.
         """
         manager = self.current
         try:
@@ -100,17 +100,17 @@
             while self.current is manager:
                 await self.renewed.wait()
         if self.current is manager:
-            raise UnavailableError(f"{manager.me} was sealed, and has no successor")
+            raise UnavailableError(f"{manager.router} was sealed, and has no successor")
         return await self.current.begin(order)
 
-    async def again(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
+    async def retry(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
         """Make the intent of a further attempt durable.
 
         Raises:
             UnavailableError: The intent cannot be made durable; nothing ran.
             SealedError: The permit's incarnation was sealed; call `begin` again.
         """
-        return await self.current.again(permit, backend, boot)
+        return await self.current.retry(permit, backend, boot)
 
     async def finish(
         self, permit: Permit, outcome: Outcome, *, durable_within: float = 0.0
--- a/ebonyhold/money/_interface.py
+++ b/ebonyhold/money/_interface.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from ebonyhold.coordination import (
-    AttemptTruth,
+    AttemptStatus,
     KeptAnswer,
     Outcome,
     RequestKind,
@@ -73,7 +73,7 @@
 
     async def close_attempt(
         self, backend: BackendName, attempt: AttemptId
-    ) -> AttemptTruth:
+    ) -> AttemptStatus:
         """Cancel an attempt, prevent its later start, and return its status.
 
         The status is `AttemptState.UNKNOWN` if the server cannot be reached or cannot
@@ -105,7 +105,7 @@
         """
         ...
 
-    async def again(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
+    async def retry(self, permit: Permit, backend: BackendName, boot: str) -> Permit:
         """Make the intent of a further attempt durable, under the same hold.
 
         Raises:
--- a/ebonyhold/money/_journal.py
+++ b/ebonyhold/money/_journal.py
@@ -15,10 +15,10 @@
     JournalEntry,
     JournalSegment,
     Objects,
+    Observed,
     Outcome,
     RouterRow,
     Seal,
-    Seen,
     Table,
     TransferIn,
     TransferOut,
@@ -126,7 +126,7 @@
     table: Table
     objects: Objects
     options: MoneyOptions
-    router: Seen[RouterRow]
+    router: Observed[RouterRow]
     target: JournalTarget = JournalTarget.TABLE
     sealed: anyio.Event = field(factory=anyio.Event)
     appended: int = 0
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -15,12 +15,12 @@
     TopUpRow,
     Transaction,
     budget_key,
+    observe_row,
     plan_refund,
-    plan_ruling,
+    plan_resolution,
     plan_topup,
     refund_key,
     request_key,
-    seen,
     topup_key,
 )
 from ebonyhold.exceptions import (
@@ -98,8 +98,8 @@
 
     def plan(rows: Rows) -> Transaction | None:
         return plan_topup(
-            seen(keys[0], rows[0], TopUpRow),
-            seen(keys[1], rows[1], BudgetRow),
+            observe_row(keys[0], rows[0], TopUpRow),
+            observe_row(keys[1], rows[1], BudgetRow),
             TopUpRow(amount, operator, time.time()),
         )
 
@@ -132,16 +132,16 @@
 
     def plan(rows: Rows) -> Transaction | None:
         return plan_refund(
-            seen(keys[0], rows[0], RefundRow),
-            seen(keys[1], rows[1], BudgetRow),
-            seen(keys[2], rows[2], RequestRow),
+            observe_row(keys[0], rows[0], RefundRow),
+            observe_row(keys[1], rows[1], BudgetRow),
+            observe_row(keys[2], rows[2], RequestRow),
             RefundRow(request, amount, operator, time.time()),
         )
 
     return await commit_once(table, keys, plan, f"the refund {key}")
 
 
-async def rule(
+async def rule_on_request(
     table: Table, workspace: WorkspaceName, request: RequestId, *, ran: bool
 ) -> bool:
     """Settle a billed request whose outcome is unknown, as an operator decided.
@@ -165,9 +165,9 @@
     keys = (request_key(workspace, request), budget_key(workspace))
 
     def plan(rows: Rows) -> Transaction | None:
-        return plan_ruling(
-            seen(keys[0], rows[0], RequestRow),
-            seen(keys[1], rows[1], BudgetRow),
+        return plan_resolution(
+            observe_row(keys[0], rows[0], RequestRow),
+            observe_row(keys[1], rows[1], BudgetRow),
             ran=ran,
         )
 
--- a/ebonyhold/money/_recovery.py
+++ b/ebonyhold/money/_recovery.py
@@ -8,27 +8,27 @@
 from attrs import define, field, frozen
 
 from ebonyhold.coordination import (
+    AttemptEvidence,
     AttemptState,
-    AttemptTruth,
+    AttemptStatus,
     Bill,
     BudgetRow,
+    FilingDecision,
     GrantRow,
     Intent,
-    JournalReading,
+    JournalContents,
     LedgerChange,
     Objects,
+    Observed,
     Outcome,
     RequestRow,
     RequestState,
     RouterRow,
     RouterState,
-    Seen,
     Table,
     Transaction,
     TransferRow,
     TransferState,
-    Verdict,
-    Witness,
     announce_transfer,
     budget_key,
     close_grant,
@@ -38,11 +38,11 @@
     grant_prefix,
     lapse_transfer,
     make_bill,
+    observe_row,
     plan_settlement,
     request_key,
     router_key,
     run_of,
-    seen,
     settle_run,
     settle_transfer,
     transfer_key,
@@ -141,7 +141,7 @@
             report.closed = True
         return report
 
-    async def rule(
+    async def rule_on_run(
         self, router: RouterId, attempt: AttemptId, state: RequestState, charge: Tokens
     ) -> None:
         """File the bill of a run whose outcome is unknown, as an operator decided.
@@ -170,7 +170,7 @@
         raise ValueError(f"{attempt} is not open in the journal of {router}")
 
     async def _settle_receipts(
-        self, router: Seen[RouterRow], reading: JournalReading
+        self, router: Observed[RouterRow], reading: JournalContents
     ) -> None:
         for receipt in reading.received.values():
             source, own = grant_keys(receipt.transfer, receipt.workspace)
@@ -178,10 +178,10 @@
             for _ in range(MAX_TRIES):
                 rows = await self.table.read(keys)
                 transaction = settle_transfer(
-                    seen(keys[0], rows[0], TransferRow),
+                    observe_row(keys[0], rows[0], TransferRow),
                     router,
-                    seen(keys[1], rows[1], GrantRow),
-                    seen(keys[2], rows[2], GrantRow),
+                    observe_row(keys[1], rows[1], GrantRow),
+                    observe_row(keys[2], rows[2], GrantRow),
                     receipt.workspace,
                     receipt.amount,
                 )
@@ -191,7 +191,7 @@
                 raise UnavailableError(f"{receipt.transfer} could not be settled")
 
     async def _announce_given(
-        self, reading: JournalReading
+        self, reading: JournalContents
     ) -> dict[WorkspaceName, Tokens]:
         """Write missing rows of given transfers, and return tokens of lost transfers.
 
@@ -206,7 +206,7 @@
             key = transfer_key(given.transfer)
             for _ in range(MAX_TRIES):
                 (raw,) = await self.table.read((key,))
-                row = seen(key, raw, TransferRow)
+                row = observe_row(key, raw, TransferRow)
                 transaction = announce_transfer(row, given.workspace, given.amount)
                 if transaction is None:
                     break
@@ -221,7 +221,7 @@
                 pending_tokens[given.workspace] = total + given.amount
         return pending_tokens
 
-    async def _lapse(self, transfer: Seen[TransferRow]) -> bool:
+    async def _lapse(self, transfer: Observed[TransferRow]) -> bool:
         value = transfer.value
         assert value is not None
         keys = (
@@ -231,12 +231,12 @@
         )
         for _ in range(MAX_TRIES):
             rows = await self.table.read((*keys, transfer.key))
-            current = seen(transfer.key, rows[3], TransferRow)
+            current = observe_row(transfer.key, rows[3], TransferRow)
             transaction = lapse_transfer(
                 current,
-                seen(keys[0], rows[0], RouterRow),
-                seen(keys[1], rows[1], GrantRow),
-                seen(keys[2], rows[2], BudgetRow),
+                observe_row(keys[0], rows[0], RouterRow),
+                observe_row(keys[1], rows[1], GrantRow),
+                observe_row(keys[2], rows[2], BudgetRow),
             )
             if transaction is None:
                 ended = current.value
@@ -257,7 +257,7 @@
         """
         left = 0
         async for row in scan_rows(self.table, transfer_key("")):
-            transfer = seen(row.key, row, TransferRow)
+            transfer = observe_row(row.key, row, TransferRow)
             value = transfer.value
             if value is None or value.state is not TransferState.PENDING:
                 continue
@@ -266,7 +266,10 @@
         return left
 
     async def _bill_open_runs(
-        self, router: Seen[RouterRow], reading: JournalReading, report: RecoveryReport
+        self,
+        router: Observed[RouterRow],
+        reading: JournalContents,
+        report: RecoveryReport,
     ) -> list[Bill]:
         bills: list[Bill] = []
         charge_unknown = self.policy().unknown_outcome is UnknownOutcome.CHARGE_HOLD
@@ -274,7 +277,8 @@
             if await self._is_settled(attempts[0]):
                 continue
             evidence = [
-                Witness(intent, await self._look_up(intent)) for intent in attempts
+                AttemptEvidence(intent, await self._look_up(intent))
+                for intent in attempts
             ]
             bill = settle_run(evidence, charge_unknown=charge_unknown)
             if bill is None:
@@ -291,29 +295,29 @@
         """
         key = request_key(intent.workspace, intent.request)
         (raw,) = await self.table.read((key,))
-        row = seen(key, raw, RequestRow).value
+        row = observe_row(key, raw, RequestRow).value
         if row is None or row.state is RequestState.RUNNING:
             return False
         return run_of(row.attempt) == run_of(intent.attempt)
 
-    async def _look_up(self, intent: Intent) -> AttemptTruth:
+    async def _look_up(self, intent: Intent) -> AttemptStatus:
         if self.attempt_lookup is None:
-            return AttemptTruth(AttemptState.UNKNOWN)
+            return AttemptStatus(AttemptState.UNKNOWN)
         try:
             return await self.attempt_lookup.close_attempt(
                 intent.backend, intent.attempt
             )
         except EbonyholdError:
-            return AttemptTruth(AttemptState.UNKNOWN)
+            return AttemptStatus(AttemptState.UNKNOWN)
 
     async def _file_all(
-        self, router: Seen[RouterRow], bills: Iterable[Bill], report: RecoveryReport
+        self, router: Observed[RouterRow], bills: Iterable[Bill], report: RecoveryReport
     ) -> None:
         for bill in bills:
             await self._file(router, bill, report)
 
     async def _file(
-        self, router: Seen[RouterRow], bill: Bill, report: RecoveryReport
+        self, router: Observed[RouterRow], bill: Bill, report: RecoveryReport
     ) -> None:
         owner = report.router
         keys = (
@@ -323,19 +327,19 @@
         )
         for _ in range(MAX_TRIES):
             rows = await self.table.read(keys)
-            request = seen(keys[2], rows[2], RequestRow)
+            request = observe_row(keys[2], rows[2], RequestRow)
             if _is_filed(request.value, bill):
                 return
             plan = plan_settlement(
                 owner,
                 router,
-                seen(keys[0], rows[0], BudgetRow),
-                seen(keys[1], rows[1], GrantRow),
+                observe_row(keys[0], rows[0], BudgetRow),
+                observe_row(keys[1], rows[1], GrantRow),
                 {bill.key: request},
                 LedgerChange((bill,)),
                 time.time(),
             )
-            if plan.filed[0].verdict is Verdict.LEAVE:
+            if plan.filed[0].decision is FilingDecision.LEAVE:
                 return
             if await self._commit(plan.transaction):
                 report.billed += 1
@@ -345,7 +349,7 @@
 
     async def _return_all(
         self,
-        router: Seen[RouterRow],
+        router: Observed[RouterRow],
         report: RecoveryReport,
         pending_tokens: dict[WorkspaceName, Tokens],
     ) -> None:
@@ -361,7 +365,7 @@
 
     async def _return(
         self,
-        router: Seen[RouterRow],
+        router: Observed[RouterRow],
         key: str,
         workspace: WorkspaceName,
         reserved: Tokens,
@@ -370,9 +374,9 @@
         budget = budget_key(workspace)
         for _ in range(MAX_TRIES):
             rows = await self.table.read((budget, key))
-            grant = seen(key, rows[1], GrantRow)
+            grant = observe_row(key, rows[1], GrantRow)
             transaction = close_grant(
-                router, seen(budget, rows[0], BudgetRow), grant, reserved
+                router, observe_row(budget, rows[0], BudgetRow), grant, reserved
             )
             if transaction is None:
                 return
@@ -382,7 +386,7 @@
                 return
         raise UnavailableError(f"the tokens of {key} could not be returned")
 
-    async def _close(self, router: Seen[RouterRow]) -> None:
+    async def _close(self, router: Observed[RouterRow]) -> None:
         transaction = close_transaction(router, time.time())
         if transaction is not None:
             await self._commit(transaction)
--- a/ebonyhold/money/_registration.py
+++ b/ebonyhold/money/_registration.py
@@ -10,15 +10,15 @@
 from ebonyhold.coordination import (
     Delete,
     GrantRow,
+    Observed,
     RouterRow,
     RouterState,
-    Seen,
     Table,
     Transaction,
     close_transaction,
     grant_prefix,
+    observe_row,
     open_row,
-    seen,
 )
 from ebonyhold.exceptions import (
     ConflictError,
@@ -38,7 +38,7 @@
 
 async def register(
     table: Table, router: RouterId, domain: str, address: str
-) -> Seen[RouterRow]:
+) -> Observed[RouterRow]:
     """Write an incarnation's row and return it.
 
     Later writes of the incarnation check the version of that row, so they fail once
@@ -49,13 +49,13 @@
         SealedError: The incarnation was sealed or closed before.
     """
     key, row = open_row(router, domain, address, time.time())
-    absent: Seen[RouterRow] = Seen(key)
+    absent: Observed[RouterRow] = Observed(key)
     transaction = Transaction((absent.check,), (absent.put(row),))
     for _ in range(MAX_TRIES):
         with suppress(ConflictError, UnknownOutcomeError):
             await table.commit(transaction)
         (raw,) = await table.read((key,))
-        stored = seen(key, raw, RouterRow)
+        stored = observe_row(key, raw, RouterRow)
         if stored.value is None:
             continue
         if stored.value.state is not RouterState.OPEN:
@@ -99,7 +99,7 @@
     after = ""
     while True:
         page = await table.scan(prefix, after, DELETE_BATCH)
-        grants = [seen(row.key, row, GrantRow) for row in page]
+        grants = [observe_row(row.key, row, GrantRow) for row in page]
         empty = [one for one in grants if one.value and one.value.held == 0]
         checks = tuple(one.check for one in empty)
         deletions = tuple(Delete(one.key) for one in empty)
--- a/ebonyhold/money/_retention.py
+++ b/ebonyhold/money/_retention.py
@@ -15,18 +15,18 @@
     ArchiveRow,
     Delete,
     Objects,
+    Observed,
     RequestRow,
     RouterRow,
     RouterState,
-    Seen,
     Table,
     Transaction,
     TransferRow,
     TransferState,
     archive_key,
     journal_prefix,
+    observe_row,
     plan_archive,
-    seen,
 )
 from ebonyhold.exceptions import ConflictError, UnknownOutcomeError
 from ebonyhold.scans import scan_rows
@@ -86,7 +86,7 @@
         return report
 
     async def _bills(self, before: float, report: RetentionReport) -> None:
-        batches: dict[WorkspaceName, list[Seen[RequestRow]]] = {}
+        batches: dict[WorkspaceName, list[Observed[RequestRow]]] = {}
         async for row in self._scan(REQUEST_PREFIX, RequestRow):
             workspace = row.key.split("/", 2)[1]
             batch = batches.setdefault(workspace, [])
@@ -100,24 +100,24 @@
     async def _archive(
         self,
         workspace: WorkspaceName,
-        batch: list[Seen[RequestRow]],
+        batch: list[Observed[RequestRow]],
         before: float,
         report: RetentionReport,
     ) -> None:
         key = archive_key(workspace)
         (row,) = await self.table.read((key,))
-        transaction = plan_archive(seen(key, row, ArchiveRow), batch, before)
+        transaction = plan_archive(observe_row(key, row, ArchiveRow), batch, before)
         if transaction is not None and await self._commit(transaction):
             report.bills += len(transaction.writes) - 1
 
-    async def _routers(self) -> dict[RouterId, Seen[RouterRow]]:
+    async def _routers(self) -> dict[RouterId, Observed[RouterRow]]:
         return {
             row.key.removeprefix(ROUTER_PREFIX): row
             async for row in self._scan(ROUTER_PREFIX, RouterRow)
         }
 
     async def _transfers(
-        self, routers: dict[RouterId, Seen[RouterRow]], report: RetentionReport
+        self, routers: dict[RouterId, Observed[RouterRow]], report: RetentionReport
     ) -> None:
         """Delete ended transfers whose giver and receiver are both closed.
 
@@ -134,7 +134,7 @@
 
     async def _closed_routers(
         self,
-        routers: dict[RouterId, Seen[RouterRow]],
+        routers: dict[RouterId, Observed[RouterRow]],
         before: float,
         report: RetentionReport,
     ) -> None:
@@ -154,9 +154,9 @@
             transaction = Transaction((row.check,), (Delete(row.key),))
             report.routers += await self._commit(transaction)
 
-    async def _scan(self, prefix: str, as_type: type[T]) -> AsyncIterator[Seen[T]]:
+    async def _scan(self, prefix: str, as_type: type[T]) -> AsyncIterator[Observed[T]]:
         async for row in scan_rows(self.table, prefix):
-            yield seen(row.key, row, as_type)
+            yield observe_row(row.key, row, as_type)
 
     async def _commit(self, transaction: Transaction) -> bool:
         try:
@@ -166,7 +166,7 @@
         return True
 
 
-def _closed(routers: dict[RouterId, Seen[RouterRow]], name: RouterId) -> bool:
+def _closed(routers: dict[RouterId, Observed[RouterRow]], name: RouterId) -> bool:
     row = routers.get(name)
     if row is None or row.value is None:
         return True
--- a/ebonyhold/money/_sealing.py
+++ b/ebonyhold/money/_sealing.py
@@ -8,21 +8,21 @@
 
 from ebonyhold.coordination import (
     Delete,
-    JournalReading,
+    JournalContents,
     JournalSegment,
     Objects,
+    Observed,
     RouterRow,
     RouterState,
     Seal,
-    Seen,
     Table,
     Transaction,
     from_bytes,
     from_json,
     journal_prefix,
+    observe_row,
     router_key,
     seal_transaction,
-    seen,
     segment_key,
     to_bytes,
 )
@@ -53,7 +53,7 @@
     router: RouterId
     by: RouterId
 
-    async def row(self) -> Seen[RouterRow]:
+    async def row(self) -> Observed[RouterRow]:
         """Read the incarnation's row.
 
         Raises:
@@ -61,9 +61,9 @@
         """
         key = router_key(self.router)
         (row,) = await self.table.read((key,))
-        return seen(key, row, RouterRow)
+        return observe_row(key, row, RouterRow)
 
-    async def seal(self) -> Seen[RouterRow]:
+    async def seal(self) -> Observed[RouterRow]:
         """Prevent further writes of the incarnation, in the table and the object store.
 
         Returns:
@@ -117,7 +117,7 @@
             if len(page) < PAGE_SIZE:
                 return keys
 
-    async def read(self) -> JournalReading:
+    async def read(self) -> JournalContents:
         """Read all segments of the journal, in the table and the object store.
 
         Call `seal` first: no segment can be added after that.
@@ -125,7 +125,7 @@
         Raises:
             UnavailableError: The table or the object store could not be reached.
         """
-        reading = JournalReading()
+        reading = JournalContents()
         async for row in scan_rows(self.table, journal_prefix(self.router)):
             reading.add(from_json(row.value, JournalSegment).entries)
         for key in await self._object_keys():
