--- a/ebonyhold/money/_transfer_book.py
+++ b/ebonyhold/money/_unsettled_transfers.py
@@ -18,9 +18,9 @@
     TransferState,
     announce_transfer,
     grant_keys,
+    observe_row,
     revoke_transfer,
     router_key,
-    seen,
     settle_transfer,
     transfer_ends,
     transfer_key,
@@ -128,10 +128,10 @@
             if router is None or router.version != self.journal.router.version:
                 raise SealedError(f"{self.journal.self_id} was sealed")
             transaction = settle_transfer(
-                seen(keys[0], transfer, TransferRow),
-                seen(keys[1], router, RouterRow),
-                seen(keys[2], source, GrantRow),
-                seen(keys[3], own, GrantRow),
+                observe_row(keys[0], transfer, TransferRow),
+                observe_row(keys[1], router, RouterRow),
+                observe_row(keys[2], source, GrantRow),
+                observe_row(keys[3], own, GrantRow),
                 self.workspace,
                 received.amount,
             )
@@ -173,7 +173,7 @@
             for _ in range(MAX_TRIES):
                 (row,) = await self.table.read((key,))
                 transaction = announce_transfer(
-                    seen(key, row, TransferRow), self.workspace, given.amount
+                    observe_row(key, row, TransferRow), self.workspace, given.amount
                 )
                 if transaction is None:
                     break
@@ -187,11 +187,11 @@
         _, to = transfer_ends(given.transfer)
         keys = (transfer_key(given.transfer), router_key(to))
         row, receiver = await self.table.read(keys)
-        transfer = seen(keys[0], row, TransferRow)
+        transfer = observe_row(keys[0], row, TransferRow)
         if transfer.value is not None:
             self._end_given(given, transfer.value.state)
             return
-        router = seen(keys[1], receiver, RouterRow)
+        router = observe_row(keys[1], receiver, RouterRow)
         transaction = revoke_transfer(
             self.journal.router, transfer, router, self.workspace, given.amount
         )
--- a/ebonyhold/money/_workspace_grant.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -12,13 +12,13 @@
     Bill,
     BudgetRow,
     Filed,
+    FilingDecision,
     GrantLedger,
     GrantSize,
     GrantView,
     LedgerChange,
     Settlement,
     Table,
-    Verdict,
     find_grant_policy,
 )
 from ebonyhold.document import Policy
@@ -34,7 +34,7 @@
 from ebonyhold.money._grant_writer import GrantRows, GrantWriter
 from ebonyhold.money._journal import Journal, PendingAppend
 from ebonyhold.money._options import MoneyOptions
-from ebonyhold.money._transfer_book import UnsettledTransfers
+from ebonyhold.money._unsettled_transfers import UnsettledTransfers
 from ebonyhold.money._waiters import Waiter, WaitingRequests
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
@@ -243,7 +243,7 @@
         if self.transfers.received:
             return False
         if self.closing:
-            return self.transfers.announced and not self.ledger.mine
+            return self.transfers.announced and not self.ledger.own_tokens
         return not self.transfers.given and self.ledger.empty
 
     async def settle(self) -> None:
@@ -302,7 +302,7 @@
         size = self._wanted_size()
         left = self.budget.remaining if self.budget else 0
         draw = min(size.draw, max(left, 0))
-        give_back = min(size.give_back, self.ledger.spare)
+        give_back = min(size.give_back, self.ledger.returnable)
         if not (bills or draw or give_back):
             return None
         plan = self.writer.plan(rows, LedgerChange(bills, draw, give_back))
@@ -313,7 +313,7 @@
         view = self.view()
         idle = view.idle >= self.options.evict_after and not view.need
         if self.closing or idle:
-            return GrantSize(give_back=self.ledger.spare)
+            return GrantSize(give_back=self.ledger.returnable)
         return find_grant_policy(self.policy().grants).size(view)
 
     def _apply(self, plan: Settlement) -> None:
@@ -330,16 +330,19 @@
             if unfiled.bill is filed.bill:
                 del self.unfiled[run]
                 self.ledger.filed(filed.bill.charge, filed.paid)
-                self._unpin_run(run, unfiled.append, filed.verdict)
+                self._unpin_run(run, unfiled.append, filed.decision)
 
-    def _unpin_run(self, run: str, append: PendingAppend, verdict: Verdict) -> None:
+    def _unpin_run(
+        self, run: str, append: PendingAppend, decision: FilingDecision
+    ) -> None:
         """Let the journal delete a run's segments, since the run's bill is settled.
 
         The outcome is withdrawn if it is not written yet, because recovery needs only
-        the request's row. If that row keeps another run's bill (`Verdict.LEAVE`), the
-        journal has the only record of this run's outcome, which is then not withdrawn.
+        the request's row. If that row keeps another run's bill
+        (`FilingDecision.LEAVE`), the journal has the only record of this run's outcome,
+        which is then not withdrawn.
         """
-        if verdict is not Verdict.LEAVE:
+        if decision is not FilingDecision.LEAVE:
             self.journal.withdraw(append)
         unpin = partial(self.journal.unpin, run)
         if append.done.is_set():
@@ -370,7 +373,7 @@
             return
         await self._request_from_peers()
         now = anyio.current_time()
-        max_wait = find_grant_policy(self.policy().grants).patience
+        max_wait = find_grant_policy(self.policy().grants).wait_timeout
         for waiter in waiting:
             if not waiter.granted and now >= waiter.since + max_wait:
                 self.waiters.refuse(waiter, self._refusal(waiter.need))
--- a/ebonyhold/operators/__init__.py
+++ b/ebonyhold/operators/__init__.py
@@ -1,7 +1,7 @@
 """The HTTP interface for operators of a router, and its client."""
 
-from ebonyhold.operators._accounts import TableAccounts
 from ebonyhold.operators._app import OperatorsApp
+from ebonyhold.operators._billing_table import BillingTable
 from ebonyhold.operators._client import (
     OperatorsClient,
     RemoteError,
@@ -33,6 +33,7 @@
     "Bill",
     "BillPage",
     "BillSource",
+    "BillingTable",
     "Budget",
     "BudgetSource",
     "Discrepancy",
@@ -49,7 +50,6 @@
     "RemoteError",
     "RouterStatus",
     "StatusSource",
-    "TableAccounts",
     "UnansweredError",
     "UnreachableError",
     "Verification",
--- a/ebonyhold/operators/_accounts.py
+++ b/ebonyhold/operators/_billing_table.py
@@ -16,7 +16,7 @@
     request_key,
 )
 from ebonyhold.exceptions import BudgetError
-from ebonyhold.money import refund, rule, top_up, verify_bills
+from ebonyhold.money import refund, rule_on_request, top_up, verify_bills
 from ebonyhold.operators._interface import (
     Bill,
     BillPage,
@@ -32,7 +32,7 @@
 
 
 @frozen
-class TableAccounts:
+class BillingTable:
     """Implements `BudgetSource` and `BillSource` on a table."""
 
     table: Table
@@ -107,7 +107,7 @@
                 or a charge to be removed was partly refunded.
         """
         try:
-            await rule(self.table, workspace, request, ran=ran)
+            await rule_on_request(self.table, workspace, request, ran=ran)
         except ValueError as error:
             raise BudgetError(str(error)) from error
 
--- a/ebonyhold/platform/__init__.py
+++ b/ebonyhold/platform/__init__.py
@@ -4,13 +4,13 @@
 from ebonyhold.platform._headers import PlatformDialect
 from ebonyhold.platform._settings import load_platform_settings
 from ebonyhold.platform._store import StoreClient
-from ebonyhold.platform._wiring import platform_peers
+from ebonyhold.platform._wiring import platform_adapter
 
 __all__ = [
     "PlatformDialect",
     "StoreClient",
     "load_platform_settings",
-    "platform_peers",
+    "platform_adapter",
     "read_backend",
     "read_configuration",
 ]
--- a/ebonyhold/platform/_documents.py
+++ b/ebonyhold/platform/_documents.py
@@ -86,7 +86,7 @@
         kind=ROUTE_KINDS[raw["kind"]],
         timeout=seconds(raw["timeout-ms"]),
         target=seconds(raw.get("target-latency-ms", raw["timeout-ms"])),
-        most_attempts=max(1, int(raw.get("max-attempts", 1))),
+        max_attempts=max(1, int(raw.get("max-attempts", 1))),
         priority=int(raw.get("priority", DEFAULT_PRIORITY)),
         anonymous=bool(raw.get("allow-anonymous", False)),
         resumable=bool(raw.get("resume-streams", False)),
--- a/ebonyhold/platform/_headers.py
+++ b/ebonyhold/platform/_headers.py
@@ -133,9 +133,11 @@
         return CallerRequest(
             request_id=first_value(headers, REQUEST_ID).decode("latin-1"),
             key=first_value(headers, KEY).decode("latin-1").strip(),
-            patience=read_number(TIME_LIMIT, time_limit) / 1000 if time_limit else None,
+            time_limit=read_number(TIME_LIMIT, time_limit) / 1000
+            if time_limit
+            else None,
             prompt_tokens=prompt,
-            most_output=max_output,
+            max_output=max_output,
             prompt_parts=read_parts(parts) if parts else (),
             resume_after=read_number(RESUME_AFTER, resume) if resume else None,
         )
--- a/ebonyhold/platform/_wiring.py
+++ b/ebonyhold/platform/_wiring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ebonyhold.gateway import Peers
+from ebonyhold.gateway import PlatformAdapter
 from ebonyhold.platform._documents import read_backend, read_configuration
 from ebonyhold.platform._headers import PlatformDialect
 from ebonyhold.platform._settings import load_platform_settings
@@ -14,14 +14,14 @@
 SERVERS_TABLE = "servers"
 
 
-def platform_peers() -> Peers:
+def platform_adapter() -> PlatformAdapter:
     """Return the platform adapter, configured by the process's settings file.
 
     Raises:
         SettingsError: The settings file is missing or malformed.
     """
     settings = load_platform_settings()
-    return Peers(
+    return PlatformAdapter(
         settings=settings,
         dialect=PlatformDialect(),
         store=StoreClient(settings.store),
--- a/ebonyhold/prepaid/__init__.py
+++ b/ebonyhold/prepaid/__init__.py
@@ -1,20 +1,19 @@
 """Prepaid budgets: routers draw tokens in advance and spend them without a call."""
 
-from ebonyhold.prepaid._account import Account
 from ebonyhold.prepaid._demand import Demand
-from ebonyhold.prepaid._grant import Grant
+from ebonyhold.prepaid._grant_manager import GrantManager
+from ebonyhold.prepaid._grant_state import GrantState
 from ebonyhold.prepaid._holders import Fleet, HolderTable, choose_holders
-from ebonyhold.prepaid._lent import LentHolds
-from ebonyhold.prepaid._limits import LimitBook, Limits, Renewal, SpendingLimit
-from ebonyhold.prepaid._purse import (
+from ebonyhold.prepaid._limits import Limits, LimitTracker, Renewal, SpendingLimit
+from ebonyhold.prepaid._reclaim import Predecessor
+from ebonyhold.prepaid._remote_holds import RemoteHolds
+from ebonyhold.prepaid._request_hold import (
     HolderPeers,
     HoldOutcome,
-    RequestPurse,
+    RequestHold,
     WantedHold,
 )
-from ebonyhold.prepaid._reclaim import Predecessor
 from ebonyhold.prepaid._transfers import Offer, TransferPeers, choose_givers
-from ebonyhold.prepaid._treasury import Treasury
 from ebonyhold.prepaid._types import (
     Change,
     Committed,
@@ -26,32 +25,33 @@
     grant_row_key,
     grant_rows_prefix,
 )
+from ebonyhold.prepaid._workspace_grant import WorkspaceGrant
 
 __all__ = [
-    "Account",
     "Change",
     "Committed",
     "Demand",
     "Fleet",
-    "Grant",
+    "GrantManager",
     "GrantRows",
+    "GrantState",
     "HoldOutcome",
     "HolderPeers",
     "HolderTable",
-    "LentHolds",
-    "LimitBook",
+    "LimitTracker",
     "Limits",
     "Offer",
     "Predecessor",
     "PrepaidOptions",
     "PrepaidRow",
     "PrepaidStore",
+    "RemoteHolds",
     "Renewal",
-    "RequestPurse",
+    "RequestHold",
     "SpendingLimit",
     "TransferPeers",
-    "Treasury",
     "WantedHold",
+    "WorkspaceGrant",
     "budget_row_key",
     "choose_givers",
     "choose_holders",
--- a/ebonyhold/prepaid/_treasury.py
+++ b/ebonyhold/prepaid/_grant_manager.py
@@ -11,13 +11,13 @@
 from attrs import define, field
 
 from ebonyhold.exceptions import PlatformError
-from ebonyhold.prepaid._account import Account
 from ebonyhold.prepaid._holders import HolderTable
-from ebonyhold.prepaid._limits import LimitBook, SpendingLimit
-from ebonyhold.prepaid._purse import HolderPeers, RequestPurse
+from ebonyhold.prepaid._limits import LimitTracker, SpendingLimit
 from ebonyhold.prepaid._reclaim import Predecessor
+from ebonyhold.prepaid._request_hold import HolderPeers, RequestHold
 from ebonyhold.prepaid._transfers import TransferPeers
 from ebonyhold.prepaid._types import PrepaidOptions, PrepaidStore
+from ebonyhold.prepaid._workspace_grant import WorkspaceGrant
 from ebonyhold.tasks import Guard, unguarded
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
@@ -51,7 +51,7 @@
 
 
 @define(eq=False)
-class Treasury:
+class GrantManager:
     """Manages this router's grants of all workspaces.
 
     Attributes:
@@ -66,11 +66,11 @@
         can_renew: Returns whether renewals currently reach the store.
         peers: Calls to other routers for transfers; None if none can be called.
         holders: Calls to the holders at other routers; None if none can be called.
-        table: Computes the holders of each workspace.
+        holder_table: Computes the holders of each workspace.
         fleet_known: Returns whether enough other routers are known to compute the
             holders, so that tokens may be drawn before the first request.
         options: The options of the prepaid budgets.
-        accounts: The grants opened so far, by workspace.
+        grants: The grants opened so far, by workspace.
         paused_until: Earliest time of each grant's first round after an outage.
         guard: Runs a function, catches unexpected errors and returns whether there were
             none.  So after an error in one grant, `close` still returns the others.
@@ -84,38 +84,38 @@
     prepaid: Callable[[WorkspaceName], tuple[int, Tokens | None]]
     workspaces: Callable[[], Iterable[WorkspaceName]]
     routers: Callable[[], int]
-    limits: LimitBook
+    limits: LimitTracker
     renew: Callable[[], Coroutine[None, None, None]]
     can_renew: Callable[[], bool]
     peers: TransferPeers | None = None
     holders: HolderPeers | None = None
-    table: HolderTable = field(factory=HolderTable)
+    holder_table: HolderTable = field(factory=HolderTable)
     fleet_known: Callable[[], bool] = lambda: True
     options: PrepaidOptions = field(factory=PrepaidOptions)
-    accounts: dict[WorkspaceName, Account] = field(factory=dict)
+    grants: dict[WorkspaceName, WorkspaceGrant] = field(factory=dict)
     paused_until: dict[WorkspaceName, Seconds] = field(factory=dict)
     guard: Guard = unguarded
     closing: bool = False
     holds: int = 0
 
-    def purse(self, workspace: WorkspaceName) -> RequestPurse | None:
+    def open_hold(self, workspace: WorkspaceName) -> RequestHold | None:
         """Return a new hold for a request; None if the workspace has no budget."""
         if self.prepaid(workspace)[1] is None:
             return None
-        holders = self.table.holders(workspace)
+        holders = self.holder_table.holders(workspace)
         asked = () if holders.own or self.holders is None else holders.names
         self.holds += 1
         hold_id = f"{self.router}/{self.holds}"
-        open_grant = partial(self.account, workspace)
-        return RequestPurse(workspace, open_grant, asked, self.holders, hold_id)
+        open_grant = partial(self.grant, workspace)
+        return RequestHold(workspace, open_grant, asked, self.holders, hold_id)
 
-    def account(self, workspace: WorkspaceName) -> Account | None:
+    def grant(self, workspace: WorkspaceName) -> WorkspaceGrant | None:
         """Return a workspace's grant, opened if necessary; None if it has no budget."""
         if self.prepaid(workspace)[1] is None:
             return None
-        grant = self.accounts.get(workspace)
+        grant = self.grants.get(workspace)
         if grant is None:
-            grant = Account(
+            grant = WorkspaceGrant(
                 workspace,
                 self.router,
                 self.store,
@@ -132,16 +132,16 @@
                 # opened later must not draw, or its tokens would not be returned.
                 closing=self.closing,
             )
-            self.accounts[workspace] = grant
+            self.grants[workspace] = grant
         return grant
 
     def is_holder(self, workspace: WorkspaceName) -> bool:
         """Return whether this router is a holder of a workspace."""
-        return self.table.holders(workspace).own
+        return self.holder_table.holders(workspace).own
 
     def sharers(self, workspace: WorkspaceName) -> int:
         """Return how many routers draw on a workspace's budget: all or its holders."""
-        holders = self.table.holders(workspace)
+        holders = self.holder_table.holders(workspace)
         return self.routers() if holders.whole_fleet else len(holders.names)
 
     def configured_budget(self, workspace: WorkspaceName) -> tuple[int, Tokens]:
@@ -158,23 +158,23 @@
 
         Grants without a request so far are left out; the mean is 0 if all are.
         """
-        sizes = [g.demand.typical for g in self.accounts.values() if g.demand.typical]
+        sizes = [g.demand.typical for g in self.grants.values() if g.demand.typical]
         return sum(sizes) / len(sizes) if sizes else 0.0
 
     def wanted_limits(self) -> dict[WorkspaceName, SpendingLimit]:
         """Return the spending limits of all grants for the next renewal."""
-        return {name: g.wanted_limit() for name, g in self.accounts.items()}
+        return {name: g.wanted_limit() for name, g in self.grants.items()}
 
     async def run(self) -> None:
         """Open grants ahead of requests and run the grants' rounds until cancelled."""
         while True:
             await anyio.sleep(self.pause())
-            self.stock_unmet()
+            self.open_grants_ahead()
             async with anyio.create_task_group() as tasks:
-                for grant in list(self.accounts.values()):
+                for grant in list(self.grants.values()):
                     tasks.start_soon(self.maintain, grant)
 
-    def stock_unmet(self) -> None:
+    def open_grants_ahead(self) -> None:
         """Open grants before the first request of their workspaces.
 
         Otherwise that request would find no tokens during an outage.  Only grants of
@@ -185,18 +185,18 @@
         if self.closing or not self.fleet_known():
             return
         for workspace in self.workspaces():
-            if workspace in self.accounts or not self.is_holder(workspace):
+            if workspace in self.grants or not self.is_holder(workspace):
                 continue
             spread = FIRST_DRAW_SPREAD * max(1, self.sharers(workspace))
             if random.random() < self.options.tick / spread:
-                self.account(workspace)
+                self.grant(workspace)
 
     def pause(self) -> Seconds:
         """Return the delay before the next rounds: shorter if a change is in doubt."""
-        in_doubt = any(grant.grant.in_doubt for grant in self.accounts.values())
+        in_doubt = any(grant.state.in_doubt for grant in self.grants.values())
         return self.options.tick * (RETRY_FACTOR if in_doubt else 1.0)
 
-    async def maintain(self, grant: Account) -> None:
+    async def maintain(self, grant: WorkspaceGrant) -> None:
         """Run one round of a grant, unless the grant is paused.
 
         A store error is logged, and the next round tries again.  No round is run while
@@ -244,7 +244,7 @@
             False after `RECLAIM_ATTEMPTS` failed attempts or if the process is shutting
             down, else True, also if the workspace has no budget any more.
         """
-        grant = self.account(workspace)
+        grant = self.grant(workspace)
         if grant is None:
             # No request can use the tokens of a workspace without a budget.
             return True
@@ -270,13 +270,13 @@
             stay granted until a successor reclaims them.
         """
         self.closing = True
-        remaining = set(self.accounts)
+        remaining = set(self.grants)
         failed: set[WorkspaceName] = set()
         with anyio.move_on_after(timeout):
             while remaining - failed:
                 async with anyio.create_task_group() as tasks:
                     for name in remaining - failed:
-                        grant = self.accounts[name]
+                        grant = self.grants[name]
                         tasks.start_soon(self.return_guarded, grant, remaining, failed)
                 if remaining - failed:
                     await anyio.sleep(self.options.tick * RETRY_FACTOR)
@@ -286,7 +286,7 @@
 
     async def return_guarded(
         self,
-        grant: Account,
+        grant: WorkspaceGrant,
         remaining: set[WorkspaceName],
         failed: set[WorkspaceName],
     ) -> None:
@@ -298,7 +298,9 @@
         if not await self.guard(partial(self.return_grant, grant, remaining)):
             failed.add(grant.workspace)
 
-    async def return_grant(self, grant: Account, remaining: set[WorkspaceName]) -> None:
+    async def return_grant(
+        self, grant: WorkspaceGrant, remaining: set[WorkspaceName]
+    ) -> None:
         """Return one grant's tokens and remove the grant from `remaining`.
 
         After a store error the grant stays in `remaining`, and `close` tries again.
--- a/ebonyhold/prepaid/_grant.py
+++ b/ebonyhold/prepaid/_grant_state.py
@@ -13,13 +13,13 @@
     ConflictError,
     UnavailableError,
 )
-from ebonyhold.prepaid._books import GrantRowCache
 from ebonyhold.prepaid._reclaim import (
     Predecessor,
     PredecessorGrant,
     find_predecessor_grant,
     make_reclaim_change,
 )
+from ebonyhold.prepaid._row_cache import GrantRowCache
 from ebonyhold.prepaid._types import Change, Committed, GrantRows, PrepaidStore
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
@@ -27,7 +27,7 @@
 
 
 @define(eq=False)
-class Grant:
+class GrantState:
     """Commits changes of a grant and applies them to the local ledger.
 
     Attributes:
--- a/ebonyhold/prepaid/_limits.py
+++ b/ebonyhold/prepaid/_limits.py
@@ -86,20 +86,20 @@
 
 
 @define
-class LimitBook:
+class LimitTracker:
     """Tracks the renewals that a successor may find in the store.
 
     A successor may find any one of them, so the lowest of their limits applies.
 
     Attributes:
         confirmed: The last renewal that the store acknowledged; None before the first.
-        doubtful: Renewals sent after `confirmed` whose outcome is unknown.
+        in_doubt: Renewals sent after `confirmed` whose outcome is unknown.
         sent: Number of renewals sent.
         delay: Typical time until a renewal is acknowledged.
     """
 
     confirmed: Renewal | None = None
-    doubtful: list[Renewal] = field(factory=list)
+    in_doubt: list[Renewal] = field(factory=list)
     sent: int = 0
     delay: Seconds = 0.0
 
@@ -107,7 +107,7 @@
     def possible(self) -> Iterable[Renewal]:
         """The renewals that a successor may find: `confirmed` and those in doubt."""
         confirmed = [self.confirmed] if self.confirmed else []
-        return [*confirmed, *self.doubtful]
+        return [*confirmed, *self.in_doubt]
 
     def limit(self, workspace: WorkspaceName, now: Seconds) -> Tokens:
         """Return the current limit of a workspace; 0 before the first renewal."""
@@ -127,14 +127,14 @@
         limits.
         """
         limits = dict(wanted)
-        if self.doubtful:
+        if self.in_doubt:
             limits = {
                 name: self.not_lowered(name, limit, now)
                 for name, limit in limits.items()
             }
         self.sent += 1
         renewal = Renewal(self.sent, now, limits)
-        self.doubtful.append(renewal)
+        self.in_doubt.append(renewal)
         return renewal
 
     def not_lowered(
@@ -158,12 +158,12 @@
         Other renewals in doubt are dropped.  They can no longer take effect, because
         their transactions check an earlier version of the row.
         """
-        for renewal in self.doubtful:
+        for renewal in self.in_doubt:
             if renewal.number == number:
                 self.confirmed = renewal
-                self.doubtful = []
+                self.in_doubt = []
                 return
 
     def had_no_effect(self, number: int) -> None:
         """Remove a renewal in doubt that the store certainly did not apply."""
-        self.doubtful = [r for r in self.doubtful if r.number != number]
+        self.in_doubt = [r for r in self.in_doubt if r.number != number]
--- a/ebonyhold/prepaid/_lent.py
+++ b/ebonyhold/prepaid/_remote_holds.py
@@ -9,8 +9,8 @@
 from attrs import define, field, frozen
 
 from ebonyhold.exceptions import BudgetExhaustedError, BudgetUnreachableError
-from ebonyhold.prepaid._account import Account
-from ebonyhold.prepaid._purse import HoldOutcome, WantedHold
+from ebonyhold.prepaid._request_hold import HoldOutcome, WantedHold
+from ebonyhold.prepaid._workspace_grant import WorkspaceGrant
 from ebonyhold.types import HoldId, Seconds, Tokens, WorkspaceName
 
 log = logging.getLogger(__name__)
@@ -40,13 +40,13 @@
         expires_at: When the hold is charged in full if it was not settled.
     """
 
-    grant: Account
+    grant: WorkspaceGrant
     amount: Tokens
     expires_at: Seconds
 
 
 @define(eq=False)
-class LentHolds:
+class RemoteHolds:
     """Sets tokens aside for requests at other routers, and settles these holds.
 
     Held tokens count as used, within this router's limits, before the answer is sent,
@@ -62,7 +62,7 @@
         early_settlements: Arrival times of settlements of unknown holds.
     """
 
-    find_grant: Callable[[WorkspaceName], Account | None]
+    find_grant: Callable[[WorkspaceName], WorkspaceGrant | None]
     closing: Callable[[], bool]
     open: dict[HoldId, RemoteHold] = field(factory=dict)
     early_settlements: dict[HoldId, Seconds] = field(factory=dict)
--- a/ebonyhold/prepaid/_purse.py
+++ b/ebonyhold/prepaid/_request_hold.py
@@ -11,7 +11,7 @@
 from attrs.validators import gt
 
 from ebonyhold.exceptions import BudgetExhaustedError, BudgetUnreachableError
-from ebonyhold.prepaid._account import Account
+from ebonyhold.prepaid._workspace_grant import WorkspaceGrant
 from ebonyhold.types import HoldId, RequestId, Tokens, WorkspaceName
 
 log = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
 
 
 @define(eq=False)
-class RequestPurse:
+class RequestHold:
     """The token hold of one request.
 
     The hold is requested from a holder of the workspace; if none answers, this router
@@ -85,12 +85,12 @@
     """
 
     workspace: WorkspaceName
-    open_grant: Callable[[], Account | None]
+    open_grant: Callable[[], WorkspaceGrant | None]
     holders: Sequence[str]
     peers: HolderPeers | None
     hold_id: HoldId
     holder: str | None = None
-    own_grant: Account | None = None
+    own_grant: WorkspaceGrant | None = None
 
     async def hold(self, amount: Tokens, request: RequestId) -> None:
         """Hold tokens for the request.
--- a/ebonyhold/prepaid/_account.py
+++ b/ebonyhold/prepaid/_workspace_grant.py
@@ -26,8 +26,8 @@
 from ebonyhold.prepaid._allowance import AllowanceInputs, allowance
 from ebonyhold.prepaid._changes import ChangeAmounts, make_change
 from ebonyhold.prepaid._demand import Demand
-from ebonyhold.prepaid._grant import Grant
-from ebonyhold.prepaid._limits import LimitBook, SpendingLimit
+from ebonyhold.prepaid._grant_state import GrantState
+from ebonyhold.prepaid._limits import LimitTracker, SpendingLimit
 from ebonyhold.prepaid._reclaim import Predecessor
 from ebonyhold.prepaid._transfers import TransferPeers, choose_givers
 from ebonyhold.prepaid._types import (
@@ -54,7 +54,7 @@
 
 
 @define(eq=False)
-class Account:
+class WorkspaceGrant:
     """Manages one workspace's grant at this router.
 
     A transaction moves tokens from the budget to the router's grant and writes the
@@ -79,7 +79,7 @@
         options: The options of the prepaid budgets.
         policy: Computes how much to draw or return.
         demand: The estimated demand at this router.
-        grant: The grant's ledger and its stored rows.
+        state: The grant's ledger and its stored rows.
         asked: Total tokens needed by the requests and transfers that wait for a draw
             or a renewal.
         reachable: Whether the last completed round reached the store.
@@ -94,7 +94,7 @@
     prepaid: Callable[[], tuple[int, Tokens]]
     routers: Callable[[], int]
     default_typical: Callable[[], float]
-    limits: LimitBook
+    limits: LimitTracker
     renew: Callable[[], Coroutine[None, None, None]]
     can_renew: Callable[[], bool]
     peers: TransferPeers | None = None
@@ -102,7 +102,7 @@
     options: PrepaidOptions = field(factory=PrepaidOptions)
     policy: GrantPolicy = field(factory=lambda: find_grant_policy("outage_cover"))
     demand: Demand = field(init=False)
-    grant: Grant = field(init=False)
+    state: GrantState = field(init=False)
     asked: Tokens = 0
     reachable: bool = True
     closing: bool = False
@@ -110,7 +110,7 @@
 
     def __attrs_post_init__(self) -> None:
         self.demand = Demand(self.options.demand_time_constant)
-        self.grant = Grant(self.workspace, self.router, self.store, self.routers)
+        self.state = GrantState(self.workspace, self.router, self.store, self.routers)
 
     def limit(self) -> Tokens:
         """Return the maximum number of tokens that this incarnation may have used."""
@@ -123,7 +123,7 @@
         routers; if each router counted them, all would draw in advance on a budget that
         is nearly spent.
         """
-        held = self.grant.used + amount <= self.limit() and self.grant.ledger.hold(
+        held = self.state.used + amount <= self.limit() and self.state.ledger.hold(
             amount
         )
         if held:
@@ -168,9 +168,9 @@
 
         The result is False if the cached budget is unknown or too old to decide.
         """
-        rows = self.grant.cache.rows or GrantRows()
+        rows = self.state.cache.rows or GrantRows()
         prepaid = self.apply_configuration(rows.budget).budget.prepaid
-        return self.grant.cache.is_exhausted(amount, self.grant.ledger, prepaid)
+        return self.state.cache.is_exhausted(amount, self.state.ledger, prepaid)
 
     async def hold_transferred(self, amount: Tokens, peers: TransferPeers) -> bool:
         """Request the missing tokens from other routers and try the hold again.
@@ -186,14 +186,14 @@
             lacking = amount - self.usable
             if lacking <= 0:
                 break
-            self.grant.receive(await peers.transfer(peer, self.workspace, lacking))
+            self.state.receive(await peers.transfer(peer, self.workspace, lacking))
         return self.try_hold(amount)
 
     @property
     def usable(self) -> Tokens:
         """Number of available tokens that may be used within the current limit."""
-        headroom = self.limit() - self.grant.used
-        return max(0, min(self.grant.ledger.available, headroom))
+        headroom = self.limit() - self.state.used
+        return max(0, min(self.state.ledger.available, headroom))
 
     @property
     def offer(self) -> Tokens:
@@ -205,7 +205,7 @@
         if self.closing:
             return 0
         if self.reachable and self.can_renew():
-            return self.grant.ledger.available + max(0, self.budget.remaining)
+            return self.state.ledger.available + max(0, self.budget.remaining)
         return self.usable
 
     async def give(self, amount: Tokens) -> Tokens:
@@ -220,7 +220,7 @@
                 await self.obtain(amount)
         # The shutdown may have begun to return the grant during the draw.
         given = 0 if self.closing else min(amount, self.usable)
-        self.grant.give(given)
+        self.state.give(given)
         return given
 
     def log_refusal(self, amount: Tokens, request: RequestId) -> None:
@@ -232,12 +232,12 @@
                 "request": request,
                 "workspace": self.workspace,
                 "amount": amount,
-                "available": self.grant.ledger.available,
-                "room": self.limit() - self.grant.used,
+                "available": self.state.ledger.available,
+                "room": self.limit() - self.state.used,
                 "prepaid": budget.prepaid,
                 "spent": budget.spent,
                 "remaining": budget.remaining,
-                "budget_age": round(self.grant.cache.age(), 2),
+                "budget_age": round(self.state.cache.age(), 2),
                 "limit_age": round(self.limits.age(anyio.current_time()), 2),
                 "store_reachable": self.reachable and self.can_renew(),
             },
@@ -253,7 +253,7 @@
             async with anyio.create_task_group() as tasks:
                 if self.need:
                     tasks.start_soon(self.draw)
-                if self.grant.used + amount > self.limit():
+                if self.state.used + amount > self.limit():
                     tasks.start_soon(self.renew)
         finally:
             self.asked -= amount
@@ -267,7 +267,7 @@
             if not self.need:
                 return
             try:
-                await self.round()
+                await self.reconcile()
             except PlatformError as error:
                 log.warning(
                     "draw failed",
@@ -281,11 +281,11 @@
             PlatformError: The store call failed.
         """
         async with self.lock:
-            await self.round()
+            await self.reconcile()
 
     def settle(self, hold: Tokens, charge: Tokens) -> None:
         """End a request's hold and charge the request's cost, at most the hold."""
-        self.grant.settle(hold, charge)
+        self.state.settle(hold, charge)
 
     async def close(self) -> None:
         """Run a round that files all charges and returns all available tokens.
@@ -298,7 +298,7 @@
         """
         self.closing = True
         async with self.lock:
-            await self.round()
+            await self.reconcile()
 
     async def reclaim(self, predecessor: Predecessor) -> bool:
         """Reclaim the tokens that a predecessor provably left unused.
@@ -315,10 +315,10 @@
             if self.closing:
                 return False
             await self.refresh()
-            await self.grant.reclaim(predecessor)
+            await self.state.reclaim(predecessor)
             return True
 
-    async def round(self) -> None:
+    async def reconcile(self) -> None:
         """Refresh the cached rows and commit the change that is due, if any.
 
         After `MAX_ATTEMPTS` conflicts the change is left to the next round.
@@ -331,11 +331,11 @@
                 await self.refresh()
                 change = self.plan_change()
                 if change is not None:
-                    await self.grant.send(change)
+                    await self.state.send(change)
                 self.reachable = True
                 return
             except ConflictError as error:
-                self.grant.cache.update_from_conflict(error)
+                self.state.cache.update_from_conflict(error)
                 await anyio.sleep(
                     random.random() * CONFLICT_BACKOFF * 2 ** min(conflicts, 4)
                 )
@@ -349,23 +349,23 @@
         Raises:
             PlatformError: The store call failed.
         """
-        await self.grant.resolve_in_doubt()
-        holding = self.grant.ledger.available > 0
-        await self.grant.cache.refresh(self.need, holding=holding)
+        await self.state.resolve_in_doubt()
+        holding = self.state.ledger.available > 0
+        await self.state.cache.refresh(self.need, holding=holding)
 
     @property
     def need(self) -> Tokens:
         """Tokens that waiting requests need beyond the available ones."""
-        return max(0, self.asked - self.grant.ledger.available)
+        return max(0, self.asked - self.state.ledger.available)
 
     def plan_change(self) -> Change | None:
         """Return the change of both rows that is due; None if there is none."""
-        rows = self.grant.cache.rows or GrantRows()
+        rows = self.state.cache.rows or GrantRows()
         base = self.apply_configuration(rows.budget)
         size = self.grant_size(base.budget)
         now = anyio.current_time()
-        overdue = now - self.grant.filed_at > self.options.file_after
-        unfiled = self.grant.ledger.unfiled
+        overdue = now - self.state.filed_at > self.options.file_after
+        unfiled = self.state.ledger.unfiled
         due = unfiled and (overdue or self.closing)
         moves = bool(size.draw or size.give_back or base != rows.budget)
         if not (moves or due):
@@ -390,7 +390,7 @@
         inputs = AllowanceInputs(
             # Received tokens can make `used` negative.  A negative limit would let a
             # successor reclaim more than this grant's own row holds.
-            used=max(0, self.grant.used),
+            used=max(0, self.state.used),
             asked=self.asked,
             rate=self.demand.rate(anyio.current_time()),
             typical=self.typical,
@@ -413,14 +413,14 @@
     def budget(self) -> BudgetRow:
         """The cached budget, or an empty one before the first read."""
         return (
-            self.grant.cache.rows.budget.budget
-            if self.grant.cache.rows
+            self.state.cache.rows.budget.budget
+            if self.state.cache.rows
             else BudgetRow()
         )
 
     def grant_size(self, budget: BudgetRow) -> GrantSize:
         """Return how many tokens to draw from or return to the budget."""
-        available = self.grant.ledger.available
+        available = self.state.ledger.available
         if self.closing:
             return GrantSize(give_back=available)
         if budget.remaining < 0:
@@ -438,7 +438,7 @@
         """Return the inputs of the grant policy."""
         return GrantView(
             need=min(self.need, max(budget.remaining, 0)),
-            available=self.grant.ledger.available,
+            available=self.state.ledger.available,
             rate=self.demand.rate(anyio.current_time()),
             typical=int(self.typical),
             routers=self.routers(),
@@ -453,9 +453,9 @@
         lost, they could be spent here and also be drawn by another router.
         """
         drawn = min(size.draw, max(base.budget.remaining, 0))
-        returned = min(size.give_back, self.grant.ledger.available)
-        self.grant.ledger.available -= returned
-        ledger = self.grant.ledger
+        returned = min(size.give_back, self.state.ledger.available)
+        self.state.ledger.available -= returned
+        ledger = self.state.ledger
         amounts = ChangeAmounts(
             drawn, returned, ledger.unfiled, ledger.given, ledger.received
         )
--- a/ebonyhold/routers/_network.py
+++ b/ebonyhold/routers/_network.py
@@ -154,12 +154,12 @@
 
     # Interface for the daemon and for operators.
 
-    def gone(self) -> tuple[RouterId, ...]:
+    def recoverable(self) -> tuple[RouterId, ...]:
         """Return incarnations that seem to have ended; their requests may be recovered.
 
         The result is not certain: some of them may still run.
         """
-        return self.membership.gone(anyio.current_time())
+        return self.membership.recoverable(anyio.current_time())
 
     def may_recover(self, router: RouterId, unknown_for: Seconds) -> bool:
         """Return whether an incarnation's requests may be recovered.
@@ -174,7 +174,7 @@
         now = anyio.current_time()
         return self.membership.may_recover(router, unknown_for, now)
 
-    def read_row(self, router: RouterId, row: RouterRow) -> None:
+    def add_row(self, router: RouterId, row: RouterRow) -> None:
         """Add an incarnation that has an open row in the table to the membership view.
 
         A row with this router's own name is ignored.
@@ -183,7 +183,7 @@
         update = MemberUpdate(
             router, row.address, row.domain, MemberStatus.ALIVE, started=started
         )
-        self.membership.read_row(update, anyio.current_time())
+        self.membership.add_row(update, anyio.current_time())
 
     def introduce(self) -> None:
         """Send probes to a few routers from which no message was received yet."""
@@ -197,13 +197,13 @@
 
     def describe(self, member: Member, now: Seconds) -> PeerStatus:
         """Return the `PeerStatus` of a member."""
-        received_at = member.heard_at
+        received_at = member.last_message_at
         return PeerStatus(
             member.update.router,
             member.update.address,
             member.update.domain,
             self.membership.status_of(member),
-            self.membership.judge.is_listed(member),
+            self.membership.eligibility.is_listed(member),
             None if received_at is None else now - received_at,
         )
 
@@ -214,15 +214,15 @@
         were not, recovered.
         """
         now = anyio.current_time()
-        received_at, suspected_at = member.heard_at, member.silent_at
+        received_at, suspected_at = member.last_message_at, member.suspected_at
         logger.info(
             "router status changed",
             extra={
                 "member": member.update.router,
                 "status": member.update.status.name.lower(),
                 "before": None if before is None else before.name.lower(),
-                "met": not member.unmet,
-                "listed": self.membership.judge.is_listed(member),
+                "met": not member.unconfirmed,
+                "listed": self.membership.eligibility.is_listed(member),
                 "heard_ago": None
                 if received_at is None
                 else round(now - received_at, 3),
@@ -268,13 +268,13 @@
         size = None if listed is None else len(listed)
         return policy.first_wait(size, len(self.alive()), chance)
 
-    def become(self, router: RouterId) -> None:
+    def start_incarnation(self, router: RouterId) -> None:
         """Continue as a new incarnation after the current one was sealed.
 
         The new start time is later than the old one, even if the clock was set back.
         """
-        started = max(now_ms(), self.membership.me.started + 1)
-        self.membership.become(router, started)
+        started = max(now_ms(), self.membership.own_update.started + 1)
+        self.membership.start_incarnation(router, started)
         self.envelopes.router = router
 
     def leave(self) -> None:
@@ -297,7 +297,7 @@
             with pynng.Pull0(
                 recv_max_size=2 * MAX_ENVELOPE, recv_buffer_size=RECEIVE_QUEUE
             ) as socket:
-                socket.listen(f"tcp://{self.membership.me.address}")
+                socket.listen(f"tcp://{self.membership.own_update.address}")
                 tasks.start_soon(self.send_heartbeats)
                 tasks.start_soon(self.watch_keys)
                 if self.source is not None:
@@ -360,7 +360,9 @@
             raise RefusedMessageError("unaddressed", gossip.beat.kind.name)
         now = anyio.current_time()
         self.send_beats(
-            self.membership.receive(sender, gossip.beat, now, fresh=addressed)
+            self.membership.receive(
+                sender, gossip.beat, now, to_this_incarnation=addressed
+            )
         )
 
     def start_handler(self, sender: RouterId, frame: Frame) -> None:
@@ -398,7 +400,7 @@
         while True:
             pause = LIST_INTERVAL
             try:
-                self.membership.read_list(to_listed(await source()))
+                self.membership.update_list(to_listed(await source()))
                 retry = FIRST_LIST_RETRY
             except EbonyholdError as error:
                 logger.info("no membership list", extra={"cause": str(error)})
--- a/ebonyhold/stores/__init__.py
+++ b/ebonyhold/stores/__init__.py
@@ -4,6 +4,7 @@
 and retries.
 """
 
+from ebonyhold.stores._call_queue import Priority, RefusedHereError
 from ebonyhold.stores._classified import ClassifiedObjects, ClassifiedTable
 from ebonyhold.stores._guard import Counters, Guard, GuardPolicy
 from ebonyhold.stores._guarded import GuardedObjects, GuardedTable
@@ -16,7 +17,6 @@
 )
 from ebonyhold.stores._objects import ObjectClient
 from ebonyhold.stores._table import TableClient
-from ebonyhold.stores._turnstile import Priority, RefusedHereError
 
 __all__ = [
     "ClassifiedObjects",
--- a/ebonyhold/stores/_turnstile.py
+++ b/ebonyhold/stores/_call_queue.py
@@ -9,7 +9,7 @@
 import anyio
 from attrs import define, field
 
-from ebonyhold.coordination import FairTurns, TokenBucket
+from ebonyhold.coordination import FairScheduler, TokenBucket
 from ebonyhold.exceptions import UnavailableError
 from ebonyhold.types import Seconds
 
@@ -58,16 +58,16 @@
 
 
 @define
-class Turnstile:
+class CallQueue:
     """Admits calls at a limited rate and concurrency, fairly between classes.
 
     Queued calls are admitted by `run`, which must run in a task of its own.
 
     Attributes:
         bucket: Limits the rate, in rows a second.
-        most_waiting: Maximum number of queued calls of one class; further calls
+        max_waiting: Maximum number of queued calls of one class; further calls
             are refused.
-        most_in_flight: Maximum number of admitted calls that have not ended.
+        max_in_flight: Maximum number of admitted calls that have not ended.
         turns: Chooses the class of the next call.
         waiting: The queued calls of each class, in order of arrival.
         in_flight: The number of admitted calls that have not ended.
@@ -75,9 +75,9 @@
     """
 
     bucket: TokenBucket
-    most_waiting: int
-    most_in_flight: int
-    turns: FairTurns[Priority] = field(factory=lambda: FairTurns(dict(SHARES)))
+    max_waiting: int
+    max_in_flight: int
+    turns: FairScheduler[Priority] = field(factory=lambda: FairScheduler(dict(SHARES)))
     waiting: dict[Priority, deque[QueuedCall]] = field(
         factory=lambda: {priority: deque() for priority in Priority}
     )
@@ -96,7 +96,7 @@
             self.admit(priority, amount)
             return
         queue = self.waiting[priority]
-        if len(queue) >= self.most_waiting:
+        if len(queue) >= self.max_waiting:
             raise RefusedHereError(f"too many calls wait: {priority.value}")
         call = QueuedCall(amount)
         queue.append(call)
@@ -120,7 +120,7 @@
 
     def try_take(self, amount: float) -> bool:
         """Take rows from the bucket if a call may start now; return whether it may."""
-        if self.in_flight >= self.most_in_flight:
+        if self.in_flight >= self.max_in_flight:
             return False
         return self.bucket.take(amount, anyio.current_time())
 
@@ -151,7 +151,7 @@
         """
         while True:
             queued = [priority for priority, queue in self.waiting.items() if queue]
-            if not queued or self.in_flight >= self.most_in_flight:
+            if not queued or self.in_flight >= self.max_in_flight:
                 return math.inf
             priority = self.turns.choose(queued)
             call = self.waiting[priority][0]
--- a/ebonyhold/stores/_classified.py
+++ b/ebonyhold/stores/_classified.py
@@ -5,8 +5,8 @@
 from attrs import frozen
 
 from ebonyhold.coordination import Row, Transaction
+from ebonyhold.stores._call_queue import Priority
 from ebonyhold.stores._guarded import GuardedObjects, GuardedTable
-from ebonyhold.stores._turnstile import Priority
 
 CLASSES = {
     "journal": Priority.INTENTS,
--- a/ebonyhold/stores/_guard.py
+++ b/ebonyhold/stores/_guard.py
@@ -28,7 +28,7 @@
     UnavailableError,
     UnknownOutcomeError,
 )
-from ebonyhold.stores._turnstile import Priority, RefusedHereError, Turnstile
+from ebonyhold.stores._call_queue import CallQueue, Priority, RefusedHereError
 from ebonyhold.types import Seconds
 
 T = TypeVar("T")
@@ -47,12 +47,12 @@
     Attributes:
         writes: Maximum rate of this process, in row writes a second.
         reads: Maximum rate of this process, in row reads a second.
-        most_waiting: Maximum number of queued calls of one class, for reads and
+        max_waiting: Maximum number of queued calls of one class, for reads and
             writes each; further calls are refused.
-        most_in_flight: Maximum number of concurrent calls, for reads and writes
+        max_in_flight: Maximum number of concurrent calls, for reads and writes
             each.
-        most_wait: Maximum time that an attempt waits in the queue, in seconds.
-        most_retries: Maximum number of retries of one call.
+        max_wait: Maximum time that an attempt waits in the queue, in seconds.
+        max_retries: Maximum number of retries of one call.
         retry_ratio: Retries allowed per call, on average over all calls.
         backoff: The delays before retries.
         breaker: When the circuit breaker opens and for how long.
@@ -60,10 +60,10 @@
 
     writes: float = 40.0
     reads: float = 200.0
-    most_waiting: int = 256
-    most_in_flight: int = 16
-    most_wait: Seconds = 2.0
-    most_retries: int = 2
+    max_waiting: int = 256
+    max_in_flight: int = 16
+    max_wait: Seconds = 2.0
+    max_retries: int = 2
     retry_ratio: float = 0.1
     backoff: Backoff = field(factory=Backoff)
     breaker: BreakerPolicy = field(factory=BreakerPolicy)
@@ -104,28 +104,28 @@
 
     Attributes:
         rate: The rate, in rows a second; lowered when the service throttles.
-        turnstile: The queue of calls, which applies the rate.
+        queue: The queue of calls, which applies the rate.
     """
 
     rate: AdaptiveRate
-    turnstile: Turnstile
+    queue: CallQueue
 
     @classmethod
     def for_rate(cls, rate: float, policy: GuardPolicy) -> CallLimiter:
         """Make a limiter with a maximum rate in rows a second."""
         bucket = TokenBucket.full(rate, max(1.0, rate * BURST), 0.0)
-        turnstile = Turnstile(bucket, policy.most_waiting, policy.most_in_flight)
-        return cls(AdaptiveRate(rate, rate), turnstile)
+        queue = CallQueue(bucket, policy.max_waiting, policy.max_in_flight)
+        return cls(AdaptiveRate(rate, rate), queue)
 
     def set_rate(self, rate: float) -> None:
         """Set the maximum rate, in rows a second, and undo reductions by throttling."""
         self.rate = AdaptiveRate(rate, rate)
-        self.turnstile.bucket.burst = max(1.0, rate * BURST)
+        self.queue.bucket.burst = max(1.0, rate * BURST)
 
     def refresh(self, now: Seconds) -> None:
         """Set the rate of the queue to the current adaptive rate."""
-        self.turnstile.bucket.refill(now)
-        self.turnstile.bucket.rate = self.rate.current(now)
+        self.queue.bucket.refill(now)
+        self.queue.bucket.rate = self.rate.current(now)
 
 
 @define
@@ -168,8 +168,8 @@
     async def run(self) -> None:
         """Admit queued calls until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.reads.turnstile.run)
-            tasks.start_soon(self.writes.turnstile.run)
+            tasks.start_soon(self.reads.queue.run)
+            tasks.start_soon(self.writes.queue.run)
 
     async def call(
         self,
@@ -203,7 +203,7 @@
                 raise
             except UnavailableError:
                 retry += 1
-                if retry > self.policy.most_retries or not self.retries.take():
+                if retry > self.policy.max_retries or not self.retries.take():
                     raise
             counters.retries += 1
             wait = self.policy.backoff.wait(retry, self.rng.random())
@@ -232,19 +232,19 @@
                 raise RefusedHereError("the circuit breaker is open")
             return await self.run_operation(limiter, priority, operation)
         finally:
-            limiter.turnstile.leave()
+            limiter.queue.leave()
 
     async def enter(self, limiter: CallLimiter, priority: Priority, rows: int) -> None:
         """Wait until the queue admits the call, and count the time waited.
 
         Raises:
-            RefusedHereError: The queue is full, or the wait exceeds `most_wait`.
+            RefusedHereError: The queue is full, or the wait exceeds `max_wait`.
         """
         began_at = anyio.current_time()
         limiter.refresh(began_at)
         try:
-            with anyio.fail_after(self.policy.most_wait):
-                await limiter.turnstile.enter(priority, rows)
+            with anyio.fail_after(self.policy.max_wait):
+                await limiter.queue.enter(priority, rows)
         except TimeoutError as error:
             raise RefusedHereError("no turn in time") from error
         finally:
--- a/ebonyhold/stores/_guarded.py
+++ b/ebonyhold/stores/_guarded.py
@@ -8,8 +8,8 @@
 from attrs import define, field, frozen
 
 from ebonyhold.coordination import Objects, Row, Table, Transaction
+from ebonyhold.stores._call_queue import Priority
 from ebonyhold.stores._guard import Guard
-from ebonyhold.stores._turnstile import Priority
 
 
 @define
@@ -62,7 +62,7 @@
         rows = await self.guard.call(limiter, self.priority, 1, operation)
         # Takes the rows after the first one from the bucket, as their number was
         # unknown before the scan.
-        limiter.turnstile.bucket.spend(max(0, len(rows) - 1), anyio.current_time())
+        limiter.queue.bucket.spend(max(0, len(rows) - 1), anyio.current_time())
         return rows
 
     async def commit(self, transaction: Transaction) -> None:
--- a/tests/backends/kit.py
+++ b/tests/backends/kit.py
@@ -82,9 +82,11 @@
         closed: Number of streamed responses that the client closed.
         closes: The attempts that the client requested to close.
         boot: The boot identifier.
-        truth: The status returned for closed attempts; None for HTTP status 500.
+        attempt_status: The status returned for closed attempts; None for HTTP status
+            500.
         load: Members that replace those of the load report.
-        tells: Whether the status of a closed attempt depends on `ran`, not on `truth`.
+        reports_runs: Whether the status of a closed attempt depends on `ran`, not on
+            `attempt_status`.
         ran: The attempts that count as run; tests fill it.
         models: The models that are loaded.
         orders: The orders executed.
@@ -98,9 +100,9 @@
     closed: int = 0
     closes: list[str] = field(factory=list)
     boot: str = "boot-1"
-    truth: dict[str, object] | None = None
+    attempt_status: dict[str, object] | None = None
     load: dict[str, object] = field(factory=dict)
-    tells: bool = False
+    reports_runs: bool = False
     ran: set[str] = field(factory=set)
     models: set[str] = field(factory=set)
     orders: list[str] = field(factory=list)
@@ -122,11 +124,11 @@
         if path.endswith("/close"):
             attempt = path.split("/")[3]
             self.closes.append(attempt)
-            if self.tells:
+            if self.reports_runs:
                 return httpx.Response(200, json=self.status_of(attempt))
-            if self.truth is None:
+            if self.attempt_status is None:
                 return httpx.Response(500)
-            return httpx.Response(200, json={"boot": self.boot, **self.truth})
+            return httpx.Response(200, json={"boot": self.boot, **self.attempt_status})
         self.calls.append(request)
         script: Script = good
         if self.scripts:
--- a/tests/backends/test_placement.py
+++ b/tests/backends/test_placement.py
@@ -141,7 +141,7 @@
             lambda index=index: f"r{index}.1",  # type: ignore[misc]
             table,
             Backends(FleetView(document, 1, "d0"), transport=transport),
-            Placement(PlacementPolicy(least=2)),
+            Placement(PlacementPolicy(min_engines=2)),
             clock=lambda: 1000.0,
         )
         for index in range(2)
--- a/tests/backends/test_sockets.py
+++ b/tests/backends/test_sockets.py
@@ -26,7 +26,7 @@
 from tests.backends.kit import TOKENS, closing, opening, token
 
 pytestmark = pytest.mark.anyio
-QUICK = Timeouts(connect=0.5, first=0.4, stall=0.4, close=0.4)
+QUICK = Timeouts(connect=0.5, headers=0.4, stall=0.4, close=0.4)
 EVENTS = b"".join([opening(), *map(token, range(TOKENS)), *closing()])
 HEAD = "HTTP/1.1 200 OK\r\nX-Attempt-Id: {attempt}\r\nContent-Length: {length}\r\n\r\n"
 
@@ -192,7 +192,7 @@
     async with serving(busy) as (_, backend), make_client(QUICK) as http:
         with pytest.raises(RefusedError) as caught:
             await ask(EngineClient(http, QUICK), backend, "a-1")
-    assert (caught.value.ran, caught.value.final) == (False, False)
+    assert (caught.value.ran, caught.value.permanent) == (False, False)
 
 
 async def test_a_connection_is_reused_after_a_complete_answer() -> None:
--- a/tests/backends/test_table.py
+++ b/tests/backends/test_table.py
@@ -56,7 +56,7 @@
     """
     table = make_table(3)
     table.refresh()
-    table.states["e0"].heard(LoadReport("b", 1, running=5), 1.0)
+    table.states["e0"].record_report(LoadReport("b", 1, running=5), 1.0)
     document = table.fleet.document
     first, *others = document.backends
     table.fleet.adopt(evolve(document, backends=(first, *others[1:])), 2)
@@ -90,7 +90,7 @@
     state = table.states["e0"]
     state.prefixes.stored("p")
     for at, report in enumerate(reports):
-        state.heard(report, float(at))
+        state.record_report(report, float(at))
     assert state.report.running == running
     assert bool(state.prefixes.held) is False
 
@@ -99,12 +99,12 @@
     table = make_table(1)
     table.refresh()
     state = table.states["e0"]
-    state.heard(LoadReport("b", 1, running=16, queued=8), 0.0)
+    state.record_report(LoadReport("b", 1, running=16, queued=8), 0.0)
     shrunk = state.window
     assert shrunk < 4.0
     state.reserved = 4
-    state.heard(LoadReport("b", 2, running=16), 1.0)
+    state.record_report(LoadReport("b", 2, running=16), 1.0)
     assert state.window == shrunk
-    state.heard(LoadReport("b", 3, running=9), 2.0)
+    state.record_report(LoadReport("b", 3, running=9), 2.0)
     assert state.window > shrunk
     assert state.free_slots == 0
--- a/tests/callers/kit.py
+++ b/tests/callers/kit.py
@@ -71,7 +71,7 @@
         self.log.append(f"begin {order.backend}")
         return Permit(order, f"{order.request}.a1")
 
-    async def again(self, permit: Permit, backend: str, boot: str) -> Permit:
+    async def retry(self, permit: Permit, backend: str, boot: str) -> Permit:
         number = len(self.further) + 2
         order = evolve(permit.order, backend=backend, boot=boot)
         self.log.append(f"again {backend}")
--- a/tests/callers/test_chat.py
+++ b/tests/callers/test_chat.py
@@ -58,9 +58,13 @@
     bench = make_bench(make_document(engines=1))
     engine = bench.servers["e0"]
     engine.scripts = [sends(opening(), token(0), 600.0)]
-    engine.truth = {"state": "cancelled", "prompt_tokens": 9, "completion_tokens": 1}
+    engine.attempt_status = {
+        "state": "cancelled",
+        "prompt_tokens": 9,
+        "completion_tokens": 1,
+    }
     bench.app.backends.timeouts = bench.app.backends.engines.timeouts = Timeouts(
-        stall=900.0, first=900.0
+        stall=900.0, headers=900.0
     )
     responses: list[CallerResponse] = []
 
@@ -195,7 +199,11 @@
     tokens = [token(index) for index in range(TOKENS)]
     first, _, last = closing()
     engine.scripts = [sends(opening(), *tokens, first, last)]
-    engine.truth = {"state": "finished", "prompt_tokens": 9, "completion_tokens": 6}
+    engine.attempt_status = {
+        "state": "finished",
+        "prompt_tokens": 9,
+        "completion_tokens": 6,
+    }
     assert (await bench.chat()).whole
     (outcome,) = bench.money.outcomes
     assert (outcome.state, outcome.charge) == (RequestState.COMPLETE, 15)
--- a/tests/callers/test_faults.py
+++ b/tests/callers/test_faults.py
@@ -79,7 +79,7 @@
     bench = make_bench()
     for name in ("e0", "e1"):
         bench.servers[name].scripts = [ONE_FAULT[fault]]
-        bench.servers[name].truth = {"state": "cancelled"}
+        bench.servers[name].attempt_status = {"state": "cancelled"}
     first = await chosen_first()
     other = "e1" if first == "e0" else "e0"
     bench.servers[other].scripts = []
@@ -153,7 +153,7 @@
     bench = make_bench()
     for name in ("e0", "e1"):
         bench.servers[name].scripts = [ONE_FAULT[fault]]
-        bench.servers[name].truth = {"state": state} if state else None
+        bench.servers[name].attempt_status = {"state": state} if state else None
         bench.app.backends.refresh()
         bench.app.backends.states[name].boot = bench.servers[name].boot
     response = await bench.chat()
@@ -175,7 +175,7 @@
     """
     bench = make_bench(make_document(engines=1))
     bench.servers["e0"].scripts = [fails(RESET)]
-    bench.servers["e0"].truth = {"state": "never_ran", "boot": "boot-2"}
+    bench.servers["e0"].attempt_status = {"state": "never_ran", "boot": "boot-2"}
     bench.app.backends.refresh()
     bench.app.backends.states["e0"].boot = "boot-1"
     response = await bench.chat()
@@ -235,7 +235,7 @@
     bench = make_bench()
     for name in ("e0", "e1"):
         bench.servers[name].scripts = [answers(500)]
-        bench.servers[name].truth = {"state": "cancelled"}
+        bench.servers[name].attempt_status = {"state": "cancelled"}
     for _ in range(50):
         await bench.chat()
     attempts = sum(len(bench.servers[name].calls) for name in ("e0", "e1"))
@@ -251,7 +251,11 @@
     bench = make_bench(make_document(engines=1))
     engine = bench.servers["e0"]
     engine.scripts = [sends(opening(), *ALL[:2], 1.0, *ALL[2:4], 1.0)]
-    engine.truth = {"state": "cancelled", "prompt_tokens": 9, "completion_tokens": 3}
+    engine.attempt_status = {
+        "state": "cancelled",
+        "prompt_tokens": 9,
+        "completion_tokens": 3,
+    }
     bench.gone_after = 2
     response = await bench.chat()
     assert not response.ended
@@ -273,7 +277,11 @@
     engine = bench.servers["e0"]
     slowly = [piece for each in ALL for piece in (each, 0.01)]
     engine.scripts = [sends(opening(), *slowly, *closing())]
-    engine.truth = {"state": "cancelled", "prompt_tokens": 9, "completion_tokens": 4}
+    engine.attempt_status = {
+        "state": "cancelled",
+        "prompt_tokens": 9,
+        "completion_tokens": 4,
+    }
     bench.slow_after = 1
     response = await bench.chat()
     assert not response.ended
--- a/tests/callers/test_loopback.py
+++ b/tests/callers/test_loopback.py
@@ -91,7 +91,7 @@
             running(build_service(ServiceProfile()))
         )
         fleet = FleetView(with_addresses(urls, service), version=1, domain="d0")
-        backends = Backends(fleet, rng=random.Random(1), poll_every=0.05)
+        backends = Backends(fleet, rng=random.Random(1), poll_interval=0.05)
         money = FakeMoney()
         app = CallersApp(money, fleet, backends)
         url = await stack.enter_async_context(running(cast("App", Served(app))))
--- a/tests/callers/test_random_faults.py
+++ b/tests/callers/test_random_faults.py
@@ -50,7 +50,7 @@
     rng = random.Random(seed)
     for name in ("e0", "e1", "e2", "e3"):
         bench.servers[name].scripts = [random_script(rng, fault_share)]
-        bench.servers[name].tells = True
+        bench.servers[name].reports_runs = True
     bench.app.backends.refresh()
     for state in bench.app.backends.states.values():
         state.boot = "boot-1"
--- a/tests/callers/test_stops.py
+++ b/tests/callers/test_stops.py
@@ -112,12 +112,12 @@
         tasks.start_soon(ask)
         await anyio.sleep(2.5)
         bench.app.fleet.leaving = frozenset({"e0"})
-        (held,) = bench.app.backends.holdings()
+        (held,) = bench.app.backends.draining_servers()
         assert [item.request for item in held.requests] == [
             bench.money.orders[0].request
         ]
     assert responses[0].whole
-    assert bench.app.backends.holdings()[0].requests == ()
+    assert bench.app.backends.draining_servers()[0].requests == ()
 
 
 async def test_engine_refuses_while_leaving() -> None:
--- a/tests/coordination/test_admission.py
+++ b/tests/coordination/test_admission.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from ebonyhold.coordination import AdmissionQueue, Share, Ticket
+from ebonyhold.coordination import AdmissionLimits, AdmissionQueue, Ticket
 
-ONE = Share(concurrency=100, queue=100)
+ONE = AdmissionLimits(concurrency=100, queue=100)
 
 
 def ticket(
@@ -38,14 +38,14 @@
         ),
         pytest.param(
             [("a", 0)] * 4 + [("b", 0)] * 4,
-            {"a": Share(weight=3)},
+            {"a": AdmissionLimits(weight=3)},
             4,
             [0, 4, 1, 2],
             id="by weight",
         ),
         pytest.param(
             [("a", 0), ("a", 0), ("b", 0)],
-            {"a": Share(concurrency=1)},
+            {"a": AdmissionLimits(concurrency=1)},
             3,
             [0, 2],
             id="bound of a workspace",
@@ -55,7 +55,7 @@
 )
 def test_order_of_starts(
     offers: list[tuple[str, int]],
-    shares: dict[str, Share],
+    shares: dict[str, AdmissionLimits],
     free: int,
     started: list[int],
 ) -> None:
@@ -73,7 +73,9 @@
     refused.  The single request of the second workspace starts after the first of them.
     """
     queue = AdmissionQueue()
-    refusals = [queue.offer(ticket(n, "a"), Share(queue=10), 0.0) for n in range(1000)]
+    refusals = [
+        queue.offer(ticket(n, "a"), AdmissionLimits(queue=10), 0.0) for n in range(1000)
+    ]
     assert sum(refused is None for refused in refusals) == 10
     assert all(refused.workspace_bound for refused in refusals if refused)
     assert queue.offer(ticket(1000, "b"), ONE, 0.0) is None
--- a/tests/coordination/test_bills.py
+++ b/tests/coordination/test_bills.py
@@ -10,49 +10,49 @@
     Bill,
     BudgetRow,
     ClaimAnswer,
+    FilingDecision,
     GrantRow,
     KeptAnswer,
     LedgerChange,
+    Observed,
     RequestKind,
     RequestRow,
     RequestState,
     RouterRow,
     RouterState,
-    Seen,
-    Verdict,
     decide_claim,
-    judge,
+    decide_filing,
     plan_settlement,
 )
 
 OPEN = RouterRow(RouterState.OPEN, "", "", 0.0)
-ROUTER = Seen("router/a.1", 1, OPEN)
+ROUTER = Observed("router/a.1", 1, OPEN)
 ROW = RequestRow(RequestState.RUNNING, RequestKind.CHAT, "a.1", "a.1~1~1", "e", "d")
 BILL = Bill("w", "r", "a.1~1~1", "e", "d", RequestKind.CHAT, RequestState.COMPLETE, 40)
 S = RequestState
 
 
 @pytest.mark.parametrize(
-    ("row", "attempt", "bill", "verdict"),
+    ("row", "attempt", "bill", "decision"),
     [
-        (None, "", S.COMPLETE, Verdict.FILE),
-        (None, "", S.NOT_RUN, Verdict.FILE),
-        (S.RUNNING, "a.1~1~1", S.NOT_RUN, Verdict.FILE),
-        (S.RUNNING, "b.1~9~1", S.NOT_RUN, Verdict.LEAVE),
-        (S.RUNNING, "b.1~9~1", S.COMPLETE, Verdict.FILE),
-        (S.COMPLETE, "b.1~9~1", S.COMPLETE, Verdict.LEAVE),
-        (S.COMPLETE, "b.1~9~1", S.UNKNOWN, Verdict.LEAVE),
-        (S.INTERRUPTED, "b.1~9~1", S.COMPLETE, Verdict.AMEND),
-        (S.UNKNOWN, "a.1~1~1", S.INTERRUPTED, Verdict.AMEND),
-        (S.NOT_RUN, "b.1~9~1", S.UNKNOWN, Verdict.AMEND),
-        (S.NOT_RUN, "b.1~9~1", S.NOT_RUN, Verdict.LEAVE),
+        (None, "", S.COMPLETE, FilingDecision.FILE),
+        (None, "", S.NOT_RUN, FilingDecision.FILE),
+        (S.RUNNING, "a.1~1~1", S.NOT_RUN, FilingDecision.FILE),
+        (S.RUNNING, "b.1~9~1", S.NOT_RUN, FilingDecision.LEAVE),
+        (S.RUNNING, "b.1~9~1", S.COMPLETE, FilingDecision.FILE),
+        (S.COMPLETE, "b.1~9~1", S.COMPLETE, FilingDecision.LEAVE),
+        (S.COMPLETE, "b.1~9~1", S.UNKNOWN, FilingDecision.LEAVE),
+        (S.INTERRUPTED, "b.1~9~1", S.COMPLETE, FilingDecision.AMEND),
+        (S.UNKNOWN, "a.1~1~1", S.INTERRUPTED, FilingDecision.AMEND),
+        (S.NOT_RUN, "b.1~9~1", S.UNKNOWN, FilingDecision.AMEND),
+        (S.NOT_RUN, "b.1~9~1", S.NOT_RUN, FilingDecision.LEAVE),
     ],
 )
 def test_how_a_bill_is_filed(
-    row: RequestState | None, attempt: str, bill: RequestState, verdict: Verdict
+    row: RequestState | None, attempt: str, bill: RequestState, decision: FilingDecision
 ) -> None:
     old = evolve(ROW, state=row, attempt=attempt) if row else None
-    assert judge(old, evolve(BILL, state=bill)) is verdict
+    assert decide_filing(old, evolve(BILL, state=bill)) is decision
 
 
 @pytest.mark.parametrize(
@@ -74,9 +74,9 @@
     Outstanding tokens fall by what the grant pays.  Spent tokens change by the
     difference between the new and the old charge in the request's row.
     """
-    budget = Seen("budget/w", 3, BudgetRow(1000, held, 500))
-    grant = Seen("grant/a.1/w", 2, GrantRow(drawn=held, sequence=4))
-    request = Seen(BILL.key, 1 if old else 0, old)
+    budget = Observed("budget/w", 3, BudgetRow(1000, held, 500))
+    grant = Observed("grant/a.1/w", 2, GrantRow(drawn=held, sequence=4))
+    request = Observed(BILL.key, 1 if old else 0, old)
     plan = plan_settlement(
         "a.1", ROUTER, budget, grant, {BILL.key: request}, LedgerChange((BILL,)), 9.0
     )
@@ -101,8 +101,8 @@
 def test_draws_and_returns_stay_within_bounds(
     draw: int, give_back: int, drawn: int, returned: int
 ) -> None:
-    budget = Seen("budget/w", 3, BudgetRow(1000, 100, 500))
-    grant = Seen("grant/a.1/w", 2, GrantRow(drawn=100))
+    budget = Observed("budget/w", 3, BudgetRow(1000, 100, 500))
+    grant = Observed("grant/a.1/w", 2, GrantRow(drawn=100))
     change = LedgerChange(draw=draw, give_back=give_back)
     plan = plan_settlement("a.1", ROUTER, budget, grant, {}, change, 9.0)
     assert (plan.drawn, plan.returned) == (drawn, returned)
@@ -110,8 +110,8 @@
 
 
 def test_first_draw_checks_that_there_is_no_grant() -> None:
-    grant: Seen[GrantRow] = Seen("grant/a.1/w")
-    budget = Seen("budget/w", 3, BudgetRow(1000))
+    grant: Observed[GrantRow] = Observed("grant/a.1/w")
+    budget = Observed("budget/w", 3, BudgetRow(1000))
     plan = plan_settlement("a.1", ROUTER, budget, grant, {}, LedgerChange(draw=1), 9.0)
     assert Absent("grant/a.1/w") in plan.transaction.checks
     assert ROUTER.check in plan.transaction.checks
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -8,17 +8,17 @@
     Absent,
     AtVersion,
     HeldLease,
+    LeaseObservation,
     LeasePlan,
     LeaseRow,
-    LeaseSighting,
     Put,
     Row,
+    observe_lease,
     parse_lease,
     plan_acquire,
     plan_release,
     plan_renew,
     resolve_lease,
-    sight_lease,
     to_json,
 )
 
@@ -33,7 +33,7 @@
 def acquire(current: Row | None, since: float | None, now: float) -> LeasePlan | None:
     observation = None
     if current is not None and since is not None:
-        observation = LeaseSighting(current.version, since)
+        observation = LeaseObservation(current.version, since)
     return plan_acquire("orders", "b.1", current, observation, LENGTH, now)
 
 
@@ -58,9 +58,9 @@
 
 
 def test_an_observed_renewal_restarts_the_wait() -> None:
-    first = sight_lease(None, row("a.1", 1, 1), 0.0)
-    assert sight_lease(first, row("a.1", 1, 1), 9.0) == first
-    assert sight_lease(first, row("a.1", 1, 2), 9.0) == LeaseSighting(2, 9.0)
+    first = observe_lease(None, row("a.1", 1, 1), 0.0)
+    assert observe_lease(first, row("a.1", 1, 1), 9.0) == first
+    assert observe_lease(first, row("a.1", 1, 2), 9.0) == LeaseObservation(2, 9.0)
 
 
 def test_the_holder_stops_acting_before_others_may_take_it() -> None:
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -38,7 +38,9 @@
 
 
 def others(fleet: BeatFleet) -> list[Node]:
-    return [node for node in fleet.running() if node.membership.me.router != VICTIM]
+    return [
+        node for node in fleet.running() if node.membership.own_update.router != VICTIM
+    ]
 
 
 def statuses_of(fleet: BeatFleet, router: str = VICTIM) -> set[MemberStatus]:
@@ -108,18 +110,18 @@
         membership.receive(sender, beat, now)
         now = max(now + 0.1, membership.wake_at)
         membership.tick(now)
-    assert membership.me.status is MemberStatus.ALIVE
+    assert membership.own_update.status is MemberStatus.ALIVE
     assert "me.1" not in membership.view.members
     assert membership.view.present_count == len(membership.view.present())
     assert membership.wake_at > now
-    membership.gone(now + 1e4)
+    membership.recoverable(now + 1e4)
 
 
 @pytest.mark.parametrize("size", [2, 3, 9, 30])
 def test_all_routers_of_a_fleet_find_each_other(size: int) -> None:
     fleet = converged(size)
     assert all(len(n.membership.alive()) == size - 1 for n in fleet.running())
-    assert sum(n.membership.suspicions for n in fleet.running()) == 0
+    assert sum(n.membership.suspicion_count for n in fleet.running()) == 0
 
 
 def test_a_crashed_router_is_declared_gone_everywhere() -> None:
@@ -133,9 +135,9 @@
     fleet.run(fleet.now + 25.0)
     assert statuses_of(fleet) == {MemberStatus.GONE}
     fleet.run(fleet.now + 60.0)
-    assert {n.membership.gone(fleet.now) for n in others(fleet)} == {(VICTIM,)}
+    assert {n.membership.recoverable(fleet.now) for n in others(fleet)} == {(VICTIM,)}
     chosen = {
-        responsible(VICTIM, [n.membership.me.router, *n.membership.alive()])
+        responsible(VICTIM, [n.membership.own_update.router, *n.membership.alive()])
         for n in others(fleet)
     }
     assert len(chosen) == 1
@@ -154,12 +156,12 @@
         if unlisted:
             entries = [Listed(str(n), address(n)) for n in range(SIZE) if n != 1]
             for node in others(fleet):
-                node.membership.read_list(entries)
+                node.membership.update_list(entries)
         start = fleet.now
         while statuses_of(fleet) != {MemberStatus.GONE}:
             fleet.run(fleet.now + 0.5)
         times.append(fleet.now - start)
-        recovered = {n.membership.gone(fleet.now) for n in others(fleet)}
+        recovered = {n.membership.recoverable(fleet.now) for n in others(fleet)}
         assert recovered == ({(VICTIM,)} if unlisted else {()})
     assert times[1] < 0.7 * times[0]
 
@@ -181,7 +183,7 @@
     assert (MemberStatus.GONE in statuses_of(fleet)) == declared_gone
     fleet.run(fleet.now + 30.0)
     assert statuses_of(fleet) == {MemberStatus.ALIVE}
-    assert victim.membership.suspicions == 0
+    assert victim.membership.suspicion_count == 0
     assert len(victim.membership.alive()) == SIZE - 1
 
 
@@ -212,8 +214,8 @@
     fleet.run(fleet.now + 700.0)
     isolated = fleet.nodes[address(1)].membership
     assert isolated.alive() == ()
-    assert isolated.gone(fleet.now) == ()
-    assert {n.membership.gone(fleet.now) for n in others(fleet)} == {(VICTIM,)}
+    assert isolated.recoverable(fleet.now) == ()
+    assert {n.membership.recoverable(fleet.now) for n in others(fleet)} == {(VICTIM,)}
 
 
 def test_a_new_incarnation_replaces_the_previous_one() -> None:
@@ -229,7 +231,7 @@
     fleet.run(fleet.now + 10.0)
     assert statuses_of(fleet) == {MemberStatus.GONE}
     assert statuses_of(fleet, "1.2") == {MemberStatus.ALIVE}
-    recovered = {n.membership.gone(fleet.now) for n in fleet.running()}
+    recovered = {n.membership.recoverable(fleet.now) for n in fleet.running()}
     assert recovered <= {(VICTIM,), ()}
     assert (VICTIM,) in recovered
 
@@ -246,14 +248,14 @@
     fleet.run(fleet.now + 5.0)
     assert statuses_of(fleet) == {MemberStatus.LEAVING}
     assert all(VICTIM not in n.membership.alive() for n in others(fleet))
-    assert sum(n.membership.suspicions for n in fleet.running()) == 0
+    assert sum(n.membership.suspicion_count for n in fleet.running()) == 0
 
 
 def test_a_router_listed_as_leaving_gets_no_requests() -> None:
     fleet = converged()
     entries = [Listed(str(n), address(n), leaving=n == 1) for n in range(SIZE)]
     for node in others(fleet):
-        node.membership.read_list(entries)
+        node.membership.update_list(entries)
         assert VICTIM not in node.membership.alive()
 
 
@@ -290,11 +292,11 @@
     large = fleet.nodes[address(8)].membership
     fleet.run(fleet.now + 120.0)
     assert len(large.alive()) == 5
-    assert large.gone(fleet.now) == ()
+    assert large.recoverable(fleet.now) == ()
     fleet.run(fleet.now + 300.0)
-    assert set(large.gone(fleet.now)) == {"0.1", "1.1", "2.1"}
+    assert set(large.recoverable(fleet.now)) == {"0.1", "1.1", "2.1"}
     small = fleet.nodes[address(0)].membership
-    assert small.gone(fleet.now) == ()
+    assert small.recoverable(fleet.now) == ()
 
 
 @pytest.mark.parametrize(
--- a/tests/coordination/test_rates.py
+++ b/tests/coordination/test_rates.py
@@ -11,12 +11,12 @@
     BreakerPolicy,
     BreakerState,
     CircuitBreaker,
-    FairTurns,
+    FairScheduler,
     RetryBudget,
     TokenBucket,
 )
 
-POLICY = BreakerPolicy(least_calls=4, open_for=1.0, max_open_for=3.0)
+POLICY = BreakerPolicy(min_calls=4, open_for=1.0, max_open_for=3.0)
 
 
 def opened(at: float = 0.0) -> CircuitBreaker:
@@ -119,7 +119,7 @@
 
 
 def test_turns_follow_the_weights() -> None:
-    turns = FairTurns({"bills": 3.0, "heartbeats": 1.0})
+    turns = FairScheduler({"bills": 3.0, "heartbeats": 1.0})
     chosen: Counter[str] = Counter()
     for _ in range(400):
         chosen_class = turns.choose(("bills", "heartbeats"))
@@ -129,7 +129,7 @@
 
 
 def test_idle_class_does_not_catch_up() -> None:
-    turns = FairTurns({"a": 1.0, "b": 1.0})
+    turns = FairScheduler({"a": 1.0, "b": 1.0})
     for _ in range(100):
         turns.charge("a", 1.0)
     chosen = []
--- a/tests/coordination/test_request_decisions.py
+++ b/tests/coordination/test_request_decisions.py
@@ -16,7 +16,7 @@
     PlannedStop,
     PrefixIndex,
     choice_policies,
-    holdings,
+    draining_servers,
     is_stopped,
     make_choice_policy,
     prefix_hashes,
@@ -45,7 +45,7 @@
 def test_requests_that_a_leaving_server_must_finish() -> None:
     running = [InProgress("late", "e1", 5.0), InProgress("early", "e1", 2.0)]
     running.append(InProgress("other", "e2", 1.0))
-    first, second = holdings(["e1", "e3"], running)
+    first, second = draining_servers(["e1", "e3"], running)
     assert [item.request for item in first.requests] == ["early", "late"]
     assert second.requests == ()
 
@@ -98,7 +98,7 @@
     A plain service is not polled, so only a request can show that the service has
     restarted.  Its ejection gets longer with each failed request, up to a maximum.
     """
-    ejector = Ejector(EjectionPolicy(lost=2, first=1.0, most_lost=3.0))
+    ejector = Ejector(EjectionPolicy(lost=2, first_duration=1.0, max_unreachable=3.0))
     spans = []
     for now in (0.0, 10.0, 20.0, 30.0):
         assert "e0" not in ejector.ejected(NINE, now)
@@ -110,7 +110,7 @@
 
 
 def test_ejections_end_and_grow_longer() -> None:
-    ejector = Ejector(EjectionPolicy(errors=2, first=1.0, most=3.0))
+    ejector = Ejector(EjectionPolicy(errors=2, first_duration=1.0, max_duration=3.0))
     ejector.failed("e0", 0.0)
     assert ejector.ejected(NINE, 0.0) == frozenset()
     spans = []
@@ -155,7 +155,7 @@
 BUSY = Candidate("busy", 16, reported=14)
 FULL = Candidate("full", 16, reported=16, own_at_report=1, own=9)
 WARM = Candidate("warm", 16, reported=3, reuse=800)
-NEED = Need(prompt=1000, most=100)
+NEED = Need(prompt=1000, max_tokens=100)
 
 
 @pytest.mark.parametrize(
--- a/tests/coordination/test_unmet_routers.py
+++ b/tests/coordination/test_unconfirmed_routers.py
@@ -40,7 +40,7 @@
     if listed:
         entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE + 1)]
         for node in fleet.running():
-            node.membership.read_list(entries)
+            node.membership.update_list(entries)
     fleet.run(20.0)
     return fleet
 
@@ -54,11 +54,11 @@
     """
     fleet = converged(listed)
     for node in fleet.running()[:readers]:
-        node.membership.read_row(row(UNCONFIRMED), fleet.now)
+        node.membership.add_row(row(UNCONFIRMED), fleet.now)
         assert UNCONFIRMED not in node.membership.alive()
     fleet.run(fleet.now + SOON)
     for node in fleet.running()[:readers]:
-        assert node.membership.gone(fleet.now) == (UNCONFIRMED,)
+        assert node.membership.recoverable(fleet.now) == (UNCONFIRMED,)
         assert node.membership.may_recover(UNCONFIRMED, 0.0, fleet.now)
 
 
@@ -68,10 +68,10 @@
     others = fleet.running()
     entries = [Listed(f"{n}", f"10.0.0.{n}:7300") for n in range(SIZE + 1)]
     fleet.add("9", 1, entries)
-    others[0].membership.read_row(row(UNCONFIRMED), fleet.now)
+    others[0].membership.add_row(row(UNCONFIRMED), fleet.now)
     fleet.run(fleet.now + SOON)
     assert all(UNCONFIRMED in node.membership.alive() for node in others)
-    assert all(node.membership.gone(fleet.now) == () for node in others)
+    assert all(node.membership.recoverable(fleet.now) == () for node in others)
 
 
 def test_leaving_unconfirmed_router_is_not_recovered() -> None:
@@ -80,10 +80,10 @@
     leaving = fleet.add("9", 1, [])
     leaving.membership.leave()
     reader = fleet.running()[0].membership
-    reader.read_row(row(UNCONFIRMED), fleet.now)
+    reader.add_row(row(UNCONFIRMED), fleet.now)
     fleet.run(fleet.now + SOON)
     assert reader.view.members[UNCONFIRMED].update.status is MemberStatus.LEAVING
-    assert reader.gone(fleet.now) == ()
+    assert reader.recoverable(fleet.now) == ()
 
 
 def test_introduction_takes_effect_immediately() -> None:
@@ -91,7 +91,7 @@
     fleet = converged()
     joined = fleet.add("9", 1, [])
     for n in range(SIZE):
-        joined.membership.read_row(row(f"{n}.1"), fleet.now)
+        joined.membership.add_row(row(f"{n}.1"), fleet.now)
     fleet.send("10.0.0.9:7300", joined, joined.membership.introduce())
     fleet.run(fleet.now + 0.1)
     informed = [
@@ -106,9 +106,9 @@
     side = {f"10.0.0.{n}:7300" for n in range(3)}
     fleet.cut = lambda sender, receiver: (sender in side) != (receiver in side)
     large = fleet.running()[-1].membership
-    large.read_row(row(UNCONFIRMED), fleet.now)
+    large.add_row(row(UNCONFIRMED), fleet.now)
     fleet.run(fleet.now + 2 * SOON)
-    assert large.gone(fleet.now) == ()
+    assert large.recoverable(fleet.now) == ()
 
 
 def test_isolated_new_router_recovers_no_rows() -> None:
@@ -120,10 +120,10 @@
     fleet.cut = lambda sender, receiver: "10.0.0.1:7300" in (sender, receiver)
     isolated = fleet.nodes["10.0.0.1:7300"].membership
     for n in range(2, SIZE):
-        isolated.read_row(row(f"{n}.1"), 0.0)
+        isolated.add_row(row(f"{n}.1"), 0.0)
     for _ in range(10):
         fleet.run(fleet.now + SOON)
-        assert isolated.gone(fleet.now) == ()
+        assert isolated.recoverable(fleet.now) == ()
 
 
 @pytest.mark.parametrize(
@@ -156,10 +156,10 @@
     fleet.run(fleet.now + SOON)
     survivors = fleet.running()
     for node in survivors:
-        node.membership.read_row(row("1.2", 2), fleet.now)
+        node.membership.add_row(row("1.2", 2), fleet.now)
     fleet.run(fleet.now + SOON)
     for node in survivors:
-        assert set(node.membership.gone(fleet.now)) == {"1.1", "1.2"}
+        assert set(node.membership.recoverable(fleet.now)) == {"1.1", "1.2"}
 
 
 def test_routers_find_each_other_despite_rows_of_predecessors() -> None:
@@ -173,12 +173,14 @@
     for entry in entries:
         started = fleet.add(entry.name, 2, entries).membership
         for n in range(SIZE):
-            started.read_row(row(f"{n}.1"), 0.0)
+            started.add_row(row(f"{n}.1"), 0.0)
     fleet.run(5.0)
     for node in fleet.running():
         assert len(node.membership.alive()) == SIZE - 1
-        others = {f"{n}.1" for n in range(SIZE)} - {f"{node.membership.me.name}.1"}
-        assert set(node.membership.gone(fleet.now)) == others
+        others = {f"{n}.1" for n in range(SIZE)} - {
+            f"{node.membership.own_update.name}.1"
+        }
+        assert set(node.membership.recoverable(fleet.now)) == others
 
 
 def test_rows_do_not_count_as_present_members() -> None:
--- a/tests/daemon/stopkit.py
+++ b/tests/daemon/stopkit.py
@@ -28,8 +28,8 @@
 from tests.callers.kit import KEY, Bench, FakeMoney, make_bench, make_document
 from tests.daemon.kit import LOOPBACK
 
-PATIENCE: Seconds = 20.0
-LOOK: Seconds = 0.01
+TIMEOUT: Seconds = 20.0
+POLL_INTERVAL: Seconds = 0.01
 CHAT = json.dumps(
     {"model": "assistant", "messages": [{"role": "user", "content": "is it dry"}]}
 ).encode()
@@ -138,7 +138,7 @@
     async def answer(self) -> Answer:
         """Read one answer, or the part received before the connection ended."""
         answer = Answer()
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT):
             while b"\r\n\r\n" not in self.buffer:
                 if not await self.more():
                     return answer
@@ -252,17 +252,17 @@
 
     async def wait_listening(self) -> None:
         """Wait until callers can connect."""
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT):
             while True:
                 try:
                     async with self.caller():
                         return
                 except OSError:
-                    await anyio.sleep(LOOK)
+                    await anyio.sleep(POLL_INTERVAL)
 
 
 @asynccontextmanager
-async def running_router(drain: Seconds = PATIENCE) -> AsyncIterator[Router]:
+async def running_router(drain: Seconds = TIMEOUT) -> AsyncIterator[Router]:
     """Run a router during the block; stop it after the block, and wait for its end.
 
     Args:
@@ -281,14 +281,14 @@
         await router.wait_listening()
         yield router
         lifecycle.stop_requested.set()
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT):
             await router.gone.wait()
     # If the listener is cancelled, this task group ends without an error.
     assert router.gone.is_set()
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until the condition holds, for at most `PATIENCE`."""
-    with anyio.fail_after(PATIENCE):
+    """Wait until the condition holds, for at most `TIMEOUT`."""
+    with anyio.fail_after(TIMEOUT):
         while not condition():  # noqa: ASYNC110 - there is no event to wait for
-            await anyio.sleep(LOOK)
+            await anyio.sleep(POLL_INTERVAL)
--- a/tests/daemon/test_status.py
+++ b/tests/daemon/test_status.py
@@ -42,7 +42,7 @@
     """One fake for all components from which the status is collected.
 
     Attributes:
-        me: The incarnation of the router.
+        router: The incarnation of the router.
         journal: Anything if the router is registered, else None.
         sealed: Whether the incarnation was sealed.
         held: The grants of the router.
@@ -56,7 +56,7 @@
         stranded: Stranded tokens by incarnation.
     """
 
-    me: RouterId = OWN
+    router: RouterId = OWN
     journal: object | None = "journal"
     sealed: bool = False
     held: tuple[GrantStatus, ...] = ()
--- a/tests/daemon/test_stop_sockets.py
+++ b/tests/daemon/test_stop_sockets.py
@@ -12,16 +12,16 @@
 import pytest
 from attrs import frozen
 
-from ebonyhold.callers import _app, _flight
-from ebonyhold.daemon import _door, _lifecycle, _servers
+from ebonyhold.callers import _app, _open_request
+from ebonyhold.daemon import _connections, _lifecycle, _servers
 from ebonyhold.types import Seconds
 from tests.backends.kit import Engine, good, whole_body
 from tests.callers.kit import KEY
 from tests.daemon.stopkit import (
     CHAT,
-    LOOK,
-    PATIENCE,
+    POLL_INTERVAL,
     STREAM,
+    TIMEOUT,
     Answer,
     HeldScript,
     Router,
@@ -47,8 +47,8 @@
 @pytest.fixture(autouse=True)
 def short_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(_lifecycle, "UNREADY_GRACE", SHORT)
-    monkeypatch.setattr(_door, "LATE_READ_TIME", SHORT / 10)
-    monkeypatch.setattr(_flight, "LAST_PATIENCE", SHORT)
+    monkeypatch.setattr(_connections, "LATE_READ_TIME", SHORT / 10)
+    monkeypatch.setattr(_open_request, "STOP_GRACE", SHORT)
 
 
 @asynccontextmanager
@@ -239,7 +239,7 @@
                 answer = await caller.answer()
         if not answer.whole:
             unanswered.append(anyio.current_time())
-        await anyio.sleep(LOOK)
+        await anyio.sleep(POLL_INTERVAL)
 
 
 @pytest.mark.parametrize("reads", [True, False], ids=["slow", "never"])
@@ -254,7 +254,7 @@
     closes must not hang or cut the slow caller's answer.
     """
     monkeypatch.setattr(_servers, "GRACE", 3 * CLOSED_TIME)
-    monkeypatch.setattr(_app, "INTERRUPT_WITHIN", SHORT)
+    monkeypatch.setattr(_app, "INTERRUPT_TIMEOUT", SHORT)
     async with running_router(SHORT) as router, anyio.create_task_group() as tasks:
         router.script(answer_large)
         unanswered: list[Seconds] = []
@@ -270,7 +270,7 @@
                 answer = await slow.answer()
                 assert answer.whole
                 assert answer.status == HTTPStatus.OK
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(TIMEOUT):
                 await router.gone.wait()
         ended = anyio.current_time()
     assert [ended - at for at in unanswered if ended - at > CLOSED_TIME] == []
@@ -325,7 +325,7 @@
     A caller with an open connection can't know of the close. Its request is still read
     and refused as not run, and reaches no backend server.
     """
-    monkeypatch.setattr(_door, "LATE_READ_TIME", 3 * SHORT)
+    monkeypatch.setattr(_connections, "LATE_READ_TIME", 3 * SHORT)
     async with running_router(SHORT) as router, router.caller() as caller:
         await caller.send(kind.before)
         for _ in range(kind.answers):
@@ -349,7 +349,7 @@
     The head arrives within `LATE_READ_TIME`, and the body in the next 0.4 seconds. The
     connection must stay open until the caller has read the refusal.
     """
-    monkeypatch.setattr(_door, "LATE_READ_TIME", SHORT)
+    monkeypatch.setattr(_connections, "LATE_READ_TIME", SHORT)
     async with running_router(SHORT) as router, router.caller() as caller:
         await caller.send(MODELS)
         assert (await caller.answer()).whole
--- a/tests/forwarding/kit.py
+++ b/tests/forwarding/kit.py
@@ -16,7 +16,7 @@
     CallerLimits,
     CallerListener,
     ChannelPool,
-    FleetRetries,
+    FleetRetryBudget,
     Forwarder,
     RetryRules,
     Route,
@@ -36,7 +36,7 @@
 
 def route(name: str, kind: RouteKind, **more: object) -> Route:
     """Return a route for the test rules."""
-    known: dict[str, object] = {"timeout": 2.0, "target": 0.1, "most_attempts": 2}
+    known: dict[str, object] = {"timeout": 2.0, "target": 0.1, "max_attempts": 2}
     return Route(
         name,
         "h.example",
@@ -243,10 +243,10 @@
             dialect=PlatformDialect(),
             backends=table,
             pool=ChannelPool(tasks),
-            retries=FleetRetries(RetryRules(0.2, extra_retries, 10.0), lambda: 1),
+            retries=FleetRetryBudget(RetryRules(0.2, extra_retries, 10.0), lambda: 1),
             rules=rules,
-            purse=lambda workspace: hold,
-            ended=lambda name, outcome, duration: ended.append((name, outcome)),
+            open_hold=lambda workspace: hold,
+            on_end=lambda name, outcome, duration: ended.append((name, outcome)),
         )
         port = free_port()
         callers = CallerListener(
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -10,7 +10,7 @@
     BackendState,
     BackendTable,
     CallerRequest,
-    FleetRetries,
+    FleetRetryBudget,
     NoRouteError,
     RetryRules,
     ServiceShare,
@@ -241,7 +241,7 @@
     Together the routers stay within the shared budget without coordinating.
     """
     budget = RetryRules(ratio=0.2, extra=58.0, window=10.0)
-    fleet = [FleetRetries(budget, lambda: routers) for _ in range(routers)]
+    fleet = [FleetRetryBudget(budget, lambda: routers) for _ in range(routers)]
     requests = retries = 0
     for tick in range(100):
         for router in fleet:
@@ -253,7 +253,7 @@
 
 def test_retries_are_allowed_again_after_the_window() -> None:
     """All 7 retries of a window of 10 s are used; after 10 s, one is allowed again."""
-    retries = FleetRetries(RetryRules(0.0, 10.0, 10.0), lambda: 1)
+    retries = FleetRetryBudget(RetryRules(0.0, 10.0, 10.0), lambda: 1)
     assert sum(retries.take("svc", 0.0) for _ in range(20)) == 7
     assert not retries.take("svc", 9.9)
     assert retries.take("svc", 10.1)
--- a/tests/forwarding/test_pool.py
+++ b/tests/forwarding/test_pool.py
@@ -68,7 +68,7 @@
     while True:
         channel = await pool.get("i-1", (LOOPBACK, port))
         await anyio.sleep(rng.choice((0, 0, 0.001, 0.003)))
-        if channel.is_quiet():
+        if channel.is_idle():
             channel.usable_until = anyio.current_time() + rng.choice((0.002, 9.0))
             await pool.put("i-1", channel)
         else:
@@ -86,7 +86,7 @@
     another one that the sweep is to remove. If the sweep then fails with
     "list.remove(x): x not in list", it ends the router's process with all its requests.
     """
-    monkeypatch.setattr(_pool, "SWEEP", 0.001)
+    monkeypatch.setattr(_pool, "SWEEP_INTERVAL", 0.001)
     rng = random.Random(seed)
     server = ClosingServer()
     async with anyio.create_task_group() as tasks:
@@ -112,7 +112,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The sweep removes a connection from the pool before it closes it."""
-    monkeypatch.setattr(_pool, "SWEEP", 0.001)
+    monkeypatch.setattr(_pool, "SWEEP_INTERVAL", 0.001)
     server = ClosingServer()
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
--- a/tests/forwarding/test_departure.py
+++ b/tests/forwarding/test_shutdown.py
@@ -8,10 +8,10 @@
 import pytest
 
 from ebonyhold.forwarding import (
-    Departure,
     LateRequest,
     RouteKind,
     RouteTimes,
+    Shutdown,
     Stage,
     accepts_late,
 )
@@ -156,24 +156,24 @@
 
 async def test_serving_router_accepts_everything() -> None:
     """Before a shutdown, a request is accepted and not counted as late."""
-    judged: list[bool] = []
-    departure = Departure(judged=judged.append)
-    assert departure.admits("r", STREAM, priced=True, received_at=anyio.current_time())
-    assert judged == []
+    accepted: list[bool] = []
+    shutdown = Shutdown(on_late_request=accepted.append)
+    assert shutdown.admits("r", STREAM, priced=True, received_at=anyio.current_time())
+    assert accepted == []
 
 
 async def test_late_requests_are_counted() -> None:
-    """Accepted and refused late requests are counted and passed to `judged`."""
-    judged: list[bool] = []
-    departure = Departure(judged=judged.append)
-    departure.begin(anyio.current_time() + 5.0)
-    assert departure.admits("r1", STREAM, priced=True, received_at=anyio.current_time())
-    departure.stage = Stage.LEAVING
-    assert not departure.admits(
+    """Accepted and refused late requests are counted and passed to the callback."""
+    accepted: list[bool] = []
+    shutdown = Shutdown(on_late_request=accepted.append)
+    shutdown.begin(anyio.current_time() + 5.0)
+    assert shutdown.admits("r1", STREAM, priced=True, received_at=anyio.current_time())
+    shutdown.stage = Stage.LEAVING
+    assert not shutdown.admits(
         "r2", STREAM, priced=True, received_at=anyio.current_time()
     )
-    assert judged == [True, False]
-    assert (departure.taken, departure.refused) == (1, 1)
+    assert accepted == [True, False]
+    assert (shutdown.taken, shutdown.refused) == (1, 1)
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["open before", "taken late"])
@@ -183,18 +183,18 @@
     A request is cancelled at the time of the last answer, whether it began before or
     after the signal. If no part of its answer was sent, the caller then gets an error.
     """
-    departure = Departure()
+    shutdown = Shutdown()
     began = anyio.current_time()
 
     async def stop() -> None:
-        departure.begin(began + 2.0)
+        shutdown.begin(began + 2.0)
 
     async with anyio.create_task_group() as tasks:
         if late:
             await stop()
         else:
             tasks.start_soon(stop)
-        with departure.bounded(began + 60.0):
+        with shutdown.bounded(began + 60.0):
             await anyio.sleep(30.0)
     assert anyio.current_time() - began == pytest.approx(2.0, abs=0.01)
-    assert departure.scopes == set()
+    assert shutdown.scopes == set()
--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -28,7 +28,7 @@
     Changes,
     Gateway,
     GatewaySettings,
-    Peers,
+    PlatformAdapter,
     Snapshot,
     _gateway,
     _signals,
@@ -244,7 +244,7 @@
         settings = GatewaySettings(
             "vm-1", "a", ("h", 1), ("h", 2), "h", ("h", 3), grace=GRACE
         )
-        peers = Peers(
+        peers = PlatformAdapter(
             settings=settings,
             dialect=PlatformDialect(),
             store=self.store,
@@ -488,8 +488,8 @@
         if row is None:
             return []
         budget = from_json(row.value, PrepaidRow).budget
-        account = self.gateway.treasury.accounts[name]
-        charged = account.grant.charged
+        grant = self.gateway.treasury.grants[name]
+        charged = grant.state.charged
         violations = []
         if budget.outstanding:
             violations.append(f"{name}: {budget.outstanding} were not returned")
@@ -539,7 +539,7 @@
         patch.setattr(core, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
         core._r.seed(seed)
         random.seed(seed)
-        patch.setattr(_pool, "SWEEP", SWEEP_INTERVAL)
+        patch.setattr(_pool, "SWEEP_INTERVAL", SWEEP_INTERVAL)
         weaken(patch)
         return anyio.run(
             run_scenario, patch, backend="trio", backend_options={"clock": clock}
--- a/tests/gateway/test_explain.py
+++ b/tests/gateway/test_explain.py
@@ -70,10 +70,10 @@
     history = RowHistory()
     one = Router(history, "vm-1", "vm-1.a", [100_000])
     await one.renewals.step()
-    await one.account.hold(100, "r0")
-    one.account.reachable = False
+    await one.grant.hold(100, "r0")
+    one.grant.reachable = False
     with pytest.raises(BudgetUnreachableError):
-        await one.account.hold(90_000, "r1")
+        await one.grant.hold(90_000, "r1")
     text = explain("r1", lines)
     assert "grant changed" in text[0]
     assert "tokens refused: workspace=acme amount=90000" in text[-1]
--- a/tests/gateway/test_holds.py
+++ b/tests/gateway/test_holds.py
@@ -15,7 +15,7 @@
 from ebonyhold.forwarding import CallerLimits, CallerListener
 from ebonyhold.gateway import GatewayHolders, GatewayPeers, PeerHandler, TransferHandler
 from ebonyhold.misc import free_port
-from ebonyhold.prepaid import HoldOutcome, LentHolds, WantedHold
+from ebonyhold.prepaid import HoldOutcome, RemoteHolds, WantedHold
 from tests.gateway.test_transfers import HOST, POLL_INTERVAL, until_listening
 
 pytestmark = pytest.mark.anyio
@@ -56,7 +56,7 @@
     def find(name: str) -> FakeAccount | None:
         return account if name == "acme" else None
 
-    remote_holds = LentHolds(find, lambda: False)  # type: ignore[arg-type]
+    remote_holds = RemoteHolds(find, lambda: False)  # type: ignore[arg-type]
     handler = PeerHandler(TransferHandler(find), remote_holds)  # type: ignore[arg-type]
     listener = CallerListener(handler.serve, CallerLimits)
     async with anyio.create_task_group() as tasks:
--- a/tests/gateway/test_interleavings.py
+++ b/tests/gateway/test_interleavings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ebonyhold.forwarding import ChannelPool, _pool
-from ebonyhold.prepaid import Change, Grant
+from ebonyhold.prepaid import Change, GrantState
 from tests.gateway.interleaving import run_seed
 
 FEW = range(1, 4)
@@ -24,12 +24,12 @@
 
     async def sweep(self: ChannelPool) -> None:
         while True:
-            await anyio.sleep(_pool.SWEEP)
+            await anyio.sleep(_pool.SWEEP_INTERVAL)
             now = anyio.current_time()
             for name in list(self.unused):
                 channels = self.unused[name]
                 for channel in list(channels):
-                    if not channel.is_quiet() or now >= channel.usable_until:
+                    if not channel.is_idle() or now >= channel.usable_until:
                         channels.remove(channel)
                         await channel.close()
                 if not channels:
@@ -41,11 +41,11 @@
 def forget_changes_in_doubt(patch: pytest.MonkeyPatch) -> None:
     """Inject a fault: a change of a grant is forgotten if its answer is lost."""
 
-    async def send(self: Grant, change: Change) -> None:
+    async def send(self: GrantState, change: Change) -> None:
         committed = await self.store.commit(change.transaction)
         self.took_effect(change, committed)
 
-    patch.setattr(Grant, "send", send)
+    patch.setattr(GrantState, "send", send)
 
 
 @pytest.mark.parametrize("seed", FEW)
--- a/tests/gateway/test_listeners.py
+++ b/tests/gateway/test_listeners.py
@@ -15,7 +15,7 @@
 from ebonyhold.gateway._gateway import Gateway
 from ebonyhold.misc import free_port
 from tests.daemon.kit import LOOPBACK
-from tests.daemon.stopkit import LOOK, PATIENCE, Caller
+from tests.daemon.stopkit import POLL_INTERVAL, TIMEOUT, Caller
 
 pytestmark = pytest.mark.anyio
 
@@ -62,13 +62,13 @@
     @asynccontextmanager
     async def caller(self) -> AsyncIterator[Caller]:
         """Connect as soon as the listener is open."""
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT):
             while True:
                 try:
                     stream = await anyio.connect_tcp(LOOPBACK, self.port)
                     break
                 except OSError:
-                    await anyio.sleep(LOOK)
+                    await anyio.sleep(POLL_INTERVAL)
         async with stream:
             yield Caller(stream)
 
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -19,12 +19,12 @@
     EXIT_PORT,
     Gateway,
     GatewaySettings,
-    Peers,
+    PlatformAdapter,
     _gateway,
 )
 from ebonyhold.misc import free_port
 from ebonyhold.platform import PlatformDialect, read_backend, read_configuration
-from ebonyhold.prepaid import Account, Treasury
+from ebonyhold.prepaid import GrantManager, WorkspaceGrant
 from ebonyhold.standins import MemoryRows
 from tests.platform.test_documents import CONFIGURATION
 
@@ -60,7 +60,7 @@
         (HOST, 1),
         grace=GRACE,
     )
-    peers = Peers(
+    peers = PlatformAdapter(
         settings=settings,
         dialect=PlatformDialect(),
         store=MemoryRows(),
@@ -134,10 +134,10 @@
     requests.
     """
 
-    def broken(self: Treasury) -> None:
+    def broken(self: GrantManager) -> None:
         raise KeyError("acme")
 
-    monkeypatch.setattr(Treasury, "stock_unmet", broken)
+    monkeypatch.setattr(GrantManager, "open_grants_ahead", broken)
     caplog.set_level("INFO")
     tested = gateway()
     assert await tested.run() == EXIT_FAULT
@@ -153,10 +153,10 @@
     If the error ended the stop, all open requests would be cut.
     """
 
-    async def broken(self: Account) -> None:
+    async def broken(self: WorkspaceGrant) -> None:
         raise KeyError(self.workspace)
 
-    monkeypatch.setattr(Account, "round", broken)
+    monkeypatch.setattr(WorkspaceGrant, "reconcile", broken)
     caplog.set_level("INFO")
     tested = gateway()
     store = tested.platform.store
--- a/tests/gateway/test_renewals.py
+++ b/tests/gateway/test_renewals.py
@@ -106,7 +106,7 @@
     now = anyio.current_time()
     assert first.limits.limit("acme", now) == LIMIT.after(now - sent_at)
     await first.step()
-    assert first.limits.doubtful == []
+    assert first.limits.in_doubt == []
 
 
 async def test_late_renewal_is_recognised() -> None:
@@ -122,7 +122,7 @@
         await first.step()
     await store.faults.flush()
     await first.step()
-    assert first.limits.doubtful == [] and first.limits.confirmed is not None
+    assert first.limits.in_doubt == [] and first.limits.confirmed is not None
     assert first.limits.confirmed.number == first.limits.sent
 
 
@@ -174,7 +174,7 @@
         store.faults.pause()
         with anyio.fail_after(0.25):
             await first.renew_now()
-            assert first.in_touch()
+            assert first.is_store_reachable()
             store.faults.release()
             await first.renew_now()
         assert first.limits.confirmed is not None
@@ -194,7 +194,7 @@
         await first.started.wait()
         store.faults.answer_delay = 0.48
         await anyio.sleep(6.0)
-        assert first.in_touch()
+        assert first.is_store_reachable()
         tasks.cancel_scope.cancel()
 
 
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -19,8 +19,8 @@
     CallerConnection,
     CallerLimits,
     CallerListener,
-    Departure,
     RequestHead,
+    Shutdown,
     Stage,
 )
 from ebonyhold.gateway import GatewayStop
@@ -84,7 +84,7 @@
 
     work: float = 0.0
     port: int = field(factory=free_port)
-    departure: Departure = field(factory=Departure)
+    departure: Shutdown = field(factory=Shutdown)
     grants: SlowGrants = field(factory=SlowGrants)
     listener: CallerListener = field(init=False)
     served: list[bytes] = field(factory=list)
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -10,7 +10,7 @@
 
 from ebonyhold.coordination import Delete, Put, Transaction
 from ebonyhold.forwarding import BackendState
-from ebonyhold.gateway import Peers, RawRow, RoutingState, Watcher
+from ebonyhold.gateway import PlatformAdapter, RawRow, RoutingState, Watcher
 from ebonyhold.platform import PlatformDialect, read_backend, read_configuration
 from ebonyhold.standins import MemoryRows, RowHistory
 from tests.platform.test_documents import CONFIGURATION, ENTRY
@@ -23,7 +23,7 @@
 def routing_state(store: MemoryRows) -> RoutingState:
     """Return an empty routing state."""
     return RoutingState(
-        Peers(
+        PlatformAdapter(
             settings=None,  # type: ignore[arg-type]
             dialect=PlatformDialect(),
             store=store,
--- a/tests/golden/corpus.py
+++ b/tests/golden/corpus.py
@@ -79,7 +79,7 @@
 from ebonyhold.forwarding._exchange import AttemptEnd
 from ebonyhold.forwarding._refusals import Refusal
 from ebonyhold.forwarding._types import RouteKind
-from ebonyhold.gateway._holds import HoldAnswer, Settled, Settlements
+from ebonyhold.gateway._holds import HoldAnswer, Settlements, SettlementsAnswer
 from ebonyhold.gateway._presence import PresenceRow
 from ebonyhold.gateway._renewals import LimitsRow
 from ebonyhold.gateway._transfers import TransferAnswer
@@ -92,7 +92,7 @@
     RouterStatus,
 )
 from ebonyhold.prepaid import HoldOutcome, Predecessor, PrepaidRow, SpendingLimit
-from ebonyhold.prepaid._purse import WantedHold
+from ebonyhold.prepaid._request_hold import WantedHold
 from ebonyhold.routers import (
     ConfigurationReply,
     ConfigurationRequest,
@@ -324,7 +324,7 @@
     ),
     "hold-answer": HoldAnswer(outcome=HoldOutcome.EXHAUSTED),
     "settlements": Settlements(charges={"vm-1/5": 33}),
-    "settled": Settled(),
+    "settled": SettlementsAnswer(),
 }
 """What gateways tell each other, by label."""
 
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -41,9 +41,9 @@
     to_bytes,
     to_json,
 )
+from ebonyhold.coordination._observed import observe_row
 from ebonyhold.coordination._rows import JournalEntry, JournalSegment
-from ebonyhold.coordination._seen import seen
-from ebonyhold.daemon._daemon import AT_START, Daemon
+from ebonyhold.daemon._daemon import INITIAL_GUARD_POLICY, Daemon
 from ebonyhold.document import (
     Backend,
     Stop,
@@ -55,7 +55,7 @@
     to_yaml,
 )
 from ebonyhold.gateway._messages import read_message
-from ebonyhold.gateway._meters import GatewayMeters
+from ebonyhold.gateway._metrics import GatewayMetrics
 from ebonyhold.metrics import Metrics
 from ebonyhold.operators._errors import finding_to_json
 from ebonyhold.routers import Envelopes, KeyRing, PeerKey
@@ -74,7 +74,7 @@
 
 KEYS = (PeerKey("k2", b"\2" * 32), PeerKey("k1", b"\1" * 32))
 
-DECODERS = (from_json, from_bytes, read_row, seen, read_message)
+DECODERS = (from_json, from_bytes, read_row, observe_row, read_message)
 """The functions that are given the class of what they read."""
 
 OUTSIDE = ("experiments", "models", "standins")
@@ -363,7 +363,7 @@
 def render_metrics() -> bytes:
     """Return the names of all metrics, and the gauges made from counters."""
     daemon = SimpleNamespace(metrics=Metrics())
-    guard = Guard(AT_START)
+    guard = Guard(INITIAL_GUARD_POLICY)
     for priority in guard.counters:
         guard.counters[priority] = corpus.COUNTERS
     Daemon.set_platform_gauges(cast(Daemon, daemon), "table", guard)
@@ -374,7 +374,7 @@
 
 def render_gateway_metrics() -> bytes:
     """Return the names of all metrics of a gateway."""
-    lines = generate_latest(GatewayMeters().registry).splitlines(keepends=True)
+    lines = generate_latest(GatewayMetrics().registry).splitlines(keepends=True)
     return b"".join(line for line in lines if line.startswith(b"# TYPE"))
 
 
--- a/tests/money/chaos.py
+++ b/tests/money/chaos.py
@@ -19,7 +19,7 @@
 from ebonyhold.document import Policy
 from ebonyhold.exceptions import EbonyholdError, OutcomeUnknownError, PlatformError
 from ebonyhold.experiments._memory_fleet import MemoryFleet, order
-from ebonyhold.money import Order, Permit, Replay, Treasury, refund, top_up
+from ebonyhold.money import GrantManager, Order, Permit, Replay, refund, top_up
 from ebonyhold.standins import Faults, MemoryObjects, MemoryTable
 from tests.money.scenarios import check_bills, request
 
@@ -107,7 +107,7 @@
         except PlatformError:
             return
 
-    def some_router(self) -> Treasury | None:
+    def some_router(self) -> GrantManager | None:
         """Return a random running router; None if no router runs."""
         if not self.fleet.routers:
             return None
@@ -167,14 +167,14 @@
             return
         await self.run(manager, permit)
 
-    async def run(self, manager: Treasury, permit: Permit) -> None:
+    async def run(self, manager: GrantManager, permit: Permit) -> None:
         """Dispatch an attempt, sometimes after a long pause, and settle the request.
 
         Nothing is settled if the router stops before the attempt ends.
         """
         long = self.random.random() < 0.1
         await anyio.sleep(self.random.uniform(5, 60) if long else 0.01)
-        alive = manager.me in self.fleet.routers
+        alive = manager.router in self.fleet.routers
         if not alive:
             return
         engine = self.fleet.engine
@@ -190,7 +190,7 @@
         forgotten = permit.attempt not in engine.attempts
         if not forgotten:
             engine.progress(permit.attempt, tokens, last=True)
-        if manager.me not in self.fleet.routers:
+        if manager.router not in self.fleet.routers:
             return
         if forgotten:
             # The backend server was restarted in the meantime, and the stream broke.
--- a/tests/money/scenarios.py
+++ b/tests/money/scenarios.py
@@ -16,7 +16,7 @@
 )
 from ebonyhold.document import Policy
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
-from ebonyhold.money import Order, Permit, Treasury, verify_bills
+from ebonyhold.money import GrantManager, Order, Permit, verify_bills
 from ebonyhold.money._exchange import TokenExchange
 from ebonyhold.standins import Faults, MemoryObjects, MemoryTable
 
@@ -36,7 +36,7 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def begin(manager: Treasury, order: Order) -> Permit:
+async def begin(manager: GrantManager, order: Order) -> Permit:
     """Begin a request that must get its permit."""
     permit = await manager.begin(order)
     assert isinstance(permit, Permit)
@@ -74,13 +74,13 @@
     return table, objects
 
 
-def exchange(manager: Treasury) -> TokenExchange:
+def exchange(manager: GrantManager) -> TokenExchange:
     """Return the exchange through which a router gives and receives tokens."""
     assert manager.exchange is not None
     return manager.exchange
 
 
-async def spend(manager: Treasury, name: str, hold: int, charge: int) -> None:
+async def spend(manager: GrantManager, name: str, hold: int, charge: int) -> None:
     """Run one request of the workspace `w` with a hold and a charge, in tokens."""
     permit = await begin(manager, order("w", name, hold))
     await manager.finish(permit, ended(permit, charge))
--- a/tests/money/test_operators.py
+++ b/tests/money/test_operators.py
@@ -21,7 +21,14 @@
 from ebonyhold.document import Policy, UnknownOutcome
 from ebonyhold.exceptions import BudgetUnreachableError
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
-from ebonyhold.money import Retention, Upkeep, refund, rule, top_up, verify_bills
+from ebonyhold.money import (
+    Retention,
+    Upkeep,
+    refund,
+    rule_on_request,
+    top_up,
+    verify_bills,
+)
 from tests.money.scenarios import begin, check_all_returned, check_bills, request, run
 
 MONTH = 30 * 86_400.0
@@ -86,8 +93,8 @@
         fleet.kill("a.1")
         fleet.engine.restart()
         await fleet.recover("a.1")
-        assert await rule(fleet.table, "w", "r", ran=ran)
-        assert not await rule(fleet.table, "w", "r", ran=ran)
+        assert await rule_on_request(fleet.table, "w", "r", ran=ran)
+        assert not await rule_on_request(fleet.table, "w", "r", ran=ran)
         assert fleet.budget("w").spent == (100 if ran else 0)
         await check_all_returned(fleet, "w")
 
@@ -110,7 +117,7 @@
         assert report.stranded == 100
         (waiting,) = report.unsettled
         recovery = fleet.recovery("s.1")
-        await recovery.rule("a.1", waiting.attempt, RequestState.COMPLETE, 30)
+        await recovery.rule_on_run("a.1", waiting.attempt, RequestState.COMPLETE, 30)
         assert (await fleet.recover("a.1")).closed
         assert fleet.budget("w").spent == 30
         await check_all_returned(fleet, "w")
--- a/tests/money/test_partitions.py
+++ b/tests/money/test_partitions.py
@@ -14,7 +14,7 @@
     UnavailableError,
 )
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
-from ebonyhold.money import Incarnations, MoneyOptions, Permit, Treasury, top_up
+from ebonyhold.money import GrantManager, Incarnations, MoneyOptions, Permit, top_up
 from tests.money.scenarios import (
     begin,
     check_all_returned,
@@ -137,8 +137,8 @@
         await fleet.top_up("w", 1000, "t")
         boots = iter(range(1, 9))
 
-        def make(name: str) -> Treasury:
-            return Treasury(
+        def make(name: str) -> GrantManager:
+            return GrantManager(
                 name,
                 fleet.table,
                 fleet.objects,
@@ -180,7 +180,7 @@
             permit = await begin(manager, order(name, "r"))
             await manager.finish(permit, ended(permit, 10))
         await anyio.sleep(120 if idle else 5)
-        assert len(manager.accounts) == (0 if idle else 50)
+        assert len(manager.grants) == (0 if idle else 50)
         assert fleet.budget("w0").spent == 10
         assert (fleet.budget("w0").outstanding == 0) is idle
 
@@ -265,7 +265,7 @@
     """A router without a row cannot be recovered, so it must refuse requests."""
 
     async def scenario(fleet: MemoryFleet) -> None:
-        manager = Treasury("a.1", fleet.table, fleet.objects, lambda: fleet.policy)
+        manager = GrantManager("a.1", fleet.table, fleet.objects, lambda: fleet.policy)
         with pytest.raises(UnavailableError):
             await manager.begin(order("w", "r"))
 
--- a/tests/money/test_platform_faults.py
+++ b/tests/money/test_platform_faults.py
@@ -15,7 +15,7 @@
     UnavailableError,
 )
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
-from ebonyhold.money import JournalTarget, Permit, Treasury
+from ebonyhold.money import GrantManager, JournalTarget, Permit
 from tests.money.scenarios import (
     begin,
     check_all_returned,
@@ -81,7 +81,7 @@
         await manager.drain()
         await check_all_returned(fleet, "w")
 
-    async def _begin_with_retries(manager: Treasury, number: int) -> Permit:
+    async def _begin_with_retries(manager: GrantManager, number: int) -> Permit:
         for _ in range(20):
             try:
                 return await begin(manager, order("w", f"r{number}"))
--- a/tests/money/test_router_crashes.py
+++ b/tests/money/test_router_crashes.py
@@ -11,7 +11,7 @@
 from ebonyhold.document import Policy, UnknownOutcome
 from ebonyhold.exceptions import OutcomeUnknownError
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
-from ebonyhold.money import Permit, Replay, Treasury
+from ebonyhold.money import GrantManager, Permit, Replay
 from tests.money.scenarios import (
     POLICY,
     begin,
@@ -21,61 +21,61 @@
     run,
 )
 
-Step = Callable[[MemoryFleet, Treasury], Awaitable[None]]
+Step = Callable[[MemoryFleet, GrantManager], Awaitable[None]]
 
 
-async def before_hold(fleet: MemoryFleet, manager: Treasury) -> None:
+async def before_hold(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash before the hold."""
 
 
-async def hold_taken(fleet: MemoryFleet, manager: Treasury) -> None:
+async def hold_taken(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash after the hold, before the intent is written."""
     grant = manager._grant("w")
     await grant.acquire(100)
 
 
-async def not_dispatched(fleet: MemoryFleet, manager: Treasury) -> None:
+async def not_dispatched(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash with the intent durable, before the dispatch."""
     await begin(manager, order("w", "r"))
 
 
-async def dispatched(fleet: MemoryFleet, manager: Treasury) -> None:
+async def dispatched(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash after the dispatch, before the first token."""
     permit = await begin(manager, order("w", "r"))
     fleet.engine.start(permit.attempt, 5)
 
 
-async def streaming(fleet: MemoryFleet, manager: Treasury) -> None:
+async def streaming(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash in the middle of the stream."""
     permit = await begin(manager, order("w", "r"))
     fleet.engine.start(permit.attempt, 5)
     fleet.engine.progress(permit.attempt, 20, last=False)
 
 
-async def streamed(fleet: MemoryFleet, manager: Treasury) -> None:
+async def streamed(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash after the last byte, before the outcome is in the journal."""
     permit = await begin(manager, order("w", "r"))
     await fleet.dispatch(permit, 40)
 
 
-async def outcome_journalled(fleet: MemoryFleet, manager: Treasury) -> None:
+async def outcome_journalled(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash with the outcome in the journal, before the bill is filed."""
     permit = await begin(manager, order("w", "r"))
     await fleet.dispatch(permit, 40)
     await manager.finish(permit, ended(permit, 45), durable_within=1)
 
 
-async def bill_filed(fleet: MemoryFleet, manager: Treasury) -> None:
+async def bill_filed(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash after the bill was filed."""
     await outcome_journalled(fleet, manager)
     await anyio.sleep(3)
 
 
-async def retried(fleet: MemoryFleet, manager: Treasury) -> None:
+async def retried(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash while a second attempt streams, after the first one failed."""
     permit = await begin(manager, order("w", "r"))
     fleet.engine.start(permit.attempt, 5)
-    permit = await manager.again(permit, "engine", "boot-1")
+    permit = await manager.retry(permit, "engine", "boot-1")
     fleet.engine.start(permit.attempt, 5)
     fleet.engine.progress(permit.attempt, 20, last=False)
 
@@ -165,25 +165,25 @@
     return Outcome("w", "k", permit.attempt, RequestState.COMPLETE, 5, answer=ANSWER)
 
 
-async def booking_claimed(fleet: MemoryFleet, manager: Treasury) -> None:
+async def booking_claimed(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash with the claim in the table, before the dispatch."""
     await begin(manager, BOOKING)
 
 
-async def booking_sent(fleet: MemoryFleet, manager: Treasury) -> None:
+async def booking_sent(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash while the service runs the booking."""
     permit = await begin(manager, BOOKING)
     fleet.engine.start(permit.attempt, 0)
 
 
-async def booking_recorded(fleet: MemoryFleet, manager: Treasury) -> None:
+async def booking_recorded(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash with the outcome and the answer in the journal."""
     permit = await begin(manager, BOOKING)
     await fleet.dispatch(permit, 0)
     await manager.finish(permit, booked(permit), durable_within=1)
 
 
-async def booking_filed(fleet: MemoryFleet, manager: Treasury) -> None:
+async def booking_filed(fleet: MemoryFleet, manager: GrantManager) -> None:
     """Crash after the bill and the answer were filed."""
     await booking_recorded(fleet, manager)
     await anyio.sleep(3)
@@ -227,7 +227,7 @@
         await other.drain()
         await check_all_returned(fleet, "w")
 
-    async def _retry(other: Treasury) -> str:
+    async def _retry(other: GrantManager) -> str:
         try:
             answer = await other.begin(BOOKING)
         except OutcomeUnknownError:
@@ -320,7 +320,7 @@
         await fleet.dispatch(permit, 40)
         fleet.kill("a.1")
         await anyio.sleep(1)
-        manager.accounts.clear()
+        manager.grants.clear()
         await manager.finish(permit, ended(permit, 45))
         assert (await fleet.recover("a.1")).closed
         assert fleet.budget("w").spent == 45
--- a/tests/money/test_transfers.py
+++ b/tests/money/test_transfers.py
@@ -9,7 +9,7 @@
     BudgetUnreachableError,
 )
 from ebonyhold.experiments._memory_fleet import MemoryFleet, ended, order
-from ebonyhold.money import Treasury
+from ebonyhold.money import GrantManager
 from ebonyhold.routers import TransferGiven
 from tests.money.scenarios import (
     begin,
@@ -21,7 +21,9 @@
 )
 
 
-async def start_giver_and_receiver(fleet: MemoryFleet) -> tuple[Treasury, Treasury]:
+async def start_giver_and_receiver(
+    fleet: MemoryFleet,
+) -> tuple[GrantManager, GrantManager]:
     """Start a router with many tokens and one with few, then take the table down."""
     await fleet.top_up("w", 10_000, "t")
     giver = await fleet.start("a.1")
@@ -123,12 +125,12 @@
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
             await begin(receiver, order("w", "r1", 400))
-        assert giver.accounts["w"].ledger.given > 0
+        assert giver.grants["w"].ledger.given > 0
         fleet.kill("b.1")
         fleet.table.faults.down = False
         await fleet.recover("b.1")
         await anyio.sleep(30)
-        assert giver.accounts["w"].ledger.given == 0
+        assert giver.grants["w"].ledger.given == 0
         await giver.drain()
         await check_all_returned(fleet, "w")
 
@@ -170,12 +172,12 @@
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
             await begin(receiver, order("w", "r1", 400))
-        given = next(iter(giver.accounts["w"].transfers.given.values()))
+        given = next(iter(giver.grants["w"].transfers.given.values()))
         fleet.table.faults.down = False
         successor = await fleet.start("b.2")
         late = TransferGiven("w", given.transfer, given.amount)
-        await exchange(successor).take_given("a.1", late)
-        assert "w" not in successor.accounts
+        await exchange(successor).receive_transfer("a.1", late)
+        assert "w" not in successor.grants
 
     run(scenario)
 
@@ -191,14 +193,14 @@
         fleet.network.lose_replies = 1
         with pytest.raises(BudgetUnreachableError):
             await begin(receiver, order("w", "r1", 400))
-        given = next(iter(giver.accounts["w"].transfers.given.values()))
+        given = next(iter(giver.grants["w"].transfers.given.values()))
         message = TransferGiven("w", given.transfer, given.amount)
-        before = receiver.accounts["w"].ledger.available
+        before = receiver.grants["w"].ledger.available
         async with anyio.create_task_group() as deliveries:
-            deliveries.start_soon(exchange(receiver).take_given, "a.1", message)
-            deliveries.start_soon(exchange(receiver).take_given, "a.1", message)
-        await exchange(receiver).take_given("a.1", message)
-        assert receiver.accounts["w"].ledger.available == before + given.amount
+            deliveries.start_soon(exchange(receiver).receive_transfer, "a.1", message)
+            deliveries.start_soon(exchange(receiver).receive_transfer, "a.1", message)
+        await exchange(receiver).receive_transfer("a.1", message)
+        assert receiver.grants["w"].ledger.available == before + given.amount
         fleet.table.faults.down = False
         await anyio.sleep(30)
         await receiver.drain()
--- a/tests/operators/test_accounts.py
+++ b/tests/operators/test_billing_table.py
@@ -17,7 +17,7 @@
     to_json,
 )
 from ebonyhold.exceptions import BudgetError
-from ebonyhold.operators import Budget, TableAccounts
+from ebonyhold.operators import BillingTable, Budget
 from ebonyhold.standins import MemoryTable
 
 pytestmark = pytest.mark.anyio
@@ -37,10 +37,10 @@
 
 
 @pytest.fixture
-async def accounts() -> TableAccounts:
+async def accounts() -> BillingTable:
     """Return workspace w: 100 tokens prepaid, q1 billed at 10 and q2 at 20."""
     table = MemoryTable()
-    found = TableAccounts(table)
+    found = BillingTable(table)
     await found.top_up("w", "first", 100, "ana")
     table.put(budget_key("w"), to_json(BudgetRow(100, 0, 30)))
     for name, charge in (("q1", 10), ("q2", 20)):
@@ -48,7 +48,7 @@
     return found
 
 
-async def test_budgets(accounts: TableAccounts) -> None:
+async def test_budgets(accounts: BillingTable) -> None:
     """A workspace without a budget row has a budget of all zeros."""
     assert await accounts.budgets(("w", "new")) == (
         Budget("w", 100, 0, 30),
@@ -56,7 +56,7 @@
     )
 
 
-async def test_pages_of_bills(accounts: TableAccounts) -> None:
+async def test_pages_of_bills(accounts: BillingTable) -> None:
     """A page that is not full has no next page."""
     page = await accounts.bills("w", "", 1)
     assert ([each.request for each in page.bills], page.next_after) == (["q1"], "q1")
@@ -64,7 +64,7 @@
     assert ([each.request for each in page.bills], page.next_after) == (["q2"], "")
 
 
-async def test_refund_is_made_once_per_key(accounts: TableAccounts) -> None:
+async def test_refund_is_made_once_per_key(accounts: BillingTable) -> None:
     """A repeated refund with the same key must not give the tokens back twice."""
     for _ in range(2):
         budget = await accounts.refund("w", "k", "q1", 4, "ana")
@@ -72,7 +72,7 @@
     assert (await accounts.verify(("w",))).discrepancies == ()
 
 
-async def test_verify_reports_discrepancies(accounts: TableAccounts) -> None:
+async def test_verify_reports_discrepancies(accounts: BillingTable) -> None:
     """A wrong sum is reported, but not if only another workspace is checked."""
     assert isinstance(accounts.table, MemoryTable)
     accounts.table.put(budget_key("w"), to_json(BudgetRow(100, 0, 25)))
@@ -90,7 +90,7 @@
     ],
 )
 async def test_invalid_changes_are_refused(
-    accounts: TableAccounts, change: Callable[[TableAccounts], Awaitable[Budget]]
+    accounts: BillingTable, change: Callable[[BillingTable], Awaitable[Budget]]
 ) -> None:
     """A reused key, too large a refund and a refund without a bill are refused."""
     with pytest.raises(BudgetError):
@@ -107,7 +107,7 @@
     async def verify_all() -> tuple[int, list[str]]:
         table = MemoryTable()
         table.put(budget_key("taken-out"), to_json(BudgetRow(0, 0, 7)))
-        found = await TableAccounts(table).verify(())
+        found = await BillingTable(table).verify(())
         return found.workspaces, [each.workspace for each in found.discrepancies]
 
     count, workspaces = anyio.run(verify_all, backend="trio")
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -58,7 +58,7 @@
     rules = read_configuration(encode(CONFIGURATION))
     route = rules.routes["h.example"]["/a/"]
     assert route.kind is RouteKind.STREAM and route.idempotent
-    assert (route.timeout, route.target, route.most_attempts) == (5.0, 0.5, 2)
+    assert (route.timeout, route.target, route.max_attempts) == (5.0, 0.5, 2)
     assert [share.weight for share in route.shares] == [90, 10]
     assert rules.owners["k"].prepaid == 5
     assert rules.services["s"].event_tokens == 5
--- a/tests/platform/weak_gateway.py
+++ b/tests/platform/weak_gateway.py
@@ -24,13 +24,13 @@
 
 def resend_everything() -> None:
     """Make the gateway resend requests that may have run, whatever their kind."""
-    verdict = _forwarder.Forwarder.verdict
+    check_retry = _forwarder.Forwarder.check_retry
 
     def weakened(self, exchange, result):  # type: ignore[no-untyped-def]
         exchange.may_have_run = False
-        return verdict(self, exchange, result)
+        return check_retry(self, exchange, result)
 
-    _forwarder.Forwarder.verdict = weakened  # type: ignore[method-assign]
+    _forwarder.Forwarder.check_retry = weakened  # type: ignore[method-assign]
 
 
 def fail_in_a_task() -> None:
--- a/tests/prepaid/kit.py
+++ b/tests/prepaid/kit.py
@@ -11,9 +11,9 @@
 from ebonyhold.exceptions import PlatformError
 from ebonyhold.gateway import Renewals
 from ebonyhold.prepaid import (
-    Account,
     Offer,
     PrepaidRow,
+    WorkspaceGrant,
     budget_row_key,
     grant_rows_prefix,
 )
@@ -36,7 +36,7 @@
     prepaid: list[Tokens]
     fleet: int = 3
     store: MemoryRows = field(init=False)
-    account: Account = field(init=False)
+    grant: WorkspaceGrant = field(init=False)
     renewals: Renewals = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -46,9 +46,9 @@
             self.vm,
             self.vm,
             self.router,
-            lambda: {WORKSPACE: self.account.wanted_limit()},
+            lambda: {WORKSPACE: self.grant.wanted_limit()},
         )
-        self.account = Account(
+        self.grant = WorkspaceGrant(
             WORKSPACE,
             self.router,
             self.store,
@@ -57,16 +57,16 @@
             lambda: 0.0,
             self.renewals.limits,
             self.renew,
-            self.renewals.in_touch,
+            self.renewals.is_store_reachable,
         )
 
     async def renew(self) -> None:
         """Renew the limits once, and record whether the renewal succeeded."""
         try:
             await self.renewals.step()
-            self.renewals.note_renewed()
+            self.renewals.record_success()
         except PlatformError as error:
-            self.renewals.note_missed(error)
+            self.renewals.record_failure(error)
 
 
 @define(eq=False)
@@ -87,14 +87,14 @@
         """Return the offers of the other routers."""
         await anyio.sleep(DELAY)
         return [
-            Offer(vm, router.account.offer)
+            Offer(vm, router.grant.offer)
             for vm, router in self.routers.items()
             if vm != self.vm
         ]
 
     async def transfer(self, peer: str, workspace: str, amount: Tokens) -> Tokens:
         """Transfer tokens from another router; 0 arrive if the answer is lost."""
-        given = await self.routers[peer].account.give(amount)
+        given = await self.routers[peer].grant.give(amount)
         await anyio.sleep(DELAY)
         if self.lose:
             self.lose -= 1
@@ -150,7 +150,7 @@
     one = router(history, 1_000_000)
     await anyio.sleep(1.0)
     await one.renew()
-    await one.account.hold(1000, "r")
+    await one.grant.hold(1000, "r")
     await one.renew()
     await anyio.sleep(1.0)
     two = Router(history, "vm-1", "vm-1.b", [1_000_000])
--- a/tests/prepaid/test_treasury.py
+++ b/tests/prepaid/test_grant_manager.py
@@ -12,7 +12,7 @@
     BudgetUnreachableError,
 )
 from ebonyhold.gateway import Supervisor
-from ebonyhold.prepaid import Account, PrepaidRow, Treasury, budget_row_key
+from ebonyhold.prepaid import GrantManager, PrepaidRow, WorkspaceGrant, budget_row_key
 from ebonyhold.standins import RowHistory
 from ebonyhold.types import Json
 from tests.prepaid.kit import (
@@ -29,9 +29,9 @@
 __all__ = ["anyio_backend"]
 
 
-def manager_of(one: Router) -> Treasury:
+def manager_of(one: Router) -> GrantManager:
     """Return a grant manager that has the grant of a router."""
-    manager = Treasury(
+    manager = GrantManager(
         one.router,
         one.store,
         lambda name: (1, 100_000),
@@ -39,9 +39,9 @@
         lambda: 3,
         one.renewals.limits,
         one.renew,
-        one.renewals.in_touch,
+        one.renewals.is_store_reachable,
     )
-    manager.accounts[WORKSPACE] = one.account
+    manager.grants[WORKSPACE] = one.grant
     return manager
 
 
@@ -53,8 +53,8 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 400)
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 400)
     manager = manager_of(one)
     one.store.faults.throttled = 6
     assert await manager.close(5.0)
@@ -65,7 +65,7 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(1000, "r")
+    await one.grant.hold(1000, "r")
     manager = manager_of(one)
     one.store.faults.down = True
     assert not await manager.close(2.0)
@@ -80,8 +80,8 @@
     history = RowHistory()
     one = router(history)
     await one.renew()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 400)
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 400)
     manager = manager_of(one)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(manager.run)
@@ -103,7 +103,7 @@
     history = RowHistory()
     one = router(history)
     await one.renew()
-    await one.account.hold(1000, "r")
+    await one.grant.hold(1000, "r")
     manager = manager_of(one)
     manager.workspaces = lambda: [WORKSPACE, "blue"]
     async with anyio.create_task_group() as tasks:
@@ -112,7 +112,7 @@
         tasks.start_soon(manager.close, 30.0)
         await anyio.sleep(10.0)
         if late == "request":
-            assert manager.account("blue") is not None
+            assert manager.grant("blue") is not None
         one.store.faults.down = False
         await one.renew()
         await anyio.sleep(10.0)
@@ -131,12 +131,12 @@
     one = router(history)
     await one.renew()
     manager = manager_of(one)
-    del manager.accounts[WORKSPACE]
+    del manager.grants[WORKSPACE]
     async with anyio.create_task_group() as tasks:
         assert await manager.close(5.0)
         tasks.start_soon(manager.run)
         await anyio.sleep(30.0)
-        late = manager.account(WORKSPACE)
+        late = manager.grant(WORKSPACE)
         assert late is not None
         with pytest.raises(BudgetUnreachableError):
             await late.hold(1000, "r")
@@ -197,10 +197,10 @@
         tasks.start_soon(manager.run)
         await anyio.sleep(2.0)
         with pytest.raises(BudgetUnreachableError):
-            await one.account.hold(1000, "r")
+            await one.grant.hold(1000, "r")
         history.apply(Transaction((), (Delete(budget_row_key(WORKSPACE)),)))
         await anyio.sleep(2.0)
-        await one.account.hold(1000, "r")
+        await one.grant.hold(1000, "r")
         tasks.cancel_scope.cancel()
 
 
@@ -214,20 +214,20 @@
     history = RowHistory()
     one = router(history)
     await one.renew()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 400)
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 400)
     manager = manager_of(one)
     manager.workspaces = lambda: [WORKSPACE, "blue"]
-    blue = manager.account("blue")
+    blue = manager.grant("blue")
     assert blue is not None
-    close = Account.close
+    close = WorkspaceGrant.close
 
-    async def broken(self: Account) -> None:
+    async def broken(self: WorkspaceGrant) -> None:
         if self is blue:
             raise KeyError("blue")
         await close(self)
 
-    monkeypatch.setattr(Account, "close", broken)
+    monkeypatch.setattr(WorkspaceGrant, "close", broken)
     counted: list[tuple[str, str]] = []
     before = anyio.current_time()
     async with anyio.create_task_group() as tasks:
--- a/tests/prepaid/test_histories.py
+++ b/tests/prepaid/test_histories.py
@@ -16,12 +16,12 @@
 from ebonyhold.coordination import GrantRow
 from ebonyhold.exceptions import BudgetError, PlatformError
 from ebonyhold.prepaid import (
-    Account,
-    Grant,
-    LimitBook,
+    GrantState,
     Limits,
+    LimitTracker,
     Predecessor,
     Renewal,
+    WorkspaceGrant,
 )
 from ebonyhold.standins import RowHistory
 from tests.prepaid.kit import Peers, Router, grants
@@ -104,7 +104,7 @@
     def received(self, incarnation: str) -> int:
         """Return the tokens that an incarnation received, less those it gave."""
         return sum(
-            -r.account.grant.net_given
+            -r.grant.state.net_given
             for r in self.incarnations
             if r.router == incarnation
         )
@@ -117,13 +117,13 @@
         """Start a new incarnation on a VM, which reclaims its predecessors' grants."""
         self.started += 1
         router = Router(self.history, vm, f"{vm}.{self.started}", self.prepaid, VMS)
-        router.account.peers = Peers(vm, self.routers)
+        router.grant.peers = Peers(vm, self.routers)
         self.weaken(router)
         self.routers[vm] = router
         self.incarnations.append(router)
         await router.renewals.step()
         for before in router.renewals.unreclaimed:
-            await router.account.reclaim(self.assume(before))
+            await router.grant.reclaim(self.assume(before))
 
     def pick(self) -> Router:
         """Return a random router."""
@@ -134,7 +134,7 @@
         router = self.pick()
         amount = self.random.choice([200, 900, 2500])
         try:
-            await router.account.hold(amount, "r")
+            await router.grant.hold(amount, "r")
         except BudgetError:
             return
         self.held.append((router, amount))
@@ -146,12 +146,12 @@
         router, amount = self.held.pop(self.random.randrange(len(self.held)))
         charge = self.random.choice([0, amount // 2, amount])
         self.record_charge(router, charge)
-        router.account.grant.settle(amount, charge)
+        router.grant.state.settle(amount, charge)
 
     async def maintain(self) -> None:
         """Let every router maintain its grant, renew its limits, or both."""
         for router in self.routers.values():
-            steps = [router.account.tick, router.renew]
+            steps = [router.grant.tick, router.renew]
             for step in self.random.sample(steps, self.random.choice([1, 1, 2])):
                 try:
                     await step()
@@ -172,8 +172,8 @@
         one = self.pick()
         faults = one.store.faults
         if self.random.random() < 0.2:
-            assert isinstance(one.account.peers, Peers)
-            one.account.peers.lose = 1
+            assert isinstance(one.grant.peers, Peers)
+            one.grant.peers.lose = 1
             return
         if self.random.random() < 0.3:
             await faults.flush()
@@ -212,7 +212,7 @@
     limits.__class__ = UnconfirmedLimits
 
 
-class UnconfirmedLimits(LimitBook):
+class UnconfirmedLimits(LimitTracker):
     """Limits that apply as soon as they are sent."""
 
     __slots__ = ()
@@ -221,11 +221,11 @@
         """Treat the new renewal as confirmed."""
         renewal = super().propose(wanted, now)
         self.confirmed = renewal
-        self.doubtful = []
+        self.in_doubt = []
         return renewal
 
 
-class Unlimited(LimitBook):
+class Unlimited(LimitTracker):
     """Limits without an upper bound."""
 
     __slots__ = ()
@@ -237,25 +237,25 @@
 
 def ignore_limits(router: Router) -> None:
     """Make a router ignore its spending limits."""
-    router.account.limits = Unlimited()
+    router.grant.limits = Unlimited()
 
 
-class GrantIgnoringDoubt(Account):
+class GrantIgnoringDoubt(WorkspaceGrant):
     """A grant that assumes a change in doubt had no effect."""
 
     __slots__ = ()
 
-    async def round(self) -> None:
-        """Drop the change in doubt before the round."""
-        grant = self.grant
+    async def reconcile(self) -> None:
+        """Drop the change in doubt before reconciling."""
+        grant = self.state
         if grant.in_doubt is not None:
             grant.ledger.available += grant.in_doubt.returned
             grant.in_doubt = None
             grant.cache.rows = None
-        await super().round()
+        await super().reconcile()
 
 
-class GrantIgnoringTransfers(Grant):
+class GrantIgnoringTransfers(GrantState):
     """A grant that does not count given tokens as used."""
 
     __slots__ = ()
@@ -267,12 +267,12 @@
 
 def ignore_transfers(router: Router) -> None:
     """Make a router not count given tokens as used."""
-    router.account.grant.__class__ = GrantIgnoringTransfers
+    router.grant.state.__class__ = GrantIgnoringTransfers
 
 
 def ignore_doubt(router: Router) -> None:
     """Make a router assume that changes in doubt had no effect."""
-    router.account.__class__ = GrantIgnoringDoubt
+    router.grant.__class__ = GrantIgnoringDoubt
 
 
 def unchanged(router: Router) -> None:
--- a/tests/prepaid/test_holder_histories.py
+++ b/tests/prepaid/test_holder_histories.py
@@ -12,7 +12,7 @@
 import pytest
 from attrs import define, field, frozen
 
-from ebonyhold.prepaid import HoldOutcome, LentHolds, WantedHold
+from ebonyhold.prepaid import HoldOutcome, RemoteHolds, WantedHold
 from tests.prepaid.kit import WORKSPACE, Router
 from tests.prepaid.test_histories import RandomHistory
 from tests.virtual import anyio_backend
@@ -53,8 +53,8 @@
         holds: Number of holds requested so far.
     """
 
-    make_holds: Callable[[Router], LentHolds] = lambda router: holds_of(router)
-    remote: dict[str, LentHolds] = field(factory=dict)
+    make_holds: Callable[[Router], RemoteHolds] = lambda router: holds_of(router)
+    remote: dict[str, RemoteHolds] = field(factory=dict)
     running: list[RemoteRequest] = field(factory=list)
     settled: list[tuple[Router, str, int]] = field(factory=list)
     holds: int = 0
@@ -128,9 +128,9 @@
         return all(run.holder is not router for run in self.running)
 
 
-def holds_of(router: Router) -> LentHolds:
+def holds_of(router: Router) -> RemoteHolds:
     """Return a new, empty object for the remote holds of an incarnation."""
-    return LentHolds(lambda workspace: router.account, lambda: False)
+    return RemoteHolds(lambda workspace: router.grant, lambda: False)
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -138,7 +138,7 @@
     await RandomHolderHistory(seed).run()
 
 
-class FreeExpiryHolds(LentHolds):
+class FreeExpiryHolds(RemoteHolds):
     """Remote holds that are not charged if they expire."""
 
     __slots__ = ()
@@ -150,7 +150,7 @@
                 self.settle(hold, 0)
 
 
-class RepeatableHolds(LentHolds):
+class RepeatableHolds(RemoteHolds):
     """Remote holds that are charged again by each repeated settlement."""
 
     __slots__ = ()
@@ -164,9 +164,9 @@
 
 
 @pytest.mark.parametrize("weak", [FreeExpiryHolds, RepeatableHolds])
-async def test_missing_holder_safeguard_is_detected(weak: type[LentHolds]) -> None:
-    def make_holds(router: Router) -> LentHolds:
-        return weak(lambda workspace: router.account, lambda: False)
+async def test_missing_holder_safeguard_is_detected(weak: type[RemoteHolds]) -> None:
+    def make_holds(router: Router) -> RemoteHolds:
+        return weak(lambda workspace: router.grant, lambda: False)
 
     for seed in range(60):
         try:
--- a/tests/prepaid/test_limits.py
+++ b/tests/prepaid/test_limits.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from ebonyhold.prepaid import LimitBook, SpendingLimit
+from ebonyhold.prepaid import LimitTracker, SpendingLimit
 
 WANTED = {"acme": SpendingLimit(1000, 10.0, 100.0)}
 
 
-def in_doubt(age: float) -> LimitBook:
+def in_doubt(age: float) -> LimitTracker:
     """Return limits with a confirmed renewal and one in doubt.
 
     These renewals were sent at 0 s and at `age` seconds.
     """
-    limits = LimitBook()
+    limits = LimitTracker()
     limits.took_effect(limits.propose(WANTED, 0.0).number)
     limits.propose(WANTED, age)
     return limits
--- a/tests/prepaid/test_reclaim.py
+++ b/tests/prepaid/test_reclaim.py
@@ -35,14 +35,11 @@
     two = await successor_of_killed(history)
     [before] = two.renewals.unreclaimed
     version = history.rows[budget_row_key(WORKSPACE)].version
-    await two.account.reclaim(before)
+    await two.grant.reclaim(before)
     assert history.rows[budget_row_key(WORKSPACE)].version == version
     predecessor, successor = grants(history)["vm-1.a"], grants(history)["vm-1.b"]
     assert (
-        predecessor.returned
-        == successor.drawn
-        == two.account.grant.ledger.available
-        > 0
+        predecessor.returned == successor.drawn == two.grant.state.ledger.available > 0
     )
     assert predecessor.drawn - predecessor.returned >= 1000
 
@@ -58,13 +55,10 @@
     [before] = two.renewals.unreclaimed
     lose(two)
     with pytest.raises(UnknownOutcomeError):
-        await two.account.reclaim(before)
-    await two.account.reclaim(before)
+        await two.grant.reclaim(before)
+    await two.grant.reclaim(before)
     await two.store.faults.flush()
     predecessor, successor = grants(history)["vm-1.a"], grants(history)["vm-1.b"]
     assert (
-        predecessor.returned
-        == successor.drawn
-        == two.account.grant.ledger.available
-        > 0
+        predecessor.returned == successor.drawn == two.grant.state.ledger.available > 0
     )
--- a/tests/prepaid/test_purse.py
+++ b/tests/prepaid/test_request_hold.py
@@ -10,11 +10,11 @@
 
 from ebonyhold.exceptions import BudgetExhaustedError, BudgetUnreachableError
 from ebonyhold.prepaid import (
-    Account,
     HoldOutcome,
-    LentHolds,
-    RequestPurse,
+    RemoteHolds,
+    RequestHold,
     WantedHold,
+    WorkspaceGrant,
 )
 from ebonyhold.standins import RowHistory
 from tests.prepaid.kit import WORKSPACE, Router, budget, router
@@ -77,12 +77,12 @@
     names = [f"h{n}" for n in range(len(outcomes))]
     answers = Answers(dict(zip(names, outcomes, strict=True)))
     one = await started()
-    hold = RequestPurse(WORKSPACE, lambda: one.account, names, answers, "vm-1.a/1")
+    hold = RequestHold(WORKSPACE, lambda: one.grant, names, answers, "vm-1.a/1")
     await hold.hold(900, "r")
     assert answers.asked == asked
-    assert one.account.grant.ledger.held == (0 if holder else 900)
+    assert one.grant.state.ledger.held == (0 if holder else 900)
     hold.settle(900, 300)
-    assert one.account.grant.charged == (0 if holder else 300)
+    assert one.grant.state.charged == (0 if holder else 300)
     assert answers.settled == ([(holder, "vm-1.a/1", 300)] if holder else [])
 
 
@@ -99,7 +99,7 @@
     """
     one = await started()
     answers = Answers({"h0": outcome, "h1": HELD})
-    hold = RequestPurse(WORKSPACE, lambda: one.account, ["h0", "h1"], answers, "1")
+    hold = RequestHold(WORKSPACE, lambda: one.grant, ["h0", "h1"], answers, "1")
     with pytest.raises(error):
         await hold.hold(900, "r")
     assert answers.asked == ["h0"]
@@ -111,19 +111,19 @@
 
     router: Router
     stopping: bool = False
-    remote: LentHolds = field(init=False)
+    remote: RemoteHolds = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.remote = LentHolds(self.find, lambda: self.stopping)
+        self.remote = RemoteHolds(self.find, lambda: self.stopping)
 
-    def find(self, workspace: str) -> Account | None:
+    def find(self, workspace: str) -> WorkspaceGrant | None:
         """Return the grant of the only workspace."""
-        return self.router.account if workspace == WORKSPACE else None
+        return self.router.grant if workspace == WORKSPACE else None
 
     @property
     def balances(self) -> tuple[int, int]:
         """Tokens held and tokens charged."""
-        grant = self.router.account.grant
+        grant = self.router.grant.state
         return grant.ledger.held, grant.charged
 
 
@@ -190,8 +190,8 @@
     if spent:
         assert await one.remote.hold(wanted("first", spent)) is HELD
         one.remote.settle("first", spent)
-        await one.router.account.close()
-        one.router.account.closing = False
+        await one.router.grant.close()
+        one.router.grant.closing = False
     else:
         one.router.store.faults.down = True
     assert await one.remote.hold(wanted()) is outcome
@@ -202,19 +202,19 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(900, "r")
-    one.account.settle(900, 400)
-    one.account.is_holder = lambda: False
-    await one.account.tick()
+    await one.grant.hold(900, "r")
+    one.grant.settle(900, 400)
+    one.grant.is_holder = lambda: False
+    await one.grant.tick()
     assert budget(history).budget.outstanding == 0
-    assert one.account.grant.ledger.available == 0
+    assert one.grant.state.ledger.available == 0
 
 
 async def test_router_that_is_no_holder_draws_only_the_amount() -> None:
     """A router that is no holder draws if no holder answers, but no extra tokens."""
     history = RowHistory()
     one = router(history)
-    one.account.is_holder = lambda: False
+    one.grant.is_holder = lambda: False
     await one.renewals.step()
-    await one.account.hold(900, "r")
+    await one.grant.hold(900, "r")
     assert budget(history).budget.outstanding == 900
--- a/tests/prepaid/test_transfers.py
+++ b/tests/prepaid/test_transfers.py
@@ -32,15 +32,15 @@
             vm = f"vm-{number}"
             self.routers[vm] = Router(self.history, vm, f"{vm}.a", [PREPAID])
         for vm, router in self.routers.items():
-            router.account.peers = Peers(vm, self.routers)
+            router.grant.peers = Peers(vm, self.routers)
 
     async def start(self, *available: int) -> list[Router]:
         """Start the routers, each with at least the given available tokens."""
         for router, amount in zip(self.routers.values(), available, strict=True):
             await router.renewals.step()
             if amount:
-                await router.account.hold(amount, "first")
-                router.account.settle(amount, 0)
+                await router.grant.hold(amount, "first")
+                router.grant.settle(amount, 0)
             await router.renew()
         return list(self.routers.values())
 
@@ -78,15 +78,15 @@
     fleet = Fleet()
     one, *others = await fleet.start(*available)
     await disconnect_until_limits_grow(fleet)
-    before = [other.account.grant.ledger.available for other in others]
+    before = [other.grant.state.ledger.available for other in others]
     if served:
-        await one.account.hold(wanted, "r")
+        await one.grant.hold(wanted, "r")
     else:
         with pytest.raises(BudgetUnreachableError):
-            await one.account.hold(wanted, "r")
+            await one.grant.hold(wanted, "r")
         # All offers together are too small, so nothing is transferred; the tokens may
         # serve smaller requests at the other routers.
-        assert [o.account.grant.ledger.available for o in others] == before
+        assert [o.grant.state.ledger.available for o in others] == before
 
 
 async def test_disconnected_router_draws_through_another() -> None:
@@ -96,7 +96,7 @@
     one.store.faults.down = True
     for _ in range(2):
         await one.renew()
-    await one.account.hold(9_000, "r")
+    await one.grant.hold(9_000, "r")
 
 
 async def test_transfers_are_filed_at_both_ends() -> None:
@@ -104,14 +104,14 @@
     fleet = Fleet()
     one, two, three = await fleet.start(0, 6_000, 0)
     await disconnect_until_limits_grow(fleet)
-    await one.account.hold(4_000, "r")
-    one.account.settle(4_000, 1_500)
+    await one.grant.hold(4_000, "r")
+    one.grant.settle(4_000, 1_500)
     for router in (one, two, three):
         router.store.faults.down = False
         await router.renew()
-        await router.account.tick()
+        await router.grant.tick()
     for router in (one, two, three):
-        await router.account.close()
+        await router.grant.close()
     rows = grants(fleet.history)
     assert rows["vm-1.a"].transferred_out == rows["vm-0.a"].transferred_in >= 4_000
     assert sum(row.held for row in rows.values()) == 0
@@ -123,9 +123,9 @@
     """Guards against tokens that are given away and also returned to the budget."""
     fleet = Fleet()
     _, two, _ = await fleet.start(0, 6_000, 0)
-    await two.account.close()
-    assert two.account.offer == 0
-    assert await two.account.give(1_000) == 0
+    await two.grant.close()
+    assert two.grant.offer == 0
+    assert await two.grant.give(1_000) == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/prepaid/test_account.py
+++ b/tests/prepaid/test_workspace_grant.py
@@ -36,9 +36,9 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 400)
-    await one.account.close()
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 400)
+    await one.grant.close()
     after = budget(history).budget
     assert (after.spent, after.outstanding, after.remaining) == (400, 0, 99_600)
 
@@ -48,7 +48,7 @@
     one = router(history, 5_000)
     await one.renewals.step()
     with pytest.raises(BudgetExhaustedError):
-        await one.account.hold(5_001, "r")
+        await one.grant.hold(5_001, "r")
 
 
 @pytest.mark.parametrize("before", [[], [5_000]], ids=["first budget", "top-up"])
@@ -63,16 +63,16 @@
     await one.renewals.step()
     if before:
         with pytest.raises(BudgetExhaustedError):
-            await one.account.hold(6_000, "r1")
+            await one.grant.hold(6_000, "r1")
         one.prepaid.append(100_000)
     one.store.faults.lose_requests = 100
     with pytest.raises(BudgetUnreachableError):
-        await one.account.hold(6_000, "r2")
+        await one.grant.hold(6_000, "r2")
     one.store.faults.lose_requests = 0
     await anyio.sleep(5.0)
     await one.renew()
-    await one.account.tick()
-    await one.account.hold(6_000, "r3")
+    await one.grant.tick()
+    await one.grant.hold(6_000, "r3")
 
 
 async def test_budget_granted_to_another_router_is_not_exhausted() -> None:
@@ -85,9 +85,9 @@
     two = Router(history, "vm-2", "vm-2.a", [10_000])
     await one.renewals.step()
     await two.renewals.step()
-    await one.account.hold(9_000, "r")
+    await one.grant.hold(9_000, "r")
     with pytest.raises(BudgetUnreachableError):
-        await two.account.hold(4_000, "r")
+        await two.grant.hold(4_000, "r")
 
 
 async def test_unreachable_store_refuses_without_waiting() -> None:
@@ -95,14 +95,14 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(100, "r")
+    await one.grant.hold(100, "r")
     one.store.faults.down = True
     with pytest.raises(PlatformError):
-        one.account.grant.cache.rows = None
-        await one.account.tick()
+        one.grant.state.cache.rows = None
+        await one.grant.tick()
     before = anyio.current_time()
     with pytest.raises(BudgetUnreachableError):
-        await one.account.hold(90_000, "r")
+        await one.grant.hold(90_000, "r")
     assert anyio.current_time() == before
 
 
@@ -117,22 +117,22 @@
     one.fleet = 30
     await one.renew()
     for _ in range(40):
-        await one.account.hold(1000, "r")
-        one.account.grant.settle(1000, 1000)
+        await one.grant.hold(1000, "r")
+        one.grant.state.settle(1000, 1000)
         await anyio.sleep(0.3)
-        await one.account.tick()
+        await one.grant.tick()
         await one.renew()
     one.store.faults.down = True
     await one.renew()
     served = 0
     for _ in range(8):
         await anyio.sleep(0.3)
-        served += one.account.try_hold(1000)
+        served += one.grant.try_hold(1000)
     # Requests at the same rate are served from the start of the outage.
     assert served >= 7
     headroom = []
     for _ in range(4):
-        headroom.append(one.account.limit() - one.account.grant.used)
+        headroom.append(one.grant.limit() - one.grant.state.used)
         await anyio.sleep(2.0)
     # One request of 1,000 tokens every 0.3 s uses 6,667 tokens in 2 s.
     grown = [after - before for before, after in pairwise(headroom)]
@@ -146,11 +146,11 @@
     one = router(history, 1_000_000)
     await one.renew()
     for _ in range(6):
-        await one.account.hold(1000, "r")
-        one.account.grant.settle(1000, 1000)
+        await one.grant.hold(1000, "r")
+        one.grant.state.settle(1000, 1000)
         await one.renew()
-    assert one.account.limit() - one.account.grant.used < 20_000
-    await one.account.hold(20_000, "r")
+    assert one.grant.limit() - one.grant.state.used < 20_000
+    await one.grant.hold(20_000, "r")
 
 
 @pytest.mark.parametrize("lose", [lose_answer, lose_request, delay_effect])
@@ -164,15 +164,15 @@
     one = router(history)
     await one.renewals.step()
     lose(one)
-    one.account.demand.record(1000, anyio.current_time())
+    one.grant.demand.record(1000, anyio.current_time())
     with pytest.raises(UnknownOutcomeError):
-        await one.account.tick()
-    assert one.account.grant.ledger.available == 0
-    await one.account.tick()
+        await one.grant.tick()
+    assert one.grant.state.ledger.available == 0
+    await one.grant.tick()
     await one.store.faults.flush()
-    await one.account.tick()
+    await one.grant.tick()
     row = budget(history).budget
-    assert one.account.grant.ledger.total == row.outstanding > 0
+    assert one.grant.state.ledger.total == row.outstanding > 0
 
 
 @pytest.mark.parametrize("lose", [lose_answer, lose_request, delay_effect])
@@ -184,13 +184,13 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 0)
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 0)
     lose(one)
     with pytest.raises(UnknownOutcomeError):
-        await one.account.close()
-    assert one.account.grant.ledger.available == 0
-    await one.account.close()
+        await one.grant.close()
+    assert one.grant.state.ledger.available == 0
+    await one.grant.close()
     await one.store.faults.flush()
     assert budget(history).budget.outstanding == 0
 
@@ -203,12 +203,12 @@
     history = RowHistory()
     one = router(history, 100_000)
     await one.renewals.step()
-    await one.account.hold(10_000, "r")
-    one.account.grant.settle(10_000, 5_000)
-    await one.account.tick()
+    await one.grant.hold(10_000, "r")
+    one.grant.state.settle(10_000, 5_000)
+    await one.grant.tick()
     one.prepaid.append(6_000)
-    await one.account.tick()
-    await one.account.tick()
+    await one.grant.tick()
+    await one.grant.tick()
     row = budget(history).budget
     assert row.prepaid == 6_000
     assert row.spent + row.outstanding <= 6_000
@@ -225,8 +225,8 @@
     one.prepaid.append(50_000)
     two = Router(history, "vm-2", "vm-2.a", [100_000])
     await one.renewals.step()
-    await one.account.hold(100, "r")
-    await two.account.tick()
+    await one.grant.hold(100, "r")
+    await two.grant.tick()
     assert budget(history).budget.prepaid == 50_000
 
 
@@ -234,10 +234,10 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 700)
-    await anyio.sleep(one.account.options.file_after + 0.1)
-    await one.account.tick()
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 700)
+    await anyio.sleep(one.grant.options.file_after + 0.1)
+    await one.grant.tick()
     assert grants(history)["vm-1.a"].billed == 700
 
 
@@ -249,15 +249,15 @@
     history = RowHistory()
     one = router(history, 1_000_000)
     one.fleet = 84
-    one.account.default_typical = lambda: 5_000.0
+    one.grant.default_typical = lambda: 5_000.0
     await one.renew()
-    await one.account.tick()
+    await one.grant.tick()
     await one.renew()
     one.store.faults.down = True
     await one.renew()
-    await one.account.hold(4_500, "r")
+    await one.grant.hold(4_500, "r")
     with pytest.raises(BudgetUnreachableError):
-        await one.account.hold(4_500, "r")
+        await one.grant.hold(4_500, "r")
 
 
 @pytest.mark.parametrize("arrived", [True, False])
@@ -273,8 +273,8 @@
     history = RowHistory()
     one = router(history)
     await one.renewals.step()
-    await one.account.hold(1000, "r")
-    one.account.grant.settle(1000, 0)
+    await one.grant.hold(1000, "r")
+    one.grant.state.settle(1000, 0)
     commit = type(one.store).commit
 
     async def broken(store: MemoryRows, transaction: Transaction) -> Committed:
@@ -285,8 +285,8 @@
     with monkeypatch.context() as patch:
         patch.setattr(type(one.store), "commit", broken)
         with pytest.raises(KeyError):
-            await one.account.close()
-    assert one.account.grant.ledger.available == 0
-    await one.account.close()
-    assert one.account.grant.ledger.available == 0
+            await one.grant.close()
+    assert one.grant.state.ledger.available == 0
+    await one.grant.close()
+    assert one.grant.state.ledger.available == 0
     assert budget(history).budget.outstanding == 0
--- a/tests/routers/kit.py
+++ b/tests/routers/kit.py
@@ -14,7 +14,7 @@
 from ebonyhold.routers import KeyRing, PeerKey, PeerNetwork
 
 BACKENDS = ["asyncio", "trio"]
-FAST = MembershipOptions(period=0.05, answer_within=0.02)
+FAST = MembershipOptions(period=0.05, answer_timeout=0.02)
 KEY = PeerKey("k1", b"1" * 32)
 TEST_TIMEOUT = 20.0
 
@@ -45,7 +45,7 @@
     The address of the first router is a seed of the second.
     """
     one = network("a.1")
-    return one, network("b.1", (one.membership.me.address,), ring)
+    return one, network("b.1", (one.membership.own_update.address,), ring)
 
 
 @asynccontextmanager
--- a/tests/routers/test_listing.py
+++ b/tests/routers/test_listing.py
@@ -31,8 +31,8 @@
     async def run() -> None:
         one, two = network("a.1"), network("b.1")
         entries = [
-            entry("a", one.membership.me.address, "entry"),
-            entry("b", two.membership.me.address, "entry"),
+            entry("a", one.membership.own_update.address, "entry"),
+            entry("b", two.membership.own_update.address, "entry"),
             entry("e", "127.0.0.1:9", "backend"),
         ]
 
@@ -95,7 +95,7 @@
             evolve(update, status=MemberStatus.SUSPECT),
             evolve(update, router="b.2", started=2),
         ):
-            one.membership.learn(changed, anyio.current_time())
+            one.membership.merge_update(changed, anyio.current_time())
 
     with caplog.at_level(logging.INFO):
         anyio.run(run)
--- a/tests/routers/test_network.py
+++ b/tests/routers/test_network.py
@@ -53,8 +53,8 @@
 def test_routers_find_each_other_and_answer(backend: str) -> None:
     async def run() -> None:
         one = network("a.1")
-        two = network("b.1", (one.membership.me.address,))
-        three = network("c.1", (one.membership.me.address,))
+        two = network("b.1", (one.membership.own_update.address,))
+        three = network("c.1", (one.membership.own_update.address,))
         two.handle(TransferRequest, answer)
         async with running(one, two, three):
             await until(lambda: set(one.alive()) == {"b.1", "c.1"})
@@ -119,7 +119,7 @@
         two.handle(TransferRequest, answer)
         async with running(one, two):
             noise = [b"", b"x" * 50, b"\x00" * 3000, b"\x93" * 70_000]
-            address = two.membership.me.address
+            address = two.membership.own_update.address
             await anyio.to_thread.run_sync(push, address, *noise)
             await until(lambda: two.refused["malformed"] >= 3)
             await until(lambda: two.refused["oversized"] == 1)
@@ -167,7 +167,7 @@
     async def run() -> None:
         rings = [KeyRing.load(path) for path in files]
         one = network("a.1", (), rings[0])
-        two = network("b.1", (one.membership.me.address,), rings[1])
+        two = network("b.1", (one.membership.own_update.address,), rings[1])
         async with running(one, two):
             await until(lambda: one.alive() == ("b.1",) and two.alive() == ("a.1",))
             steps = [(0, (new, old)), (1, (new, old)), (0, (new,)), (1, (new,))]
@@ -194,13 +194,15 @@
         async with running(one, two):
             await until(lambda: one.alive() == ("b.1",))
             late = one.envelopes.seal(b"", "b.1", "")
-            two.become("b.2")
-            await anyio.to_thread.run_sync(push, two.membership.me.address, late)
+            two.start_incarnation("b.2")
+            await anyio.to_thread.run_sync(
+                push, two.membership.own_update.address, late
+            )
             await until(lambda: two.refused["other_receiver"] >= 1)
             await until(lambda: one.alive() == ("b.2",))
             old = one.membership.view.members["b.1"]
             assert old.update.status is MemberStatus.GONE
-            assert one.gone() == ("b.1",)
+            assert one.recoverable() == ("b.1",)
 
     anyio.run(run)
 
@@ -219,7 +221,7 @@
             await until(lambda: one.alive() == ("b.1",))
             frame = Frame(Purpose.NOTICE, 0, VersionNotice(3, "d"))
             sealed = one.envelopes.seal(encode(frame), "b.1", "")
-            address = two.membership.me.address
+            address = two.membership.own_update.address
             await anyio.to_thread.run_sync(push, address, sealed, sealed, sealed)
             await until(lambda: two.refused["replayed"] == 2)
             await until(lambda: len(received) > 0)
@@ -266,7 +268,7 @@
 
     async def run() -> None:
         one, two = pair()
-        three = network("c.1", (one.membership.me.address,))
+        three = network("c.1", (one.membership.own_update.address,))
         async with running(one, two):
             async with anyio.create_task_group() as tasks:
                 await tasks.start(three.run)
--- a/tests/stores/test_guard.py
+++ b/tests/stores/test_guard.py
@@ -37,7 +37,7 @@
 )
 
 PUT = Transaction((Absent("a"),), (Put("a", 1),))
-POLICY = GuardPolicy(writes=40.0, reads=100.0, most_wait=5.0)
+POLICY = GuardPolicy(writes=40.0, reads=100.0, max_wait=5.0)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -66,7 +66,7 @@
 
     async def test() -> None:
         table = MemoryTable()
-        client = guarded(table, evolve(POLICY, most_waiting=1000, most_wait=60.0))
+        client = guarded(table, evolve(POLICY, max_waiting=1000, max_wait=60.0))
         view = client.for_class(Priority.BILLS)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(client.run)
@@ -88,7 +88,7 @@
 
     async def test() -> None:
         table = MemoryTable()
-        client = guarded(table, evolve(POLICY, most_wait=1000.0))
+        client = guarded(table, evolve(POLICY, max_wait=1000.0))
         order: list[Priority] = []
 
         async def send_one(priority: Priority, number: int) -> None:
@@ -116,7 +116,7 @@
 def test_full_queue_refuses_without_effect() -> None:
     async def test() -> None:
         table = MemoryTable()
-        policy = evolve(POLICY, writes=1.0, most_waiting=3, most_wait=100.0)
+        policy = evolve(POLICY, writes=1.0, max_waiting=3, max_wait=100.0)
         client = guarded(table, policy)
         view = client.for_class(Priority.BILLS)
         refused = 0
@@ -173,7 +173,7 @@
 def test_retries_add_at_most_a_tenth_of_the_calls() -> None:
     async def test() -> None:
         table = MemoryTable(faults=Faults(down=True))
-        policy = evolve(POLICY, breaker=BreakerPolicy(least_calls=10_000))
+        policy = evolve(POLICY, breaker=BreakerPolicy(min_calls=10_000))
         client = guarded(table, policy)
         view = client.for_class(Priority.BUDGETS)
         for _ in range(200):
@@ -195,7 +195,7 @@
 
     async def test() -> None:
         table = MemoryTable(faults=Faults(down=True))
-        client = guarded(table, evolve(POLICY, most_retries=0))
+        client = guarded(table, evolve(POLICY, max_retries=0))
         view = client.for_class(Priority.INTENTS)
         for _ in range(600):
             with suppress(UnavailableError):
@@ -224,7 +224,7 @@
     async def test() -> None:
         table = MemoryTable.limited(writes=400, reads=2000)
         done: Counter[int] = Counter()
-        policy = evolve(POLICY, writes=200.0, most_retries=0)
+        policy = evolve(POLICY, writes=200.0, max_retries=0)
 
         async def router(number: int) -> None:
             client = GuardedTable(table, Guard(policy, random.Random(number)))
@@ -253,7 +253,7 @@
 
     async def test() -> None:
         table = MemoryTable()
-        client = guarded(table, evolve(POLICY, writes=1.0, most_in_flight=1))
+        client = guarded(table, evolve(POLICY, writes=1.0, max_in_flight=1))
         view = client.for_class(Priority.BILLS)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(client.run)
@@ -269,7 +269,7 @@
             await view.commit(write("last"))
             tasks.cancel_scope.cancel()
         assert list(table.rows) == ["first", "last"]
-        assert client.guard.writes.turnstile.in_flight == 0
+        assert client.guard.writes.queue.in_flight == 0
 
     run(test)
 
