--- a/ebonyhold/coordination/_attempts.py
+++ b/ebonyhold/coordination/_attempts.py
@@ -68,7 +68,9 @@
 
 
 def run_of(attempt: AttemptId) -> str:
-    """Return the run of an attempt; all attempts of a run share one hold and one bill.
+    """Return the run of an attempt.
+
+    A run is one execution of a request; its attempts share one hold and one bill.
 
     >>> run_of("r1.7~3~2")
     'r1.7~3'
--- a/ebonyhold/coordination/_bills.py
+++ b/ebonyhold/coordination/_bills.py
@@ -166,8 +166,8 @@
     if row is None:
         return FilingDecision.FILE
     if row.state is RequestState.RUNNING:
-        # The claim may be that of another run, which has not ended and may still
-        # execute the request.
+        # The row may be the claim of another run, which may still execute the
+        # request.  The bill of a run that did not must not replace that claim.
         by_another_run = run_of(row.attempt) != run_of(bill.attempt)
         if by_another_run and bill.state is RequestState.NOT_RUN:
             return FilingDecision.LEAVE
--- a/ebonyhold/coordination/_choice.py
+++ b/ebonyhold/coordination/_choice.py
@@ -45,7 +45,7 @@
 
     @property
     def load(self) -> int:
-        """The reported load, corrected by this router's requests since the report."""
+        """The reported load, with this router's part replaced by its current one."""
         others = max(0, self.reported - self.own_at_report)
         return others + self.own
 
@@ -150,7 +150,7 @@
 
 @choice_policy("two_choices")
 class TwoChoices:
-    """Chooses one of two random candidates, by the corrected load per slot."""
+    """Chooses the one of two random candidates with the lower load per slot."""
 
     def choose(
         self, need: Need, candidates: Sequence[Candidate], rng: random.Random
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -117,7 +117,7 @@
     """Draws the tokens of each request from the table, and returns unused ones."""
 
     def size(self, view: GrantView) -> GrantSize:
-        """Return a draw of the needed tokens, or a give-back of all available ones."""
+        """Return a draw of the needed tokens, or a return of all available ones."""
         if view.need:
             return GrantSize(draw=view.need)
         return GrantSize(give_back=view.available)
--- a/ebonyhold/coordination/_startup.py
+++ b/ebonyhold/coordination/_startup.py
@@ -44,8 +44,9 @@
         """Return the wait before the first call, in seconds.
 
         Args:
-            listed: Routers in the platform's list, or None if it could not be read.
-            alive: Routers that have answered this one.
+            listed: Number of routers in the platform's list, or None if it could not be
+                read.
+            alive: Number of routers that have answered this one.
             chance: A random number from 0 to 1, drawn by the caller.
 
         >>> StartupPolicy().first_wait(listed=330, alive=300, chance=0.5)
--- a/ebonyhold/forwarding/_channel.py
+++ b/ebonyhold/forwarding/_channel.py
@@ -222,7 +222,7 @@
         rest, ended = self.parser.trailing_data
         self.parser = h11.Connection(h11.CLIENT)
         if self.request is None or ended:
-            raise BackendLostError("the connection ended after a stray answer")
+            raise BackendLostError("only an answer to another request arrived")
         # The request was sent already. Its bytes are not needed here, only the effect
         # of `encode` on the state of the new parser.
         self.encode(self.request)
--- a/ebonyhold/forwarding/_exchange.py
+++ b/ebonyhold/forwarding/_exchange.py
@@ -118,7 +118,7 @@
         return self.sends < self.match.route.max_attempts
 
     async def deliver(self, answer: WholeAnswer) -> None:
-        """Pass on a complete answer, without the fields of the server's connection."""
+        """Pass on a complete answer without its hop-by-hop header fields."""
         fields = end_to_end(answer.head.headers)
         if answer.head.status in BODILESS or self.head.method == b"HEAD":
             await self.deliver_bodiless(answer.head.status, fields)
--- a/ebonyhold/forwarding/_work.py
+++ b/ebonyhold/forwarding/_work.py
@@ -22,8 +22,8 @@
 CACHED_FOR: Seconds = 10.0
 """How long a server is assumed to cache a shared prompt part that it was sent.
 
-A server's memory holds the prompts of about a minute; the least recently used prompts
-are evicted.
+A server's memory holds the prompts of about the last minute, and the least recently
+used are evicted first. A part sent this recently should therefore still be cached.
 """
 
 MAX_KEYS = 1024
@@ -74,7 +74,7 @@
         return self.unread + self.resident * RESIDENT_WORK
 
     def has_cached(self, key: str, now: Seconds) -> bool:
-        """Return whether the server was sent a shared prompt part within CACHED_FOR."""
+        """Return whether a shared part was sent in the last CACHED_FOR seconds."""
         return now - self.sent.get(key, -CACHED_FOR) < CACHED_FOR
 
     def begin(self, request: CallerRequest, now: Seconds) -> RequestWork:
--- a/ebonyhold/money/_journal.py
+++ b/ebonyhold/money/_journal.py
@@ -92,7 +92,10 @@
 
 @frozen
 class _Pin:
-    """Name of a run or transfer whose segments are kept until it is settled."""
+    """A run or transfer whose segments are kept until it is settled.
+
+    A run is one execution of a request.
+    """
 
     name: str
 
@@ -115,8 +118,8 @@
             the incarnation is closed.
         appended: Number of entries made durable.
         segments: Number of segments written, by target.
-        pins: Names of the runs and transfers for which a segment is kept in the table,
-            by the segment's number.
+        pins: Names of the runs (executions of requests) and transfers for which a
+            segment is kept in the table, by the segment's number.
         pinned: Numbers of the segments kept for a run or transfer, by its name.
         deletable: Numbers of the segments that the next appends may delete.
         random: Source of random delays for all tasks of this incarnation.
--- a/ebonyhold/money/_operators.py
+++ b/ebonyhold/money/_operators.py
@@ -84,7 +84,7 @@
 async def top_up(
     table: Table, workspace: WorkspaceName, key: str, amount: Tokens, operator: str = ""
 ) -> bool:
-    """Add prepaid tokens to a workspace's budget, once for each key.
+    """Add prepaid tokens to a workspace's budget, at most once per key.
 
     Returns:
         Whether this call made the top-up; False if an earlier call with the key did.
@@ -114,7 +114,7 @@
     amount: Tokens,
     operator: str = "",
 ) -> bool:
-    """Return all or part of a request's charge to the budget, once for each key.
+    """Return all or part of a request's charge to the budget, at most once per key.
 
     Returns:
         Whether this call made the refund; False if an earlier call with the key did.
--- a/ebonyhold/money/_retention.py
+++ b/ebonyhold/money/_retention.py
@@ -49,7 +49,7 @@
 
 @frozen
 class Retention:
-    """Deletes old bills, ended transfers and closed routers.
+    """Deletes the rows of old bills, ended transfers and closed routers.
 
     Several routers may do so at once: each deletion is conditional on the row being
     unchanged since it was read.
--- a/ebonyhold/money/_upkeep.py
+++ b/ebonyhold/money/_upkeep.py
@@ -1,4 +1,4 @@
-"""The task that returns lost transfers and deletes expired rows."""
+"""The task that returns tokens of lost transfers and deletes expired rows."""
 
 from __future__ import annotations
 
--- a/ebonyhold/money/_workspace_grant.py
+++ b/ebonyhold/money/_workspace_grant.py
@@ -39,7 +39,7 @@
 from ebonyhold.types import RouterId, Seconds, Tokens, WorkspaceName
 
 MAX_SETTLEMENTS = 50
-"""Maximum settlements in a row, before waiting requests may be refused."""
+"""Maximum consecutive settlements before waiting requests may be refused."""
 
 MAX_SETTLE_TRIES = 8
 """Maximum tries of one settlement that conflicts with other writers."""
--- a/ebonyhold/prepaid/_allowance.py
+++ b/ebonyhold/prepaid/_allowance.py
@@ -31,7 +31,7 @@
 
 
 HEADROOM_RENEWALS = 4.0
-"""Number of renewal delays for which the headroom covers the expected demand."""
+"""The headroom covers the demand expected during this many renewal delays."""
 
 MAX_HEADROOM = 2.0
 """Maximum headroom of a limit, in requests of the typical size."""
@@ -48,7 +48,7 @@
         rate: Expected demand, in tokens per second.
         typical: Typical request size, in tokens.
         cover: Tokens that should be available when an outage begins.
-        horizon: Length of the outage for which `cover` and `later_rate` are computed.
+        horizon: Length of the outage for which `cover` and the later rate are computed.
         level: Unspent fraction of the budget.
         delay: Typical time until a renewal is acknowledged.
     """
--- a/ebonyhold/prepaid/_holders.py
+++ b/ebonyhold/prepaid/_holders.py
@@ -33,7 +33,7 @@
 MIN_HOLDERS = 6
 """Minimum number of holders of a workspace in a fleet above `SMALL_FLEET`.
 
-The number is rounded up to the same number in each failure domain.
+Each failure domain gets the same number of holders, so the total may be higher.
 """
 
 
--- a/ebonyhold/prepaid/_limits.py
+++ b/ebonyhold/prepaid/_limits.py
@@ -140,7 +140,12 @@
     def not_lowered(
         self, workspace: WorkspaceName, limit: SpendingLimit, now: Seconds
     ) -> SpendingLimit:
-        """Return a limit raised to the current limit and to the highest rates sent."""
+        """Return a limit that is raised where an earlier renewal allows more.
+
+        Its ceiling is at least the current limit.  Its rates are at least those of each
+        renewal that a successor may find, but after `EARLY_PERIOD` the later rate
+        replaces the early one.
+        """
         sent = [r.limits.get(workspace, ZERO_LIMIT) for r in self.possible]
         later = max(limit.later_rate, *(s.later_rate for s in sent))
         early = max(limit.early_rate, *(s.early_rate for s in sent))
--- a/tests/forwarding/test_attempts.py
+++ b/tests/forwarding/test_attempts.py
@@ -90,7 +90,7 @@
 
 
 BAD_ONCE = [
-    # script, status of a safe request, of an unsafe one (with a good server as well)
+    # script of one server (the other is good), status of a safe and an unsafe request
     (good, 200, 200),
     (fails, 200, 500),
     (declines, 200, 200),
--- a/tests/forwarding/test_decisions.py
+++ b/tests/forwarding/test_decisions.py
@@ -136,7 +136,8 @@
 
 
 LOADS = [
-    # prompt tokens of others at the first server, and whether it gets the next prompt
+    # prompt tokens of other requests at the first server, and whether that server is
+    # chosen again
     (0, True),
     (700, True),
     (1_100, False),
--- a/tests/prepaid/test_holder_histories.py
+++ b/tests/prepaid/test_holder_histories.py
@@ -1,7 +1,7 @@
 """Random sequences with holds at other routers never overspend.
 
-Any router is asked for holds, whether it is a holder or not.  Answers and settlements
-are lost, delayed or repeated, and routers at both ends are killed.
+Holds are requested from any router, whether it is a holder or not.  Answers and
+settlements are lost, delayed or repeated, and routers at both ends are killed.
 """
 
 from __future__ import annotations
