--- a/ebonyhold/backends/_table.py
+++ b/ebonyhold/backends/_table.py
@@ -154,9 +154,9 @@
     def update_leaving(self, name: BackendName, leaving: bool) -> None:
         """Record in the fleet view whether a server reports that it is leaving."""
         if leaving:
-            self.fleet.reported.add(name)
+            self.fleet.reported_leaving.add(name)
         else:
-            self.fleet.reported.discard(name)
+            self.fleet.reported_leaving.discard(name)
 
     def refresh(self) -> None:
         """Update the states and the working set to the current document.
--- a/ebonyhold/experiments/_memory_fleet.py
+++ b/ebonyhold/experiments/_memory_fleet.py
@@ -196,7 +196,7 @@
 class Router:
     """One router of the fleet: its money and the scope that ends it."""
 
-    treasury: GrantManager
+    grant_manager: GrantManager
     scope: anyio.CancelScope
 
     def die(self) -> None:
--- a/ebonyhold/experiments/_runs.py
+++ b/ebonyhold/experiments/_runs.py
@@ -166,7 +166,7 @@
 
 def available(slot: Slot) -> Tokens:
     """Return the tokens that lie unused in a router's grants."""
-    grants = slot.treasury.grants.values()
+    grants = slot.grant_manager.grants.values()
     return sum(grant.ledger.available for grant in grants)
 
 
--- a/ebonyhold/experiments/budget_holders.py
+++ b/ebonyhold/experiments/budget_holders.py
@@ -106,7 +106,7 @@
         """Return which others may have tokens of a workspace, some of many."""
         names = (
             self.fleet.routers[self.router]
-            .treasury.holder_table.holders(workspace)
+            .grant_manager.holder_table.holders(workspace)
             .names
         )
         able = [name for name in names if name != self.router]
@@ -117,7 +117,9 @@
         asked = self.others(workspace)
         self.fleet.counts.messages += len(asked)
         await anyio.sleep(MESSAGE)
-        grants = ((p, self.fleet.routers[p].treasury.grant(workspace)) for p in asked)
+        grants = (
+            (p, self.fleet.routers[p].grant_manager.grant(workspace)) for p in asked
+        )
         return [Offer(peer, a.offer) for peer, a in grants if a is not None]
 
     async def transfer(
@@ -126,7 +128,7 @@
         """Have one of them pass tokens on."""
         self.fleet.counts.messages += 1
         await anyio.sleep(MESSAGE)
-        grant = self.fleet.routers[peer].treasury.grant(workspace)
+        grant = self.fleet.routers[peer].grant_manager.grant(workspace)
         return await grant.give(amount) if grant is not None else 0
 
     async def hold(self, peer: str, wanted: WantedHold) -> HoldOutcome:
@@ -145,7 +147,7 @@
 class ModelRouter:
     """One router of a model."""
 
-    treasury: GrantManager
+    grant_manager: GrantManager
     renewals: Renewals
     lent: RemoteHolds
 
@@ -211,7 +213,7 @@
         async with anyio.create_task_group() as tasks:
             for router in self.routers.values():
                 tasks.start_soon(router.renewals.run)
-                tasks.start_soon(router.treasury.run)
+                tasks.start_soon(router.grant_manager.run)
             await anyio.sleep(LEAD)
             async with anyio.create_task_group() as requests:
                 until = anyio.current_time() + PLAYED
@@ -224,7 +226,7 @@
 
     def held_by(self, router: ModelRouter) -> Tokens:
         """Return the tokens that are free at one router."""
-        grants = router.treasury.grants.values()
+        grants = router.grant_manager.grants.values()
         return sum(grant.state.ledger.available for grant in grants)
 
     async def request(self) -> None:
@@ -235,7 +237,7 @@
         most = prompt + MOST_ANSWER
         self.counts.requests += 1
         covered = self.unspent[workspace] >= most
-        hold = router.treasury.open_hold(workspace)
+        hold = router.grant_manager.open_hold(workspace)
         assert isinstance(hold, RequestHold)
         try:
             await hold.hold(most, "r")
--- a/ebonyhold/experiments/money_policies.py
+++ b/ebonyhold/experiments/money_policies.py
@@ -119,7 +119,7 @@
     """One place behind the balancer, and the router that fills it now."""
 
     number: int
-    treasury: GrantManager
+    grant_manager: GrantManager
     table: CountingTable
     objects: MemoryObjects
     lives: int = 1
@@ -188,7 +188,9 @@
         name = f"{one.at:.6f}"
         started = anyio.current_time()
         try:
-            permit = await slot.treasury.begin(order(one.workspace, name, one.hold))
+            permit = await slot.grant_manager.begin(
+                order(one.workspace, name, one.hold)
+            )
         except EbonyholdError:
             self.refuse(one, truth)
             return
@@ -202,8 +204,8 @@
         self.overspend = max(self.overspend, truth.spent - truth.prepaid)
         rest = one.charge - one.charge // 2
         self.fleet.engine.progress(permit.attempt, rest, last=True)
-        if slot.treasury.router in self.fleet.routers:
-            await slot.treasury.finish(permit, ended(permit, one.charge))
+        if slot.grant_manager.router in self.fleet.routers:
+            await slot.grant_manager.finish(permit, ended(permit, one.charge))
 
     def refuse(self, one: Arrival, truth: Truth) -> None:
         """Count a refusal, and whether an all-knowing router would have served."""
@@ -216,7 +218,7 @@
         """Look at the grants every now and then."""
         while anyio.current_time() < origin + self.scenario.length:
             await anyio.sleep(SAMPLE)
-            idle = [(slot, _available(slot.treasury)) for slot in self.slots]
+            idle = [(slot, _available(slot.grant_manager)) for slot in self.slots]
             self.idle.append(sum(tokens for _, tokens in idle))
             lost = sum(tokens for slot, tokens in idle if slot.cut or not slot.up)
             self.stranded = max(self.stranded, lost)
@@ -251,12 +253,14 @@
         for slot in unlucky:
             slot.cut = slot.table.faults.down = True
             for other in lucky:
-                self.fleet.network.part(slot.treasury.router, other.treasury.router)
+                self.fleet.network.part(
+                    slot.grant_manager.router, other.grant_manager.router
+                )
 
     async def die(self, slot: Slot) -> None:
         """End a router without notice, recover it, and start another."""
         slot.up = False
-        name = slot.treasury.router
+        name = slot.grant_manager.router
         self.fleet.kill(name)
         await anyio.sleep(DEATH_NOTICED)
         await self.fleet.recover(name, by="survivor")
@@ -267,8 +271,8 @@
         slot.up = False
         await anyio.sleep(LONGEST_REQUEST)
         with suppress(EbonyholdError), anyio.move_on_after(30):
-            await slot.treasury.drain()
-        self.fleet.kill(slot.treasury.router)
+            await slot.grant_manager.drain()
+        self.fleet.kill(slot.grant_manager.router)
         self.slots[slot.number] = await self.slot(slot.number, slot.lives + 1)
 
 
--- a/ebonyhold/fleet.py
+++ b/ebonyhold/fleet.py
@@ -24,7 +24,8 @@
         version: The document's version; 0 before there is one.
         domain: The failure domain of this router.
         leaving: Backend servers that the membership list marks as leaving.
-        reported: Backend servers whose latest load report marks them as leaving.
+        reported_leaving: Backend servers whose latest load report marks them as
+            leaving.
         wall_clock: Returns the seconds since the epoch, for planned stops.
         planned_stops: The document's planned stops; times in seconds since the epoch.
     """
@@ -33,7 +34,7 @@
     version: int = 0
     domain: str = ""
     leaving: frozenset[BackendName] = frozenset()
-    reported: set[BackendName] = field(factory=set)
+    reported_leaving: set[BackendName] = field(factory=set)
     wall_clock: Callable[[], Seconds] = time.time
     planned_stops: tuple[PlannedStop, ...] = field(init=False, factory=tuple)
 
@@ -42,7 +43,7 @@
         self.adopt(self.document, self.version)
 
     def adopt(self, document: Document, version: int) -> None:
-        """Put a document into force, and drop `reported` servers that it lacks."""
+        """Use a document, and drop `reported_leaving` servers that it lacks."""
         self.document = document
         self.version = version
         self.planned_stops = tuple(
@@ -56,7 +57,7 @@
             for stop in document.stops
         )
         known = {backend.name for backend in document.backends}
-        self.reported &= known
+        self.reported_leaving &= known
 
     def accepts(self, backend: Backend) -> bool:
         """Return whether new work may go to a backend server now.
@@ -65,7 +66,7 @@
         the document's planned stops by this router's clock, the membership list, and
         the server's own load reports.
         """
-        if backend.name in self.leaving or backend.name in self.reported:
+        if backend.name in self.leaving or backend.name in self.reported_leaving:
             return False
         now = self.wall_clock()
         return not is_stopped(self.planned_stops, backend.name, backend.domain, now)
--- a/ebonyhold/gateway/_gateway.py
+++ b/ebonyhold/gateway/_gateway.py
@@ -64,7 +64,7 @@
         platform: Settings, store and decoders of the platform.
         began_at: Start of the process, by the monotonic clock.
         incarnation: Identifier of this run of the process.
-        departure: Decides which requests are accepted while the process stops.
+        shutdown: Decides which requests are accepted while the process stops.
         draining: Whether the stop has begun.
     """
 
@@ -76,12 +76,12 @@
     peers: GatewayPeers = field(init=False)
     holders: GatewayHolders = field(init=False)
     renewals: Renewals = field(init=False)
-    treasury: GrantManager = field(init=False)
+    grant_manager: GrantManager = field(init=False)
     rules_watcher: Watcher = field(init=False)
     servers_watcher: Watcher = field(init=False)
     listener: CallerListener = field(init=False)
     pressure: PressureMonitor = field(init=False)
-    departure: Shutdown = field(init=False)
+    shutdown: Shutdown = field(init=False)
     metrics: GatewayMetrics = field(factory=GatewayMetrics)
     pool: ChannelPool | None = None
     draining: bool = False
@@ -91,7 +91,7 @@
         store = platform.store
         self.incarnation = new_incarnation(platform.settings.name)
         self.routing = RoutingState(platform)
-        self.departure = Shutdown(on_late_request=self.metrics.count_late)
+        self.shutdown = Shutdown(on_late_request=self.metrics.count_late)
         name = platform.settings.name
         port = platform.settings.peers_port
         own_address = f"{platform.settings.host}:{port}" if port else ""
@@ -113,10 +113,10 @@
             name,
             platform.settings.host,
             self.incarnation,
-            lambda: self.treasury.wanted_limits(),
+            lambda: self.grant_manager.wanted_limits(),
             self.began_at,
         )
-        self.treasury = GrantManager(
+        self.grant_manager = GrantManager(
             self.incarnation,
             store,
             self.routing.prepaid,
@@ -162,7 +162,7 @@
             supervisor.start("servers", self.servers_watcher.run)
             supervisor.start("renewals", self.renewals.run)
             supervisor.start("presence", self.presence.run)
-            supervisor.start("treasury", self.treasury.run)
+            supervisor.start("treasury", self.grant_manager.run)
             supervisor.start("settlements", self.holders.run)
             supervisor.start("expiry", self.expire_servers)
             supervisor.start("reclaim", self.reclaim)
@@ -177,7 +177,7 @@
             supervisor.start("stop", self.stop, tasks)
 
         supervisor = Supervisor(tasks, self.metrics.count_task_failure, stop)
-        self.treasury.guard = partial(supervisor.guard, "return")
+        self.grant_manager.guard = partial(supervisor.guard, "return")
         return supervisor
 
     def start_listeners(self, tasks: TaskGroup, supervisor: Supervisor) -> None:
@@ -194,10 +194,10 @@
             pool=self.pool,
             retries=FleetRetryBudget(settings.retry_rules, self.presence.count),
             rules=self.current_rules,
-            open_hold=self.treasury.open_hold,
+            open_hold=self.grant_manager.open_hold,
             on_end=self.metrics.count_request,
             ages=self.ages,
-            shutdown=self.departure,
+            shutdown=self.shutdown,
         )
         guard = partial(supervisor.guard, "caller connection")
         self.listener = CallerListener(
@@ -214,8 +214,10 @@
         supervisor.start("readiness", listen, readiness, settings.readiness, tasks)
         supervisor.start("metrics", listen, metrics, metrics_address, tasks)
         if settings.peers_port:
-            remote_holds = RemoteHolds(self.treasury.grant, lambda: self.draining)
-            handler = PeerHandler(TransferHandler(self.treasury.grant), remote_holds)
+            remote_holds = RemoteHolds(self.grant_manager.grant, lambda: self.draining)
+            handler = PeerHandler(
+                TransferHandler(self.grant_manager.grant), remote_holds
+            )
             peer_listener = CallerListener(handler.serve, lambda: PEER_LIMITS, guard)
             address = (settings.host, settings.peers_port)
             supervisor.start("transfers", listen, peer_listener, address, tasks)
@@ -273,7 +275,7 @@
         for entry in self.routing.backends.entries.values():
             backend = entry.backend
             self.metrics.servers.labels(backend.service, backend.state.value).inc()
-        for grant in self.treasury.grants.values():
+        for grant in self.grant_manager.grants.values():
             ledger = grant.state.ledger
             name = grant.workspace
             self.metrics.tokens.labels(name, "available").set(ledger.available)
@@ -292,7 +294,7 @@
         """
         await self.renewals.started.wait()
         for predecessor in self.renewals.unreclaimed:
-            if await self.treasury.reclaim(predecessor):
+            if await self.grant_manager.reclaim(predecessor):
                 self.renewals.reclaimed(predecessor.router)
 
     async def expire_servers(self) -> None:
@@ -318,7 +320,7 @@
         if self.draining:
             return
         self.draining = True
-        stop = GatewayStop(self.listener, self.departure, self.treasury, self.leave)
+        stop = GatewayStop(self.listener, self.shutdown, self.grant_manager, self.leave)
         await stop.run(self.platform.settings.grace)
         with anyio.move_on_after(FINAL_SETTLEMENT_TIMEOUT):
             await self.holders.send_all()
--- a/ebonyhold/gateway/_stop.py
+++ b/ebonyhold/gateway/_stop.py
@@ -109,13 +109,13 @@
 
     Attributes:
         listener: Serves the callers' connections.
-        departure: Decides which late requests are accepted.
+        shutdown: Decides which late requests are accepted.
         grants: The grants, which are returned before the exit.
         leave: Removes this router's rows from the store.
     """
 
     listener: CallerListener
-    departure: Shutdown
+    shutdown: Shutdown
     grants: Grants
     leave: Callable[[], Awaitable[None]]
 
@@ -126,10 +126,10 @@
             grace: Time from now to the kill, in seconds.
         """
         times = StopTimes(anyio.current_time(), grace)
-        self.departure.begin(times.last_answer_at)
+        self.shutdown.begin(times.last_answer_at)
         self.listener.start_draining()
         await anyio.sleep(min(LEAVE_ROTATION, grace / 2))
-        self.departure.stage = Stage.LEAVING
+        self.shutdown.stage = Stage.LEAVING
         with anyio.CancelScope(deadline=times.early_return_at):
             await self.listener.until_idle()
         await self.return_early(times)
@@ -139,7 +139,7 @@
 
     async def return_early(self, times: StopTimes) -> None:
         """Refuse requests that need tokens from now on, and return available tokens."""
-        self.departure.stage = Stage.RETURNING
+        self.shutdown.stage = Stage.RETURNING
         await self.grants.close(times.last_answer_at - anyio.current_time())
 
     async def end_requests(self, times: StopTimes) -> None:
@@ -150,13 +150,13 @@
         """
         with anyio.CancelScope(deadline=times.last_answer_at):
             await self.listener.until_idle()
-        self.departure.stage = Stage.OVER
+        self.shutdown.stage = Stage.OVER
         with anyio.move_on_after(LAST_ANSWERS_TIMEOUT):
             await self.listener.until_idle()
         fields = {
             "left": self.listener.open_requests,
-            "late_taken": self.departure.taken,
-            "late_refused": self.departure.refused,
+            "late_taken": self.shutdown.taken,
+            "late_refused": self.shutdown.refused,
         }
         log.info("requests ended", extra=fields)
 
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -295,11 +295,11 @@
     """Serves other gateways' requests for tokens.
 
     Attributes:
-        account: Returns a workspace's grant; None if the workspace has no prepaid
+        grant: Returns a workspace's grant; None if the workspace has no prepaid
             budget.
     """
 
-    account: Callable[[WorkspaceName], WorkspaceGrant | None]
+    grant: Callable[[WorkspaceName], WorkspaceGrant | None]
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
@@ -322,7 +322,7 @@
 
         The answer contains 0 for both if this gateway has no grant of the workspace.
         """
-        grant = self.account(request.workspace)
+        grant = self.grant(request.workspace)
         if grant is None:
             return TransferAnswer()
         given = 0
--- a/ebonyhold/routers/_exchange.py
+++ b/ebonyhold/routers/_exchange.py
@@ -13,7 +13,7 @@
 from ebonyhold.exceptions import PeerError
 from ebonyhold.routers._interface import Handler, Reply
 from ebonyhold.routers._registry import PeerMessage
-from ebonyhold.tracing import inner_hop
+from ebonyhold.tracing import hop_in_trace
 from ebonyhold.types import RouterId, Seconds
 
 logger = logging.getLogger(__name__)
@@ -116,7 +116,7 @@
         self.pending[number] = request
         try:
             name = f"peer {type(message).__name__}"
-            with inner_hop(name), anyio.move_on_after(timeout):
+            with hop_in_trace(name), anyio.move_on_after(timeout):
                 await self.transmit(to, Frame(Purpose.QUESTION, number, message))
                 await request.answered.wait()
         finally:
--- a/ebonyhold/stores/_http.py
+++ b/ebonyhold/stores/_http.py
@@ -17,7 +17,7 @@
     UnavailableError,
     UnknownOutcomeError,
 )
-from ebonyhold.tracing import context_headers, inner_hop
+from ebonyhold.tracing import context_headers, hop_in_trace
 from ebonyhold.types import Seconds
 
 DEFAULT_TIMEOUT = 2.0
@@ -161,7 +161,7 @@
             UnknownOutcomeError: The call is a write and may have taken effect.
         """
         try:
-            with inner_hop(f"platform {call.name}"), anyio.fail_after(self.timeout):
+            with hop_in_trace(f"platform {call.name}"), anyio.fail_after(self.timeout):
                 answer = await self.exchange(call)
         except NOT_SENT as error:
             raise UnavailableError(f"no connection: {error!r}") from error
--- a/ebonyhold/tracing.py
+++ b/ebonyhold/tracing.py
@@ -95,7 +95,7 @@
 
 
 @contextmanager
-def inner_hop(name: str) -> Iterator[None]:
+def hop_in_trace(name: str) -> Iterator[None]:
     """Record a span for a call to another service if a trace is open.
 
     Background polls make such calls many times a second, outside of traces. A new
--- a/tests/gateway/interleaving.py
+++ b/tests/gateway/interleaving.py
@@ -488,7 +488,7 @@
         if row is None:
             return []
         budget = from_json(row.value, PrepaidRow).budget
-        grant = self.gateway.treasury.grants[name]
+        grant = self.gateway.grant_manager.grants[name]
         charged = grant.state.charged
         violations = []
         if budget.outstanding:
--- a/tests/gateway/test_holds.py
+++ b/tests/gateway/test_holds.py
@@ -32,7 +32,7 @@
 
 
 @define(eq=False)
-class FakeAccount:
+class FakeGrant:
     """A grant of 500 tokens that raises the given error when it has too few."""
 
     ledger: GrantLedger = field(factory=lambda: GrantLedger(available=500))
@@ -49,12 +49,12 @@
 
 
 @asynccontextmanager
-async def serving_holder(account: FakeAccount) -> AsyncIterator[GatewayHolders]:
+async def serving_holder(grant: FakeGrant) -> AsyncIterator[GatewayHolders]:
     """Serve holds of "acme" from a grant, and yield a client for them."""
     port = free_port()
 
-    def find(name: str) -> FakeAccount | None:
-        return account if name == "acme" else None
+    def find(name: str) -> FakeGrant | None:
+        return grant if name == "acme" else None
 
     remote_holds = RemoteHolds(find, lambda: False)  # type: ignore[arg-type]
     handler = PeerHandler(TransferHandler(find), remote_holds)  # type: ignore[arg-type]
@@ -91,14 +91,14 @@
 async def test_holder_answers_hold_request(
     workspace: str, amount: int, error: type[Exception], outcome: HoldOutcome
 ) -> None:
-    async with serving_holder(FakeAccount(error=error)) as holders:
+    async with serving_holder(FakeGrant(error=error)) as holders:
         wanted = WantedHold("vm-1.a/1", workspace, amount, "r")
         assert await holders.hold("vm-2", wanted) is outcome
 
 
 async def test_hold_requests_share_a_connection() -> None:
     """With a new connection for each request, the processor time would double."""
-    async with serving_holder(FakeAccount()) as holders:
+    async with serving_holder(FakeGrant()) as holders:
         for number in range(3):
             wanted = WantedHold(f"vm-1.a/{number}", "acme", 10, "r")
             await holders.hold("vm-2", wanted)
@@ -110,14 +110,14 @@
 
 
 async def test_holder_receives_settlements() -> None:
-    account = FakeAccount()
-    async with serving_holder(account) as holders:
+    grant = FakeGrant()
+    async with serving_holder(grant) as holders:
         for number in range(3):
             wanted = WantedHold(f"vm-1.a/{number}", "acme", 100, "r")
             assert await holders.hold("vm-2", wanted) is HoldOutcome.HELD
             holders.settle("vm-2", wanted.hold, 40)
-        await wait_until(lambda: account.ledger.held == 0)
-        assert account.ledger.available == 500 - 3 * 40
+        await wait_until(lambda: grant.ledger.held == 0)
+        assert grant.ledger.available == 500 - 3 * 40
         await wait_until(lambda: not holders.pending)
 
 
@@ -134,14 +134,14 @@
 
 @pytest.mark.parametrize(("target", "body"), MALFORMED)
 async def test_malformed_message_is_refused(target: bytes, body: bytes) -> None:
-    account = FakeAccount()
-    async with serving_holder(account) as holders:
+    grant = FakeGrant()
+    async with serving_holder(grant) as holders:
         host, _, port = holders.peers.addresses()["vm-2"].rpartition(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             head = b"POST %s HTTP/1.1\r\nhost: h\r\ncontent-length: %d\r\n\r\n"
             await stream.send(head % (target, len(body)) + body)
             assert b" 400 " in (await stream.receive()).partition(b"\r\n")[0]
-    assert account.ledger.held == 0
+    assert grant.ledger.held == 0
 
 
 async def no_answer(stream: ByteStream) -> None:
@@ -189,17 +189,17 @@
 
     If it were not sent again, the holder would charge the request's maximum cost.
     """
-    account = FakeAccount()
-    async with serving_holder(account) as holders:
+    grant = FakeGrant()
+    async with serving_holder(grant) as holders:
         wanted = WantedHold("vm-1.a/1", "acme", 300, "r")
         assert await holders.hold("vm-2", wanted) is HoldOutcome.HELD
         addresses = holders.peers.addresses
         holders.peers.addresses = dict
         holders.settle("vm-2", wanted.hold, 100)
         await anyio.sleep(0.3)
-        assert account.ledger.held == 300
+        assert grant.ledger.held == 300
         holders.peers.addresses = addresses
-        await wait_until(lambda: account.ledger.available == 400)
+        await wait_until(lambda: grant.ledger.available == 400)
 
 
 async def test_concurrent_settlements_to_one_holder() -> None:
@@ -207,8 +207,8 @@
 
     An error in such a task would make the gateway's stop fail.
     """
-    account = FakeAccount()
-    async with serving_holder(account) as holders:
+    grant = FakeGrant()
+    async with serving_holder(grant) as holders:
         wanted = WantedHold("vm-1.a/1", "acme", 300, "r")
         assert await holders.hold("vm-2", wanted) is HoldOutcome.HELD
         holders.settle("vm-2", wanted.hold, 100)
@@ -217,5 +217,5 @@
                 tasks.start_soon(holders.send_pending, "vm-2")
             tasks.start_soon(holders.send_pending, "vm-3")
         await holders.send_pending("vm-2")
-        assert account.ledger.available == 400
+        assert grant.ledger.available == 400
         assert not holders.pending
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -84,7 +84,7 @@
 
     work: float = 0.0
     port: int = field(factory=free_port)
-    departure: Shutdown = field(factory=Shutdown)
+    shutdown: Shutdown = field(factory=Shutdown)
     grants: SlowGrants = field(factory=SlowGrants)
     listener: CallerListener = field(init=False)
     served: list[bytes] = field(factory=list)
@@ -98,7 +98,7 @@
     ) -> None:
         """Answer after `work` seconds; refuse with 503 in the stop's last stage."""
         del body
-        if self.departure.stage is Stage.OVER:
+        if self.shutdown.stage is Stage.OVER:
             await connection.answer(503, [], b"")
             return
         await anyio.sleep(self.work)
@@ -116,7 +116,7 @@
     async def stop(self) -> float:
         """Run the stop, and return its duration in seconds."""
         began = anyio.current_time()
-        stop = GatewayStop(self.listener, self.departure, self.grants, self.leave)
+        stop = GatewayStop(self.listener, self.shutdown, self.grants, self.leave)
         await stop.run(GRACE)
         return anyio.current_time() - began
 
@@ -237,8 +237,8 @@
     for _ in range(CLOSE_COUNT):
         async with stopping() as rig:
             rig.listener.start_draining()
-            rig.departure.stage = Stage.OVER
-            stop = GatewayStop(rig.listener, rig.departure, rig.grants, rig.leave)
+            rig.shutdown.stage = Stage.OVER
+            stop = GatewayStop(rig.listener, rig.shutdown, rig.grants, rig.leave)
             at = time.monotonic() + 0.02
             requested_at = at - chances.uniform(0.0, 0.003)
             caller = threading.Thread(
--- a/tests/gateway/test_transfers.py
+++ b/tests/gateway/test_transfers.py
@@ -31,7 +31,7 @@
 
 
 @define(eq=False)
-class FakeAccount:
+class FakeGrant:
     """A grant of 500 tokens that gives those available in its ledger."""
 
     ledger: GrantLedger = field(factory=lambda: GrantLedger(available=500))
@@ -49,12 +49,12 @@
 
 
 @asynccontextmanager
-async def serving_gateway(account: FakeAccount | None) -> AsyncIterator[GatewayPeers]:
+async def serving_gateway(grant: FakeGrant | None) -> AsyncIterator[GatewayPeers]:
     """Serve transfers of "acme" from a grant, and yield a client for them."""
     port = free_port()
 
-    def find(name: str) -> FakeAccount | None:
-        return account if name == "acme" else None
+    def find(name: str) -> FakeGrant | None:
+        return grant if name == "acme" else None
 
     listener = CallerListener(TransferHandler(find).serve, CallerLimits)  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
@@ -82,7 +82,7 @@
 async def test_transfer_between_gateways(
     workspace: str, amount: int, arrived: int, left: int
 ) -> None:
-    async with serving_gateway(FakeAccount()) as peers:
+    async with serving_gateway(FakeGrant()) as peers:
         offered = 500 if workspace == "acme" else 0
         assert list(await peers.offers(workspace)) == [Offer("vm-2", offered)]
         assert await peers.transfer("vm-2", workspace, amount) == arrived
@@ -147,14 +147,14 @@
     "body", [b"", b"[]", b"{", b'{"amount": 5}', b'{"workspace": 1e']
 )
 async def test_malformed_request_is_refused(body: bytes) -> None:
-    account = FakeAccount()
-    async with serving_gateway(account) as peers:
+    grant = FakeGrant()
+    async with serving_gateway(grant) as peers:
         host, _, port = peers.addresses()["vm-2"].rpartition(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             head = b"POST /transfers HTTP/1.1\r\nhost: h\r\ncontent-length: %d\r\n\r\n"
             await stream.send(head % len(body) + body)
             assert b" 400 " in (await stream.receive()).partition(b"\r\n")[0]
-    assert account.ledger.given == 0
+    assert grant.ledger.given == 0
 
 
 @pytest.mark.parametrize(("others", "asked"), [(0, 0), (5, 5), (8, 8), (82, 8)])
--- a/tests/money/chaos.py
+++ b/tests/money/chaos.py
@@ -112,7 +112,7 @@
         if not self.fleet.routers:
             return None
         name = self.random.choice(sorted(self.fleet.routers))
-        return self.fleet.routers[name].treasury
+        return self.fleet.routers[name].grant_manager
 
     async def start(self) -> None:
         """Start a router with its own view of table and store, unless four run."""
@@ -306,11 +306,11 @@
         idle = [
             name
             for name, router in sorted(self.fleet.routers.items())
-            if not router.treasury.runs
+            if not router.grant_manager.runs
         ]
         if len(idle) < 2:
             return
-        manager = self.fleet.routers[idle[0]].treasury
+        manager = self.fleet.routers[idle[0]].grant_manager
         with anyio.move_on_after(20):
             with suppress(EbonyholdError):
                 await manager.drain()
@@ -323,7 +323,7 @@
         await anyio.sleep(60)
         await self.flush()
         for name in sorted(self.fleet.routers):
-            manager = self.fleet.routers[name].treasury
+            manager = self.fleet.routers[name].grant_manager
             with anyio.move_on_after(60):
                 with suppress(EbonyholdError):
                     await manager.drain()
--- a/tests/money/test_transfers.py
+++ b/tests/money/test_transfers.py
@@ -70,7 +70,7 @@
 
     async def scenario(fleet: MemoryFleet) -> None:
         await start_giver_and_receiver(fleet)
-        receiver = fleet.routers["b.1"].treasury
+        receiver = fleet.routers["b.1"].grant_manager
         fleet.network.lose_replies = 1 if lost else 0
         try:
             await begin(receiver, order("w", "r1", 400))
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -21,7 +21,7 @@
     context_from,
     context_headers,
     hop,
-    inner_hop,
+    hop_in_trace,
 )
 
 TRACE = "0af7651916cd43dd8448eb211c80319c"
@@ -64,10 +64,10 @@
     tracer = provider.get_tracer("t")
     with patch("ebonyhold.tracing.trace.get_tracer", return_value=tracer):
         if inside:
-            with hop("caller"), inner_hop("platform POST commit"):
+            with hop("caller"), hop_in_trace("platform POST commit"):
                 assert "traceparent" in context_headers()
         else:
-            with inner_hop("platform POST commit"):
+            with hop_in_trace("platform POST commit"):
                 assert context_headers() == {}
     names = [span.name for span in exporter.get_finished_spans()]
     assert names == (["platform POST commit", "caller"] if inside else [])
