--- a/ebonyhold/gateway/_losses.py
+++ b/ebonyhold/gateway/_losses.py
@@ -137,7 +137,7 @@
 
 @reads("grant changed")
 def read_grant(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Store the available tokens of a router, and the contents of the budget's row."""
+    """Record a router's available tokens and the contents of the budget's row."""
     del request
     tokens = losses.budget(line)
     tokens.spent = line.fields["spent"]
@@ -166,7 +166,10 @@
 
 @reads("refused")
 def read_refusal(losses: Losses, line: LogLine, request: RequestId) -> None:
-    """Count a refused request by its stored token cause, or else by the line's code."""
+    """Count a refused request by the cause stored from its "tokens refused" line.
+
+    Without such a line, it is counted by the code in this one.
+    """
     losses.count(line, losses.token_causes.pop(request, line.fields["code"]))
 
 
--- a/ebonyhold/gateway/_renewals.py
+++ b/ebonyhold/gateway/_renewals.py
@@ -236,7 +236,7 @@
         self.misses = 0
 
     def record_failure(self, error: PlatformError) -> None:
-        """Count a failed renewal, and log the first failure in a row.
+        """Count a failed renewal; log it unless the previous one failed too.
 
         A renewal that certainly failed, for example by a conflict, makes the store
         count as unreachable at once. Renewals of unknown outcome do so only after
@@ -302,7 +302,7 @@
         self.unreclaimed = (*previous.unreclaimed, predecessor)[-MAX_UNRECLAIMED:]
 
     def compute_elapsed(self) -> None:
-        """Store how long the predecessor may have run after its last renewal.
+        """Compute how long the predecessor may have run after its last renewal.
 
         `UNKNOWN_ELAPSED` stays if the predecessor's row has no time.
         """
@@ -372,9 +372,9 @@
         raise UnknownOutcomeError(f"no answer to a renewal in {waited:.2f} s")
 
     async def read_own_row(self) -> None:
-        """Store the version of this router's row, and confirm the renewal in it.
+        """Read this router's row, set `version` from it and confirm its renewal.
 
-        If there is no row, nothing is stored.
+        If there is no row, nothing is changed.
 
         Raises:
             ConflictError: The row is damaged or belongs to another router.
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -110,7 +110,8 @@
 
     Attributes:
         given: Tokens that belong to the requesting gateway from now on.
-        left: Tokens that the giver still offers to other gateways.
+        left: Tokens that the giver still offers to any gateway, including the
+            requesting one.
     """
 
     given: Tokens = field(default=0, validator=ge(0))
--- a/ebonyhold/gateway/_watcher.py
+++ b/ebonyhold/gateway/_watcher.py
@@ -105,7 +105,7 @@
         return before is not None and now - before > OUTAGE_AFTER
 
     def record_failure(self, error: PlatformError) -> None:
-        """Record a failed call, and log the first failure in a row."""
+        """Record a failed call; log it unless the previous one failed too."""
         if self.reachable:
             fields = {"table": self.table, "error": error.code, "detail": str(error)}
             log.warning("store lost", extra=fields)
--- a/tests/gateway/test_presence.py
+++ b/tests/gateway/test_presence.py
@@ -24,7 +24,7 @@
     reported: dict[str, dict[str, str]] = field(factory=dict)
 
     def presence(self, name: str, address: str = "10.0.0.1:1") -> Presence:
-        """Return one router's presence; `reported` gets the fleet that it reports."""
+        """Return one router's presence; each count stores its fleet in `reported`."""
         return Presence(
             MemoryRows(self.history),
             name,
--- a/tests/gateway/test_stop.py
+++ b/tests/gateway/test_stop.py
@@ -207,7 +207,8 @@
 
 
 CLOSE_COUNT = 60
-"""How often the test closes a listener; a fault of this kind shows in one of eight."""
+"""How often the test closes a listener; the fault that it guards against occurs in one
+of eight closes."""
 
 
 def request_at(port: int, moment: float, answers: list[bytes | None]) -> None:
