--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -110,7 +110,8 @@
 
     Attributes:
         given: Tokens that belong to the requesting gateway from now on.
-        left: Tokens that the giver still offers to other gateways.
+        left: Tokens that the giver still offers to any gateway, including the
+            requesting one.
     """
 
     given: Tokens = field(default=0, validator=ge(0))
@@ -295,11 +296,11 @@
     """Serves other gateways' requests for tokens.
 
     Attributes:
-        account: Returns a workspace's grant; None if the workspace has no prepaid
+        grant: Returns a workspace's grant; None if the workspace has no prepaid
             budget.
     """
 
-    account: Callable[[WorkspaceName], WorkspaceGrant | None]
+    grant: Callable[[WorkspaceName], WorkspaceGrant | None]
 
     async def serve(
         self, connection: CallerConnection, head: RequestHead, body: bytes
@@ -322,7 +323,7 @@
 
         The answer contains 0 for both if this gateway has no grant of the workspace.
         """
-        grant = self.account(request.workspace)
+        grant = self.grant(request.workspace)
         if grant is None:
             return TransferAnswer()
         given = 0
