--- a/ebonyhold/_asgi.py
+++ b/ebonyhold/_asgi.py
@@ -36,7 +36,7 @@
 """
 
 REST_SUFFIX = "..."
-"""Suffix of a pattern's last parameter that matches the rest: ``{name...}``."""
+"""Marks a pattern's last parameter, ``{name...}``, as matching the rest of a path."""
 
 
 class BodyTooLargeError(EbonyholdError):
--- a/ebonyhold/command/_document.py
+++ b/ebonyhold/command/_document.py
@@ -192,7 +192,7 @@
 
 
 def describe_lacking(status: dict[str, Any], version: int) -> list[str]:
-    """Return a description of each router that is not gone and has an older version."""
+    """Return a text for each router with an older version, unless its state is gone."""
     return [
         f"{each['router']} (has {each.get('version', 0)}, {each['state']})"
         for each in status["routers"]
--- a/ebonyhold/command/_fleet.py
+++ b/ebonyhold/command/_fleet.py
@@ -64,7 +64,10 @@
 
 
 def router_row(router: dict[str, Any]) -> dict[str, Any]:
-    """Return a router's table row, with grants summed and the last confirmation."""
+    """Return a router's table row.
+
+    It has the sum of the tokens in its grants and the age of its last confirmation.
+    """
     grants = router.get("grants", ())
     held = sum(each["available"] + each.get("held", 0) for each in grants)
     age = router.get("confirmed_age", -1.0)
--- a/ebonyhold/command/_output.py
+++ b/ebonyhold/command/_output.py
@@ -45,7 +45,8 @@
         form: The output format.
         whole: The value that is printed as JSON.
         rows: The rows of the table; a missing value leaves the cell empty.
-        columns: The table's headings by the keys of a row.
+        columns: The table's columns: the key of their values in the rows, and their
+            headings.
         empty: The text that is printed instead of a table without rows.
     """
     if form is OutputForm.JSON:
--- a/ebonyhold/configuration/_store.py
+++ b/ebonyhold/configuration/_store.py
@@ -98,10 +98,10 @@
     """Parts whose key hashes are equal modulo the number of packs.
 
     Attributes:
-        since: The version of the first base that used the pack.  It distinguishes
-            the pack from an earlier one with equal parts.  So once a base does not
-            use a pack of the previous base, no later base does, and the pack can be
-            deleted together with the previous base.
+        since: The version of the first base that used the pack.  It is part of the
+            stored object, so a later pack with equal parts has another SHA-256.  A
+            pack that one base no longer uses is therefore never used again, and is
+            deleted with the last base that used it.
         parts: JSON values of the parts, by key.
     """
 
--- a/ebonyhold/daemon/_connections.py
+++ b/ebonyhold/daemon/_connections.py
@@ -36,8 +36,9 @@
 CLOSE_TIMEOUT: Seconds = 1.0
 """Maximum time for connections to close, including the TLS shutdown.
 
-After the listening sockets have closed, requests get the same maximum time to be
-answered, unless others are still in progress after the grace period.
+Requests that arrive while the listener closes also have at most this time to be
+answered. If answers are still in progress when the grace period ends, no request gets
+this time.
 """
 
 AsgiApp = Callable[[Any, Any, Any], Awaitable[None]]
--- a/ebonyhold/daemon/_daemon.py
+++ b/ebonyhold/daemon/_daemon.py
@@ -71,7 +71,10 @@
 """
 
 EMPTY_DOCUMENT = Document(fleet="", domains=())
-"""In force until the first version is adopted; it has no workspaces or backends."""
+"""The fleet view's document until the first version is adopted.
+
+It has no workspaces or backends.
+"""
 
 
 @define
--- a/ebonyhold/document/_check.py
+++ b/ebonyhold/document/_check.py
@@ -106,7 +106,7 @@
 
 
 def check_bytes(body: bytes, now: datetime | None = None) -> CheckResult:
-    """Check a document given as UTF-8 bytes; other bytes give a finding."""
+    """Check a document given as bytes; a finding is added if they aren't UTF-8."""
     try:
         text = body.decode("utf-8")
     except UnicodeDecodeError as error:
--- a/ebonyhold/document/_fields.py
+++ b/ebonyhold/document/_fields.py
@@ -28,7 +28,7 @@
 SHA256_PATTERN = r"^[0-9a-f]{64}$"
 
 MAX_TOKENS = 2**53 - 1
-"""Maximum amount of tokens; JSON readers that use doubles keep it exact."""
+"""Maximum amount of tokens; JSON readers that use doubles read it exactly."""
 
 
 class Notation(Enum):
--- a/ebonyhold/document/_model.py
+++ b/ebonyhold/document/_model.py
@@ -192,9 +192,10 @@
         grants: Name of the registered policy that sizes grants.
         choice: Name of the registered policy that chooses a backend server.
         grant_horizon: Time, in seconds, for which a grant covers expected demand.
-        reserve_share: Maximum tokens that a grant keeps ahead of need, as a
-            fraction of an even share. An even share is the remaining budget and
-            the grant's free tokens, divided by the number of routers.
+        reserve_share: Maximum tokens that a grant has available while no request
+            waits for tokens, as a fraction of an even share. An even share is the
+            sum of the remaining budget and the grant's available tokens, divided
+            by the number of routers.
         unknown_outcome: What recovery does with a request if the backend server
             cannot report whether the request ran.
         stale_configuration: What a router does while its version of the
--- a/ebonyhold/document/_nodes.py
+++ b/ebonyhold/document/_nodes.py
@@ -41,7 +41,7 @@
         text: The value as written, without quotes and with escapes resolved.
         kind: Its YAML type: ``str``, ``int``, ``float``, ``bool``, ``null`` or
             ``timestamp``; for any other tag, the tag without `TAG_PREFIX`.
-        size: Number of nodes.
+        size: Number of nodes, which is 1.
     """
 
     place: Place
--- a/ebonyhold/document/_read.py
+++ b/ebonyhold/document/_read.py
@@ -108,7 +108,7 @@
         self.report.add(FindingCode.MISSING_KEY, node.place, path, message)
 
     def read_list(self, node: Node, kind: Any, rule: FieldRule, path: Path) -> Any:
-        """Convert a list to a tuple; a node of another kind becomes an empty one."""
+        """Convert a list to a tuple, or add a finding and return an empty tuple."""
         if not isinstance(node, ListNode):
             return self.reject(node, path, tuple, "expected a list")
         return tuple(
--- a/ebonyhold/exceptions.py
+++ b/ebonyhold/exceptions.py
@@ -88,7 +88,8 @@
 
     Attributes:
         keys: Keys whose checks failed; empty if the platform does not name them.
-        rows: The checked rows as they are now; empty if the platform sends none.
+        rows: Rows that the write checked, as they are now in the store; empty if the
+            platform sends none.
     """
 
     code = "platform_conflict"
@@ -111,7 +112,7 @@
 
 
 class BudgetError(EbonyholdError):
-    """Tokens could not be held, or a run of a dead router could not be settled."""
+    """Tokens could not be held, added or refunded, or a run or bill not settled."""
 
     code = "budget"
 
--- a/ebonyhold/logs.py
+++ b/ebonyhold/logs.py
@@ -62,7 +62,7 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    # These log a line for each HTTP request, too many for operators to find others.
+    # These log a line for each HTTP request, which makes other lines hard to find.
     for noisy in ("httpx", "httpcore", "hypercorn.access"):
         logging.getLogger(noisy).setLevel(logging.WARNING)
     return handler
--- a/ebonyhold/platform/_store.py
+++ b/ebonyhold/platform/_store.py
@@ -269,10 +269,11 @@
 
 
 def conflicting_rows(answer: WholeAnswer) -> tuple[Row, ...]:
-    """Return the current rows that a failed transaction checked.
+    """Return the rows in the answer to a transaction whose checks failed.
 
-    There are none if the body is malformed, which is logged; the status alone proves
-    the conflict.
+    They are rows that the transaction checked, as they are now in the store.  A
+    malformed body is logged and gives no rows, since the status alone proves the
+    conflict.
     """
     try:
         return tuple(decode_row(raw) for raw in json.loads(answer.body).get("rows", ()))
--- a/ebonyhold/settings.py
+++ b/ebonyhold/settings.py
@@ -49,7 +49,7 @@
         table: The transactional table service.
         objects: The object store.
         members: The membership list; empty if there is none.
-        weights: The weight store; empty if there is none.
+        weights: The store of model weights; empty if there is none.
         timeout: The timeout of one call, in seconds.
     """
 
--- a/ebonyhold/stores/_classified.py
+++ b/ebonyhold/stores/_classified.py
@@ -39,8 +39,8 @@
     A transaction with keys of both intents and budgets is a filing of bills.  It has
     dozens of rows, and no caller waits for it.  A transaction with only a request row
     is a claim, for which a caller waits.  If both had one class, claims would queue
-    behind filings: at 7 requests a second, that delays permits by 1.6 s on average
-    and causes refusals.
+    behind filings: at 7 requests a second, requests would wait 1.6 s longer on
+    average before they may run, and some would be refused.
 
     Any other transaction has the class of its first write; one without writes is
     housekeeping.
--- a/ebonyhold/stores/_guarded.py
+++ b/ebonyhold/stores/_guarded.py
@@ -25,7 +25,7 @@
     guard: Guard = field(factory=Guard)
 
     def for_class(self, priority: Priority) -> TableView:
-        """Return a `Table` whose calls all have one class."""
+        """Return a `Table` whose calls all have this priority class."""
         return TableView(self.table, self.guard, priority)
 
     async def run(self) -> None:
@@ -35,7 +35,7 @@
 
 @frozen
 class TableView:
-    """A `Table` whose calls pass the guard in one class."""
+    """A `Table` whose calls all go through the guard with the same priority class."""
 
     table: Table
     guard: Guard
--- a/ebonyhold/tasks.py
+++ b/ebonyhold/tasks.py
@@ -1,4 +1,4 @@
-"""Types for starting tasks and for keeping one task's failure from the others."""
+"""Types for starting tasks and for isolating the failure of one from the others."""
 
 from __future__ import annotations
 
--- a/tests/configuration/test_store.py
+++ b/tests/configuration/test_store.py
@@ -64,8 +64,8 @@
 ) -> None:
     """Guards against states that depend on which versions a router has read.
 
-    Followers read every version, every 10th, 100th or only the first; a new one
-    reads only the last.
+    Followers read every version, every 10th, every 100th or only the first, and then
+    the last one; a new follower reads only the last.
     """
     monkeypatch.setattr(_store, "PACK_BYTES", 2000)
     random = Random(5)
--- a/tests/daemon/test_live.py
+++ b/tests/daemon/test_live.py
@@ -92,7 +92,10 @@
         }
 
     def held(self, name: str) -> int:
-        """Return the tokens that all incarnations of a router hold in their grants."""
+        """Return the tokens left in the grants of all incarnations of a router.
+
+        Tokens that are held for requests are included.
+        """
         grants = [
             from_json(value, GrantRow)
             for key, value in self.values.items()
--- a/tests/platform/kit/_callers.py
+++ b/tests/platform/kit/_callers.py
@@ -153,7 +153,11 @@
 
     @property
     def target(self) -> str:
-        """The target, with a query that prescribes the answer if it is fault-free."""
+        """The request's target.
+
+        If `fault_free` is set, a query tells the engine which answer to give, without
+        faults.
+        """
         path = "/chat/a" if self.length.events else "/book/a"
         script = f"?events={self.length.events}&pause={self.length.pause}&sound=1"
         return path + script if self.fault_free else path
--- a/tests/platform/soak/_run.py
+++ b/tests/platform/soak/_run.py
@@ -63,7 +63,10 @@
 
 
 BOOKING = Length(0, 0.0)
-"""Size of the answer to a booking: one body, for which no tokens are charged."""
+"""Size of the answer to a booking: no events, only one body, sent without a pause.
+
+No tokens are charged for it.
+"""
 
 
 @define(eq=False)
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -130,7 +130,7 @@
         await connection.answer(status, JSON, json.dumps(answer).encode())
 
     async def commit(self, raw: dict[str, Any]) -> tuple[int, Any]:
-        """Apply a transaction; if checks fail, return 412 and the rows of these."""
+        """Apply a transaction; if a check fails, return 412 and the checked rows."""
         checks: list[Check] = []
         for item in raw["expected-revision"]:
             version = item["version-number"]
--- a/tests/platform/test_late_requests.py
+++ b/tests/platform/test_late_requests.py
@@ -139,7 +139,10 @@
 
 
 def met_closed_listener(request: RequestRecord, process: ProcessRecord) -> bool:
-    """Return whether a connection was refused while the listener may be closed."""
+    """Return whether a connection was refused at a time when this is allowed.
+
+    `listener_may_be_closed` describes these times.
+    """
     return request.fault == Fault.REFUSED and listener_may_be_closed(request, process)
 
 
