--- a/ebonyhold/money/_recovery.py
+++ b/ebonyhold/money/_recovery.py
@@ -384,7 +384,7 @@
                 assert grant.value is not None
                 report.returned += max(grant.value.held - reserved, 0)
                 return
-        raise UnavailableError(f"the tokens of {key} could not be returned")
+        raise UnavailableError(f"{key} could not be returned")
 
     async def _close(self, router: Observed[RouterRow]) -> None:
         transaction = close_transaction(router, time.time())
