--- a/ebonyhold/backends/_messages.py
+++ b/ebonyhold/backends/_messages.py
@@ -108,11 +108,11 @@
         priority: The engine serves requests with a larger number first.
         resume: Number of tokens of the answer that the caller already has.
         traceparent: The W3C trace context, or empty.
-        boot: The engine's boot identifier in the stored intent, or empty.  An engine
-            that has restarted since then refuses the attempt, because a restart loses
-            the list of closed attempts.  Otherwise a router that is paused between
-            storing the intent and sending the attempt could start an attempt that
-            another router has settled as not run.
+        boot: The boot identifier of the engine when the intent was stored, or empty.
+            An engine with another boot identifier refuses the attempt: a restart loses
+            the list of closed attempts, so without this check a router that was paused
+            between storing the intent and sending the attempt could start an attempt
+            that another router has meanwhile settled as not run.
     """
 
     attempt: AttemptId
--- a/ebonyhold/coordination/_ejection.py
+++ b/ebonyhold/coordination/_ejection.py
@@ -65,7 +65,10 @@
     records: dict[BackendName, ServerRecord] = field(factory=dict)
 
     def failed(self, name: BackendName, now: Seconds) -> None:
-        """Record an error, a malformed answer or a timeout; eject an outlier."""
+        """Record an error, a malformed answer or a timeout.
+
+        The server is ejected when its own error count reaches `policy.errors`.
+        """
         record = self.records.setdefault(name, ServerRecord())
         record.errors += 1
         if record.errors >= self.policy.errors:
--- a/ebonyhold/coordination/_policies.py
+++ b/ebonyhold/coordination/_policies.py
@@ -229,10 +229,11 @@
     """
 
     def give(self, view: GrantView, wanted: Tokens) -> Tokens:
-        """Return how many tokens to give: `wanted`, as far as available, or more.
+        """Return how many tokens to give: at least `wanted`, or all available if fewer.
 
-        More are given up to `give_multiple` times `wanted`, but only within the share
-        `give_share` of the available tokens.
+        `give_multiple` times `wanted` is given if that is at most the share
+        `give_share` of the available tokens; otherwise that share is given, if it is
+        more than `wanted`.
 
         The result is 0 while this router's own requests wait for tokens.
         """
--- a/ebonyhold/forwarding/_refusals.py
+++ b/ebonyhold/forwarding/_refusals.py
@@ -53,10 +53,11 @@
     # Servers usually finish a few requests in this time.
     Refusal.SERVERS_FULL: 0.2,
     Refusal.NOT_STARTED: 0.2,
-    # Other routers hold the tokens, and the next attempt reaches another router.
+    # The tokens are in other routers' grants, and the caller's retry reaches another
+    # router.
     Refusal.BUDGET_UNREACHABLE: 0.05,
     Refusal.SLOW_REQUEST: 0.1,
-    # The next attempt reaches another router. Waiting 0.8 s, until other stopping
+    # The caller's retry reaches another router. Waiting 0.8 s, until other stopping
     # routers may be back, would only delay the answer.
     Refusal.STOPPING: 0.05,
 }
--- a/ebonyhold/gateway/_transfers.py
+++ b/ebonyhold/gateway/_transfers.py
@@ -319,9 +319,10 @@
         )
 
     async def answer(self, request: TransferRequest) -> TransferAnswer:
-        """Give the requested tokens, as far as possible, and return them with an offer.
+        """Give the requested tokens, as far as possible.
 
-        The answer contains 0 for both if this gateway has no grant of the workspace.
+        The answer has the number of tokens given and this gateway's offer of further
+        tokens.  Both numbers are 0 if this gateway has no grant of the workspace.
         """
         grant = self.grant(request.workspace)
         if grant is None:
--- a/ebonyhold/stores/_guard.py
+++ b/ebonyhold/stores/_guard.py
@@ -130,7 +130,7 @@
 
 @define
 class Guard:
-    """The guard of one service; calls that queue wait until `run` admits them.
+    """The guard of one service; queued calls wait until `run` admits them.
 
     Attributes:
         policy: The limits.
--- a/ebonyhold/stores/_guarded.py
+++ b/ebonyhold/stores/_guarded.py
@@ -14,7 +14,7 @@
 
 @define
 class GuardedTable:
-    """A table with a guard; calls that queue wait until `run` admits them.
+    """A table with a guard; queued calls wait until `run` admits them.
 
     Attributes:
         table: The client of the table.
@@ -80,7 +80,7 @@
 
 @define
 class GuardedObjects:
-    """An object store with a guard; calls that queue wait until `run` admits them.
+    """An object store with a guard; queued calls wait until `run` admits them.
 
     Attributes:
         objects: The client of the object store.
